--- a/crates/daemon/src/replica/driver.rs
+++ b/crates/daemon/src/replica/driver.rs
@@ -152,7 +152,7 @@
             self.answer_followers();
             self.compact();
             let now = self.clock.now();
-            self.disk_speed.note(now, self.gate.waited(now).unwrap_or_default());
+            self.disk_speed.note(now, self.gate.oldest_sync_age(now).unwrap_or_default());
             if self.node.role() != Role::Leader {
                 self.handing_over = None;
             }
@@ -183,7 +183,7 @@
         match written {
             Written::Through(through) => {
                 let mut ready = Vec::new();
-                self.gate.synced(through, &mut ready);
+                self.gate.mark_synced(through, &mut ready);
                 self.act_all(ready);
             }
             Written::Failed(e) => {
@@ -195,7 +195,7 @@
 
     /// Answers what waits for writes that are under way.
     fn finish_writes(&mut self) {
-        while self.failure.is_none() && self.gate.waited(self.clock.now()).is_some() {
+        while self.failure.is_none() && self.gate.oldest_sync_age(self.clock.now()).is_some() {
             let Ok(written) = self.writer.written().recv() else { return };
             self.note_written(written);
         }
@@ -339,7 +339,7 @@
             return;
         }
         let mut ready = Vec::new();
-        if let Some(batch) = self.gate.take(self.clock.now(), actions, &mut ready) {
+        if let Some(batch) = self.gate.submit(self.clock.now(), actions, &mut ready) {
             self.writer.write(batch);
         }
         self.act_all(ready);
--- a/crates/quorum/src/sync_gate.rs
+++ b/crates/quorum/src/sync_gate.rs
@@ -85,7 +85,7 @@
 
     /// Takes a node's actions, adds those that may be carried out at once to `ready`, and returns
     /// what must be written.
-    pub fn take(
+    pub fn submit(
         &mut self,
         now: MonotonicTime,
         actions: Vec<Action>,
@@ -120,7 +120,7 @@
 
     /// Notes that the batches up to `through` are durable, and adds what waited for them to
     /// `ready`.
-    pub fn synced(&mut self, through: BatchNumber, ready: &mut Vec<Action>) {
+    pub fn mark_synced(&mut self, through: BatchNumber, ready: &mut Vec<Action>) {
         while let Some(done) = self.unsynced.pop_front_if(|batch| batch.number <= through) {
             self.durable = done.after;
         }
@@ -130,7 +130,7 @@
     }
 
     /// Returns how long the oldest batch that isn't durable has been under way, if there is one.
-    pub fn waited(&self, now: MonotonicTime) -> Option<Duration> {
+    pub fn oldest_sync_age(&self, now: MonotonicTime) -> Option<Duration> {
         self.unsynced.front().map(|batch| now.saturating_since(batch.since))
     }
 
@@ -174,7 +174,7 @@
     /// Decides what of an action goes ahead of the writes that are under way.
     fn release(&self, now: MonotonicTime, action: Action) -> Release {
         let Action::Send { to, message } = &action else { return Release::Later(action) };
-        let (Some(waited), Some(kept)) = (self.waited(now), self.kept()) else {
+        let (Some(waited), Some(kept)) = (self.oldest_sync_age(now), self.kept()) else {
             return Release::Later(action);
         };
         if STALLED_AFTER <= waited || !self.is_durable(message) {
--- a/crates/quorum/tests/cluster.rs
+++ b/crates/quorum/tests/cluster.rs
@@ -324,9 +324,9 @@
             machine.committed_with.extend(committed(&actions, &node.status().voters));
         }
         let mut ready = Vec::new();
-        let batch = machine.gate.take(self.now, actions, &mut ready);
+        let batch = machine.gate.submit(self.now, actions, &mut ready);
         if let (Fault::AnswerBeforeSync, Some(batch)) = (self.fault, &batch) {
-            machine.gate.synced(batch.number, &mut ready);
+            machine.gate.mark_synced(batch.number, &mut ready);
         }
         machine.unwritten.extend(batch.map(|batch| (self.now, batch)));
         if crash == Some(Crash::AfterSync) {
@@ -354,7 +354,7 @@
         }
         let last = last.number;
         self.write(i);
-        self.machines[i].gate.synced(last, ready);
+        self.machines[i].gate.mark_synced(last, ready);
     }
 
     fn write(&mut self, i: usize) {
