--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -45,7 +45,7 @@
     /// Notes that a voter just named the leader.
     pub(crate) fn named(&self, leader: &HostId) {
         let now = self.clock.now();
-        self.lock().hints.named(now, leader);
+        self.lock().hints.confirm_leader(now, leader);
     }
 
     /// Notes which host is said to lead, by word that may be old.
@@ -71,7 +71,7 @@
 
     /// Returns the hosts that may take a request to the leader, the likeliest first.
     pub(crate) fn voters(&self) -> Vec<HostId> {
-        self.lock().hints.order(self.clock.now())
+        self.lock().hints.leader_candidates(self.clock.now())
     }
 
     fn lock(&self) -> MutexGuard<'_, Known> {
--- a/crates/quorum/src/hints.rs
+++ b/crates/quorum/src/hints.rs
@@ -26,7 +26,7 @@
     /// Notes that a voter names the leader in its answer at `now`.
     ///
     /// That is news: a host that was silent before is asked first again.
-    pub fn named(&mut self, now: MonotonicTime, leader: &HostId) {
+    pub fn confirm_leader(&mut self, now: MonotonicTime, leader: &HostId) {
         if self.silent.get(leader).is_some_and(|since| *since < now) {
             self.silent.remove(leader);
         }
@@ -58,7 +58,7 @@
     }
 
     /// Returns the hosts that may lead, the likeliest first.
-    pub fn order(&self, now: MonotonicTime) -> Vec<HostId> {
+    pub fn leader_candidates(&self, now: MonotonicTime) -> Vec<HostId> {
         let leader = self.leader.iter();
         let others = self.voters.iter().filter(|voter| Some(*voter) != self.leader.as_ref());
         let mut order: Vec<HostId> = leader.chain(others).cloned().collect();
--- a/crates/quorum/tests/hints.rs
+++ b/crates/quorum/tests/hints.rs
@@ -16,7 +16,7 @@
 }
 
 fn first(hints: &LeaderHints, now: u64, count: usize) -> Vec<HostId> {
-    hints.order(at(now)).into_iter().take(count).collect()
+    hints.leader_candidates(at(now)).into_iter().take(count).collect()
 }
 
 #[test]
@@ -34,7 +34,7 @@
     hints.set_leader(Some(host(0)));
     hints.timed_out(at(1_200), &host(1));
     assert_eq!(first(&hints, 1_300, 3), [host(2), host(3), host(4)]);
-    assert_eq!(hints.order(at(1_300))[3..], [host(0), host(1)]);
+    assert_eq!(hints.leader_candidates(at(1_300))[3..], [host(0), host(1)]);
 }
 
 #[test]
@@ -42,7 +42,7 @@
     let mut hints = hints();
     hints.set_leader(Some(host(0)));
     hints.timed_out(at(600), &host(0));
-    hints.named(at(610), &host(0));
+    hints.confirm_leader(at(610), &host(0));
     assert_eq!(first(&hints, 620, 1), [host(0)]);
 }
 
