--- a/crates/quorum/src/action.rs
+++ b/crates/quorum/src/action.rs
@@ -4,7 +4,7 @@
 
 use crate::{Entry, HardState, Message, ProposalId, ReadId, Snapshot, VoterSet};
 
-/// What the driver tells the node.
+/// An input from the driver to the node.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// Time has passed.
@@ -16,39 +16,39 @@
         /// The message.
         message: Message,
     },
-    /// A command is to be written to the log.
+    /// Proposes a command.
     Propose {
-        /// The driver's name for it.
+        /// The driver's identifier of the proposal.
         id: ProposalId,
         /// The command.
         command: Arc<[u8]>,
     },
-    /// The voters are to be changed, by one host.
+    /// Proposes a change of voters by one host.
     ProposeVoters {
-        /// The driver's name for it.
+        /// The driver's identifier of the proposal.
         id: ProposalId,
         /// The new voters.
         voters: VoterSet,
     },
-    /// The replicated state is to be read as of now.
+    /// Requests a linearizable read of the replicated state.
     Read {
-        /// The driver's name for the read.
+        /// The driver's identifier of the read.
         id: ReadId,
     },
-    /// The replicated state as of an applied entry, which may stand for the log up to there.
+    /// A snapshot of the replicated state as of an applied entry, with which the log is compacted.
     Snapshot {
         /// The last entry that the state covers.
         through: LogIndex,
         /// The replicated state.
         data: Arc<[u8]>,
     },
-    /// The hosts that a leader sends the log to besides the voters.
+    /// The hosts to which a leader replicates the log besides the voters.
     Learners(Vec<HostId>),
-    /// A leader is to hand over to another voter before it shuts down.
+    /// Transfers the leadership to another voter, before a shutdown.
     Transfer,
 }
 
-/// What the node tells the driver.
+/// An action that the driver carries out for the node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Make something durable.
@@ -66,7 +66,7 @@
     Apply(Vec<Entry>),
     /// A proposal was written at this index; it commits when that entry of this term is applied.
     Accepted {
-        /// The driver's name for it.
+        /// The driver's identifier of the proposal.
         id: ProposalId,
         /// The entry's position.
         index: LogIndex,
@@ -75,30 +75,30 @@
     },
     /// A proposal was not written.
     Refused {
-        /// The driver's name for it.
+        /// The driver's identifier of the proposal.
         id: ProposalId,
         /// The leader, if known.
         leader: Option<HostId>,
-        /// Why.
+        /// The reason.
         refusal: Refusal,
     },
-    /// A read may be answered once the entry at this index is applied.
+    /// The read can be served once the entry at this index is applied.
     ReadReady {
-        /// The driver's name for it.
+        /// The driver's identifier of the read.
         id: ReadId,
         /// The entry to wait for.
         index: LogIndex,
     },
-    /// A read can't be answered here.
+    /// The read can't be served by this node.
     ReadRefused {
-        /// The driver's name for it.
+        /// The driver's identifier of the read.
         id: ReadId,
         /// The leader, if known.
         leader: Option<HostId>,
     },
 }
 
-/// What is to be written to a data folder.
+/// A write to the data folder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Write {
     /// Term, vote and entries; the log after the entry before the first is dropped.
@@ -114,18 +114,18 @@
     Snapshot(Snapshot),
 }
 
-/// Why a proposal was not written.
+/// The reason why a proposal was not written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// This node does not lead.
     NotLeader,
-    /// The leader is handing over.
+    /// The leader is transferring its leadership.
     Transferring,
     /// The leader has not committed an entry of its own term.
     TermNotCommitted,
     /// A change of voters is not committed yet.
     ChangePending,
-    /// The voters differ from the present ones by more than one host, or by none.
+    /// The proposed voters differ from the current ones by more than one host, or by none.
     NotOneChange,
     /// The new voter's folder does not follow the log closely enough.
     Lagging,
--- a/crates/quorum/src/follower.rs
+++ b/crates/quorum/src/follower.rs
@@ -5,42 +5,42 @@
 
 use crate::{Action, AppendOutcome, Body, Entry, Node, Snapshot, VoterSet, Write};
 
-/// A snapshot that arrives in parts.
+/// A snapshot that is received in chunks.
 #[derive(Debug)]
-pub(crate) struct Incoming {
+pub(crate) struct IncomingSnapshot {
     last_index: LogIndex,
     last_term: Term,
     voters: VoterSet,
     data: Vec<u8>,
 }
 
-/// A part of a snapshot.
+/// A chunk of a snapshot.
 #[derive(Debug)]
-pub(crate) struct Part<'a> {
+pub(crate) struct SnapshotChunk<'a> {
     pub(crate) offset: u64,
     pub(crate) data: &'a [u8],
     pub(crate) done: bool,
     pub(crate) sent: Duration,
 }
 
-impl Incoming {
+impl IncomingSnapshot {
     pub(crate) fn new(last_index: LogIndex, last_term: Term, voters: VoterSet) -> Self {
         Self { last_index, last_term, voters, data: Vec::new() }
     }
 
-    fn continues(&self, other: &Self) -> bool {
+    fn is_same_snapshot(&self, other: &Self) -> bool {
         (self.last_index, self.last_term) == (other.last_index, other.last_term)
     }
 }
 
 impl<R: Rng> Node<R> {
-    pub(crate) fn hear_leader(&mut self, leader: &HostId, actions: &mut Vec<Action>) {
-        self.follow(self.hard.term, Some(leader.clone()), actions);
-        self.leader_heard = self.now;
+    pub(crate) fn note_leader_contact(&mut self, leader: &HostId, actions: &mut Vec<Action>) {
+        self.become_follower(self.hard.term, Some(leader.clone()), actions);
+        self.last_leader_contact = self.now;
         self.defer_election();
     }
 
-    /// Writes the leader's entries if the log holds the entry before them.
+    /// Appends the leader's entries if the log holds the entry before them.
     pub(crate) fn append(
         &mut self,
         prev_index: LogIndex,
@@ -64,7 +64,7 @@
         AppendOutcome::Matched(last)
     }
 
-    pub(crate) fn learn_commit(
+    pub(crate) fn advance_follower_commit(
         &mut self,
         outcome: AppendOutcome,
         commit: LogIndex,
@@ -75,8 +75,13 @@
         self.apply_committed(actions);
     }
 
-    /// Tells a deposed leader of the newer term.
-    pub(crate) fn answer_stale(&self, from: &HostId, body: &Body, actions: &mut Vec<Action>) {
+    /// Replies to a deposed leader, which learns the newer term from the message.
+    pub(crate) fn reject_stale_leader(
+        &self,
+        from: &HostId,
+        body: &Body,
+        actions: &mut Vec<Action>,
+    ) {
         let (prev_index, sent) = match body {
             Body::Append { prev_index, sent, .. } => (*prev_index, *sent),
             Body::Chunk { last_index, sent, .. } => (*last_index, *sent),
@@ -86,27 +91,27 @@
         self.send(from, Body::AppendReply { outcome, sent }, actions);
     }
 
-    /// Takes a part of a snapshot and returns the answer.
-    pub(crate) fn take_chunk(
+    /// Adds a chunk to the incoming snapshot and returns the reply.
+    pub(crate) fn receive_chunk(
         &mut self,
-        target: Incoming,
-        part: Part<'_>,
+        target: IncomingSnapshot,
+        chunk: SnapshotChunk<'_>,
         actions: &mut Vec<Action>,
     ) -> Body {
-        let (last_index, sent) = (target.last_index, part.sent);
+        let (last_index, sent) = (target.last_index, chunk.sent);
         let matched = AppendOutcome::Matched(last_index);
         if last_index <= self.commit {
             return Body::AppendReply { outcome: matched, sent };
         }
         let mut incoming = match self.incoming.take() {
-            Some(incoming) if incoming.continues(&target) => incoming,
+            Some(incoming) if incoming.is_same_snapshot(&target) => incoming,
             _ => target,
         };
-        let fits = part.offset == incoming.data.len() as u64;
+        let fits = chunk.offset == incoming.data.len() as u64;
         if fits {
-            incoming.data.extend_from_slice(part.data);
+            incoming.data.extend_from_slice(chunk.data);
         }
-        if fits && part.done {
+        if fits && chunk.done {
             self.install(incoming, actions);
             return Body::AppendReply { outcome: matched, sent };
         }
@@ -115,7 +120,7 @@
         Body::ChunkReply { last_index, received, sent }
     }
 
-    /// Makes `data` stand for the log up to `through`, which was applied.
+    /// Replaces the log up to `through`, which was applied, by a snapshot with `data`.
     pub(crate) fn compact(
         &mut self,
         through: LogIndex,
@@ -145,8 +150,8 @@
         self.save_entries(entries, actions);
     }
 
-    fn install(&mut self, incoming: Incoming, actions: &mut Vec<Action>) {
-        let Incoming { last_index, last_term, voters, data } = incoming;
+    fn install(&mut self, incoming: IncomingSnapshot, actions: &mut Vec<Action>) {
+        let IncomingSnapshot { last_index, last_term, voters, data } = incoming;
         let snapshot = Snapshot { last_index, last_term, voters, data: data.into() };
         self.log.install(snapshot.clone());
         self.commit = last_index;
--- a/crates/quorum/src/founding.rs
+++ b/crates/quorum/src/founding.rs
@@ -6,17 +6,17 @@
     registration,
 };
 
-/// The log's first entry, which names the founding voters.
-const FIRST: LogIndex = LogIndex::new(1);
+/// Index of the log's first entry, which names the founding voters.
+const FOUNDING_INDEX: LogIndex = LogIndex::new(1);
 
 impl<R: Rng> Node<R> {
-    /// Asks the other founders what they hold while this node holds nothing.
+    /// Queries the other founders while this node's folder is empty.
     pub(crate) fn tick_founding(&mut self, actions: &mut Vec<Action>) {
-        let named = self.cfg.founders.contains(&self.cfg.host);
-        if !named || !self.is_fresh() || self.founding_denied || self.now < self.retry_at {
+        let is_founder = self.cfg.founders.contains(&self.cfg.host);
+        if !is_founder || !self.is_fresh() || self.founding_denied || self.now < self.retry_at {
             return;
         }
-        self.retry_at = self.now + self.cfg.heartbeat;
+        self.retry_at = self.now + self.cfg.heartbeat_interval;
         for host in self.cfg.founders.clone() {
             if host != self.cfg.host {
                 self.send(&host, Body::FoundingQuery, actions);
@@ -25,30 +25,30 @@
         self.found_if_all_fresh(actions);
     }
 
-    pub(crate) fn answer_founding(
+    pub(crate) fn handle_founding_query(
         &self,
         from: &HostId,
-        asker: FolderId,
+        requester: FolderId,
         actions: &mut Vec<Action>,
     ) {
-        let founding = match self.log.entry(FIRST).map(|entry| &entry.payload) {
+        let founding = match self.log.entry(FOUNDING_INDEX).map(|entry| &entry.payload) {
             Some(Payload::Voters(voters)) => Founding::Founded(voters.clone()),
             _ if !self.is_fresh() => Founding::Compacted,
             _ if self.cfg.founders.first() == Some(from) => Founding::Fresh,
             _ => return,
         };
-        self.send(from, Body::FoundingReply { asker, founding }, actions);
+        self.send(from, Body::FoundingReply { requester, founding }, actions);
     }
 
-    pub(crate) fn take_founding(
+    pub(crate) fn handle_founding_reply(
         &mut self,
         from: Sender<'_>,
-        asker: FolderId,
+        requester: FolderId,
         founding: Founding,
         actions: &mut Vec<Action>,
     ) {
-        let named = self.cfg.founders.contains(from.host);
-        if asker != self.folder || !named || !self.is_fresh() || self.founding_denied {
+        let is_founder = self.cfg.founders.contains(from.host);
+        if requester != self.folder || !is_founder || !self.is_fresh() || self.founding_denied {
             return;
         }
         match founding {
@@ -57,7 +57,7 @@
                 self.found_if_all_fresh(actions);
             }
             Founding::Founded(voters) if voters.admits(&self.cfg.host, self.folder) => {
-                self.write_first(voters, actions);
+                self.write_founding_entry(voters, actions);
             }
             Founding::Founded(_) | Founding::Compacted => self.founding_denied = true,
         }
@@ -74,16 +74,17 @@
         let mut voters = VoterSet { folders: self.fresh_founders.clone() };
         voters.folders.insert(self.cfg.host.clone(), self.folder);
         if self.cfg.founders.iter().all(|host| voters.folders.contains_key(host)) {
-            self.write_first(voters, actions);
+            self.write_founding_entry(voters, actions);
         }
     }
 
-    fn write_first(&mut self, voters: VoterSet, actions: &mut Vec<Action>) {
-        let entry = Entry { index: FIRST, term: Term::new(1), payload: Payload::Voters(voters) };
+    fn write_founding_entry(&mut self, voters: VoterSet, actions: &mut Vec<Action>) {
+        let entry =
+            Entry { index: FOUNDING_INDEX, term: Term::new(1), payload: Payload::Voters(voters) };
         self.log.push(entry.clone());
         self.hard.term = entry.term;
         let hard_state = Some(self.hard.clone());
         actions.push(Action::Write(Write::Log { hard_state, entries: vec![entry] }));
-        self.registration = registration::at_start(&self.cfg.host, self.folder, self.log.voters());
+        self.registration = registration::initial(&self.cfg.host, self.folder, self.log.voters());
     }
 }
--- a/crates/quorum/src/healing.rs
+++ b/crates/quorum/src/healing.rs
@@ -4,79 +4,79 @@
 
 use crate::{FolderId, Progress, Role, Status, VoterSet};
 
-/// How a leader changes the voters without an operator.
+/// Settings for changes of voters without an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HealingSettings {
-    /// Disks that may be lost at once without losing what was committed.
+    /// The number of disks that may be lost at once without losing committed entries.
     pub lost_disks: usize,
-    /// Time without a word after which a voter may be replaced by a host that follows the log.
-    pub silence: Duration,
-    /// Time without a word after which a host is not taken in.
-    pub hearing: Duration,
-    /// Entries that a host may lack when it is taken in.
-    pub lag: u64,
+    /// Time without contact after which a voter may be replaced by a learner.
+    pub replace_after: Duration,
+    /// Time without contact after which a host is not added, and doesn't count as responsive.
+    pub max_contact_age: Duration,
+    /// Maximum entries that a host may lack when it is added.
+    pub max_lag: u64,
 }
 
 impl Default for HealingSettings {
     fn default() -> Self {
         Self {
             lost_disks: 0,
-            silence: Duration::from_secs(2),
-            hearing: Duration::from_millis(500),
-            lag: 32,
+            replace_after: Duration::from_secs(2),
+            max_contact_age: Duration::from_millis(500),
+            max_lag: 32,
         }
     }
 }
 
 impl HealingSettings {
-    /// Returns the number of voters wanted.
+    /// Returns the target number of voters.
     ///
-    /// A majority of so many holds one copy more than disks may be lost.
-    pub fn target(&self) -> usize {
+    /// A majority of these is one more than the disks that may be lost.
+    pub fn target_voters(&self) -> usize {
         2 * self.lost_disks + 1
     }
 
-    /// Returns the fewest voters whose majority outlives the disks that may be lost.
-    pub fn fewest(&self) -> usize {
+    /// Returns the minimum number of voters whose majority exceeds the disks that may be lost.
+    pub fn min_voters(&self) -> usize {
         (2 * self.lost_disks).max(1)
     }
 }
 
-/// What a leader that has led for `led` sees of the others at `now`.
+/// A leader's view of the other hosts at a time.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaderView<'a> {
     /// The leader's status.
     pub status: &'a Status,
-    /// The leader's host.
+    /// The leader's own host.
     pub me: &'a HostId,
-    /// The time.
+    /// The current time.
     pub now: MonotonicTime,
-    /// How long it has led.
+    /// The time since it became the leader.
     pub led: Duration,
 }
 
-/// Returns the voters to change to, one host more or less, or nothing if all is well.
+/// Returns the next set of voters, one host more or less, or `None` if no change is due.
 ///
-/// A host that came back with another folder is taken out and then in again. A silent voter is
-/// replaced only by a host that follows the log already. No change leaves fewer voters than
-/// [`HealingSettings::fewest`], or too few that answer to commit the next change.
+/// A host that returned with another folder is removed and then added again. An unresponsive voter
+/// is replaced only by a learner that is up to date. No change leaves fewer voters than
+/// [`HealingSettings::min_voters`], or too few responsive ones to commit the next change.
 pub fn next_voters(view: &LeaderView<'_>, settings: &HealingSettings) -> Option<VoterSet> {
     let status = view.status;
     if status.role != Role::Leader || !status.voters_committed {
         return None;
     }
     let voters = status.voters.folders.len();
-    if voters < settings.target()
+    if voters < settings.target_voters()
         && let Some((host, folder)) = view.spare(settings)
     {
         return Some(with(&status.voters, host, folder));
     }
     let replaced = view.voters().find(|(host, folder)| view.has_other_folder(host, **folder));
-    let silent = || view.voters().find(|(host, _)| view.is_silent(host, settings));
-    let is_spared = settings.target() < voters || view.spare(settings).is_some();
-    let leaving = replaced.or_else(|| if is_spared { silent() } else { None })?.0;
+    let presumed_lost = || view.voters().find(|(host, _)| view.is_presumed_lost(host, settings));
+    let can_spare_one = settings.target_voters() < voters || view.spare(settings).is_some();
+    let leaving = replaced.or_else(|| if can_spare_one { presumed_lost() } else { None })?.0;
     let next = without(&status.voters, leaving);
-    let stays_safe = settings.fewest() <= next.folders.len();
+    let stays_safe = settings.min_voters() <= next.folders.len();
     (stays_safe && view.can_commit(&next, settings)).then_some(next)
 }
 
@@ -86,13 +86,13 @@
         self.status.voters.folders.iter().filter(|(host, _)| *host != self.me)
     }
 
-    /// Returns a host that follows the log and doesn't vote.
+    /// Returns a learner that is up to date and can be added as a voter.
     fn spare(&self, settings: &HealingSettings) -> Option<(&HostId, FolderId)> {
-        let wanted = self.status.commit.as_u64().saturating_sub(settings.lag);
+        let wanted = self.status.commit.as_u64().saturating_sub(settings.max_lag);
         let followers = self.status.progress.iter().filter(|(host, progress)| {
             let votes = self.status.voters.folders.contains_key(*host);
             !votes
-                && self.hears(progress, settings)
+                && self.is_responsive(progress, settings)
                 && LogIndex::new(wanted.max(1)) <= progress.matched
         });
         followers.filter_map(|(host, progress)| Some((host, progress.folder?))).next()
@@ -100,29 +100,29 @@
 
     fn has_other_folder(&self, host: &HostId, folder: FolderId) -> bool {
         let progress = self.status.progress.get(host);
-        progress.and_then(|progress| progress.folder).is_some_and(|answered| answered != folder)
+        progress.and_then(|progress| progress.folder).is_some_and(|replied| replied != folder)
     }
 
-    fn hears(&self, progress: &Progress, settings: &HealingSettings) -> bool {
-        let heard = progress.heard.map(|heard| self.now.saturating_since(heard));
-        heard.is_some_and(|ago| ago < settings.hearing)
+    fn is_responsive(&self, progress: &Progress, settings: &HealingSettings) -> bool {
+        let age = progress.last_contact.map(|contact| self.now.saturating_since(contact));
+        age.is_some_and(|age| age < settings.max_contact_age)
     }
 
-    fn is_silent(&self, host: &HostId, settings: &HealingSettings) -> bool {
-        let heard = self.status.progress.get(host).and_then(|progress| progress.heard);
-        let ago = heard.map_or(self.led, |heard| self.now.saturating_since(heard).min(self.led));
-        settings.silence <= ago
+    fn is_presumed_lost(&self, host: &HostId, settings: &HealingSettings) -> bool {
+        let contact = self.status.progress.get(host).and_then(|progress| progress.last_contact);
+        let age = contact.map_or(self.led, |at| self.now.saturating_since(at).min(self.led));
+        settings.replace_after <= age
     }
 
-    /// Returns whether a majority of `voters` answers from the right folder.
+    /// Returns whether a majority of `voters` is responsive, with the right folder.
     fn can_commit(&self, voters: &VoterSet, settings: &HealingSettings) -> bool {
-        let answering = voters.folders.iter().filter(|(host, folder)| {
+        let responsive = voters.folders.iter().filter(|(host, folder)| {
             *host == self.me
                 || self.status.progress.get(*host).is_some_and(|progress| {
-                    progress.folder == Some(**folder) && self.hears(progress, settings)
+                    progress.folder == Some(**folder) && self.is_responsive(progress, settings)
                 })
         });
-        voters.majority() <= answering.count()
+        voters.majority() <= responsive.count()
     }
 }
 
--- a/crates/quorum/src/hints.rs
+++ b/crates/quorum/src/hints.rs
@@ -2,20 +2,20 @@
 
 use base::{HostId, MonotonicTime};
 
-/// Time for which a host that did not answer is asked last.
-const SILENCE_MEMORY: Duration = Duration::from_secs(2);
+/// Time for which a host that timed out is ordered last.
+const TIMEOUT_RETENTION: Duration = Duration::from_secs(2);
 
-/// What a host outside the quorum believes of who leads, and whom to ask first.
+/// The leader as known to a host outside the quorum, and the order in which to try the voters.
 #[derive(Clone, Debug, Default)]
 pub struct LeaderHints {
     voters: Vec<HostId>,
     leader: Option<HostId>,
-    /// When hosts last failed to answer in time.
-    silent: BTreeMap<HostId, MonotonicTime>,
+    /// Time of each host's last request timeout.
+    timeouts: BTreeMap<HostId, MonotonicTime>,
 }
 
 impl LeaderHints {
-    /// Notes whether a host votes.
+    /// Records whether a host is a voter.
     pub fn set_voter(&mut self, host: HostId, votes: bool) {
         self.voters.retain(|voter| *voter != host);
         if votes {
@@ -23,53 +23,53 @@
         }
     }
 
-    /// Notes that a voter names the leader in its answer at `now`.
+    /// Records the leader that a voter named in its response at `now`.
     ///
-    /// That is news: a host that was silent before is asked first again.
+    /// An earlier timeout of that leader is cleared, so that it is tried first again.
     pub fn confirm_leader(&mut self, now: MonotonicTime, leader: &HostId) {
-        if self.silent.get(leader).is_some_and(|since| *since < now) {
-            self.silent.remove(leader);
+        if self.timeouts.get(leader).is_some_and(|since| *since < now) {
+            self.timeouts.remove(leader);
         }
         self.leader = Some(leader.clone());
     }
 
-    /// Notes which host is said to lead, by word that may be old.
+    /// Sets the leader from a source that may be outdated.
     pub fn set_leader(&mut self, leader: Option<HostId>) {
         self.leader = leader;
     }
 
-    /// Returns the host that was last said to lead.
+    /// Returns the last known leader.
     pub fn leader(&self) -> Option<&HostId> {
         self.leader.as_ref()
     }
 
-    /// Notes that a host answered.
+    /// Records that a host responded.
     pub fn answered(&mut self, host: &HostId) {
-        self.silent.remove(host);
+        self.timeouts.remove(host);
     }
 
-    /// Notes that a host did not answer in time; it is asked last for a while, unless a voter names
-    /// it afterwards.
+    /// Records that a request to a host timed out; the host is tried last for a while, unless a
+    /// voter names it as the leader afterwards.
     pub fn timed_out(&mut self, now: MonotonicTime, host: &HostId) {
-        self.silent.insert(host.clone(), now);
+        self.timeouts.insert(host.clone(), now);
         if self.leader.as_ref() == Some(host) {
             self.leader = None;
         }
     }
 
-    /// Returns the hosts that may lead, the likeliest first.
+    /// Returns the hosts that may lead, the most likely first.
     pub fn leader_candidates(&self, now: MonotonicTime) -> Vec<HostId> {
         let leader = self.leader.iter();
         let others = self.voters.iter().filter(|voter| Some(*voter) != self.leader.as_ref());
         let mut order: Vec<HostId> = leader.chain(others).cloned().collect();
-        // Stable: among equals the leader stays first.
-        order.sort_by_key(|host| self.silent_since(now, host));
+        // The sort is stable: without timeouts the leader stays first.
+        order.sort_by_key(|host| self.recent_timeout(now, host));
         order
     }
 
-    /// Returns when a host last failed to answer, as long as that counts.
-    fn silent_since(&self, now: MonotonicTime, host: &HostId) -> Option<MonotonicTime> {
-        let since = self.silent.get(host).copied()?;
-        (now.saturating_since(since) < SILENCE_MEMORY).then_some(since)
+    /// Returns when a host last timed out, if that is recent.
+    fn recent_timeout(&self, now: MonotonicTime, host: &HostId) -> Option<MonotonicTime> {
+        let since = self.timeouts.get(host).copied()?;
+        (now.saturating_since(since) < TIMEOUT_RETENTION).then_some(since)
     }
 }
--- a/crates/quorum/src/leader.rs
+++ b/crates/quorum/src/leader.rs
@@ -8,12 +8,12 @@
     log::before,
 };
 
-/// How far a new voter may be behind the last committed entry.
+/// Maximum entries that a new voter may lack of the committed ones.
 const MAX_NEW_VOTER_LAG: u64 = 64;
 
-/// What a node keeps while it leads.
+/// The state of a node while it leads.
 #[derive(Debug)]
-pub(crate) struct Leading {
+pub(crate) struct LeaderState {
     pub(crate) progress: BTreeMap<HostId, Progress>,
     pub(crate) term_start: LogIndex,
     pub(crate) heartbeat_at: MonotonicTime,
@@ -22,7 +22,7 @@
     pub(crate) transfer_until: Option<MonotonicTime>,
 }
 
-/// A read that waits for a sign that its node still leads.
+/// A read that waits for confirmation that the node still leads.
 #[derive(Debug)]
 pub(crate) struct PendingRead {
     pub(crate) id: ReadId,
@@ -30,15 +30,15 @@
 }
 
 impl<R: Rng> Node<R> {
-    /// Takes office in the present term.
-    pub(crate) fn lead(&mut self, actions: &mut Vec<Action>) {
+    /// Becomes the leader of the current term.
+    pub(crate) fn become_leader(&mut self, actions: &mut Vec<Action>) {
         self.campaign = None;
         self.incoming = None;
         self.leader = Some(self.cfg.host.clone());
-        self.leading = Some(Leading {
+        self.leader_state = Some(LeaderState {
             progress: BTreeMap::new(),
             term_start: self.log.last_index().next(),
-            heartbeat_at: self.now + self.cfg.heartbeat,
+            heartbeat_at: self.now + self.cfg.heartbeat_interval,
             elected_at: self.now,
             reads: Vec::new(),
             transfer_until: None,
@@ -48,16 +48,16 @@
     }
 
     pub(crate) fn tick_leader(&mut self, actions: &mut Vec<Action>) {
-        let Some(leading) = &mut self.leading else { return };
-        if leading.transfer_until.is_some_and(|until| until <= self.now) {
-            leading.transfer_until = None;
+        let Some(leader_state) = &mut self.leader_state else { return };
+        if leader_state.transfer_until.is_some_and(|until| until <= self.now) {
+            leader_state.transfer_until = None;
         }
-        if leading.heartbeat_at <= self.now {
-            leading.heartbeat_at = self.now + self.cfg.heartbeat;
+        if leader_state.heartbeat_at <= self.now {
+            leader_state.heartbeat_at = self.now + self.cfg.heartbeat_interval;
             self.heartbeat(actions);
         }
-        if !self.hears_majority() {
-            self.follow(self.hard.term, None, actions);
+        if !self.has_majority_contact() {
+            self.become_follower(self.hard.term, None, actions);
         }
     }
 
@@ -86,11 +86,11 @@
     }
 
     pub(crate) fn read(&mut self, id: ReadId, actions: &mut Vec<Action>) {
-        let Some(leading) = &mut self.leading else {
+        let Some(leader_state) = &mut self.leader_state else {
             let leader = self.leader.clone();
             return actions.push(Action::ReadRefused { id, leader });
         };
-        leading.reads.push(PendingRead { id, at: self.now });
+        leader_state.reads.push(PendingRead { id, at: self.now });
         if !self.holds_lease(self.now) {
             self.heartbeat(actions);
         }
@@ -102,41 +102,41 @@
         self.track_followers();
     }
 
-    /// Stops taking proposals until another voter took over or an election timeout has passed.
+    /// Refuses proposals until another voter has taken over or an election timeout has passed.
     pub(crate) fn transfer(&mut self, actions: &mut Vec<Action>) {
         let until = self.now + self.cfg.election_timeout;
-        let Some(leading) = &mut self.leading else { return };
-        leading.transfer_until = Some(until);
-        self.hand_over(actions);
+        let Some(leader_state) = &mut self.leader_state else { return };
+        leader_state.transfer_until = Some(until);
+        self.try_transfer(actions);
     }
 
-    /// Tells a voter that holds the whole log to campaign, if the leader is to hand over.
-    pub(crate) fn hand_over(&mut self, actions: &mut Vec<Action>) {
-        let Some(leading) = &self.leading else { return };
-        if leading.transfer_until.is_none() {
+    /// Completes a requested transfer, once a voter holds the whole log, by making it campaign.
+    pub(crate) fn try_transfer(&mut self, actions: &mut Vec<Action>) {
+        let Some(leader_state) = &self.leader_state else { return };
+        if leader_state.transfer_until.is_none() {
             return;
         }
         let (voters, last) = (self.log.voters(), self.log.last_index());
-        let heir = leading.progress.iter().find(|(host, progress)| {
+        let target = leader_state.progress.iter().find(|(host, progress)| {
             let admitted = progress.folder.is_some_and(|folder| voters.admits(host, folder));
             admitted && progress.matched == last
         });
-        let Some(heir) = heir.map(|(host, _)| host.clone()) else { return };
-        self.send(&heir, Body::Campaign, actions);
-        self.follow(self.hard.term, None, actions);
+        let Some(target) = target.map(|(host, _)| host.clone()) else { return };
+        self.send(&target, Body::Campaign, actions);
+        self.become_follower(self.hard.term, None, actions);
     }
 
-    /// Answers the reads for which this node is known to have led since they came.
+    /// Answers the reads since whose arrival this node is known to have led.
     pub(crate) fn answer_reads(&mut self, actions: &mut Vec<Action>) {
         let leased = self.holds_lease(self.now);
-        let heard = self.majority_heard(self.now);
-        let Some(leading) = &mut self.leading else { return };
-        if self.commit < leading.term_start {
+        let contact = self.majority_contact(self.now);
+        let Some(leader_state) = &mut self.leader_state else { return };
+        if self.commit < leader_state.term_start {
             return;
         }
         let index = self.commit;
-        leading.reads.retain(|read| {
-            let ready = leased || heard.is_some_and(|heard| read.at <= heard);
+        leader_state.reads.retain(|read| {
+            let ready = leased || contact.is_some_and(|contact| read.at <= contact);
             if ready {
                 actions.push(Action::ReadReady { id: read.id, index });
             }
@@ -144,10 +144,10 @@
         });
     }
 
-    /// Commits what a majority holds, once it includes an entry of the present term.
+    /// Commits the entries that a majority holds, once they include one of the current term.
     pub(crate) fn advance_commit(&mut self, actions: &mut Vec<Action>) {
-        let Some(leading) = &self.leading else { return };
-        let held = self.held_by_majority(leading);
+        let Some(leader_state) = &self.leader_state else { return };
+        let held = self.held_by_majority(leader_state);
         if held <= self.commit || self.log.term_at(held) != Some(self.hard.term) {
             return;
         }
@@ -159,23 +159,23 @@
         if voters_changed {
             self.heartbeat(actions);
             self.track_followers();
-            self.leave_office_if_removed(actions);
+            self.step_down_if_removed(actions);
         }
     }
 
-    /// Returns when the latest messages were sent that a majority of the voters answered.
-    pub(crate) fn majority_heard(&self, now: MonotonicTime) -> Option<MonotonicTime> {
-        let leading = self.leading.as_ref()?;
+    /// Returns the latest time such that a majority of the voters answered messages sent since then.
+    pub(crate) fn majority_contact(&self, now: MonotonicTime) -> Option<MonotonicTime> {
+        let leader_state = self.leader_state.as_ref()?;
         self.log.voters().agreed(|host, folder| {
             if *host == self.cfg.host {
                 return (folder == self.folder).then_some(now);
             }
-            let progress = leading.progress.get(host)?;
-            if progress.folder == Some(folder) { progress.heard } else { None }
+            let progress = leader_state.progress.get(host)?;
+            if progress.folder == Some(folder) { progress.last_contact } else { None }
         })
     }
 
-    /// Follows the voters and learners, and nobody else.
+    /// Updates the tracked followers to the current voters and learners.
     pub(crate) fn track_followers(&mut self) {
         let next = self.log.last_index().next();
         let mut followers = self.other_voters();
@@ -183,34 +183,36 @@
         if let Some(old) = self.voters_before_change() {
             followers.extend(old.folders.into_keys().filter(|host| *host != self.cfg.host));
         }
-        let Some(leading) = &mut self.leading else { return };
-        leading.progress.retain(|host, _| followers.contains(host));
+        let Some(leader_state) = &mut self.leader_state else { return };
+        leader_state.progress.retain(|host, _| followers.contains(host));
         for host in followers {
-            leading.progress.entry(host).or_insert_with(|| Progress::new(next));
+            leader_state.progress.entry(host).or_insert_with(|| Progress::new(next));
         }
     }
 
-    fn leave_office_if_removed(&mut self, actions: &mut Vec<Action>) {
+    fn step_down_if_removed(&mut self, actions: &mut Vec<Action>) {
         if !self.is_voter() {
-            self.follow(self.hard.term, None, actions);
+            self.become_follower(self.hard.term, None, actions);
         }
     }
 
-    fn hears_majority(&self) -> bool {
-        let Some(leading) = &self.leading else { return false };
-        let heard = self.majority_heard(self.now).unwrap_or_default().max(leading.elected_at);
-        self.now.saturating_since(heard) <= 2 * self.cfg.election_timeout
+    fn has_majority_contact(&self) -> bool {
+        let Some(leader_state) = &self.leader_state else { return false };
+        let contact =
+            self.majority_contact(self.now).unwrap_or_default().max(leader_state.elected_at);
+        self.now.saturating_since(contact) <= 2 * self.cfg.election_timeout
     }
 
     /// Returns the last entry that a majority of the voters holds.
     ///
-    /// A voter that this leader takes in doesn't help to take itself in. A change by an earlier
-    /// leader may be committed already, with voters that failed since.
-    fn held_by_majority(&self, leading: &Leading) -> LogIndex {
-        let held = |host: &HostId, folder| self.held_by(leading, host, folder);
+    /// A voter that this leader adds doesn't count towards the commit of its own addition. For a
+    /// change by an earlier leader this isn't required: it may be committed already, with voters
+    /// that have failed since.
+    fn held_by_majority(&self, leader_state: &LeaderState) -> LogIndex {
+        let held = |host: &HostId, folder| self.held_by(leader_state, host, folder);
         let agreed = self.log.voters().agreed(held);
         let changed_at = self.log.voters_index();
-        let proposed = leading.term_start..=agreed;
+        let proposed = leader_state.term_start..=agreed;
         let Some(old) = self.voters_before_change().filter(|_| proposed.contains(&changed_at))
         else {
             return agreed;
@@ -220,32 +222,37 @@
         if confirmed { agreed } else { before(changed_at) }
     }
 
-    fn held_by(&self, leading: &Leading, host: &HostId, folder: crate::FolderId) -> LogIndex {
+    fn held_by(
+        &self,
+        leader_state: &LeaderState,
+        host: &HostId,
+        folder: crate::FolderId,
+    ) -> LogIndex {
         if *host == self.cfg.host {
             let own = folder == self.folder;
             return if own { self.log.last_index() } else { LogIndex::ZERO };
         }
-        let progress = leading.progress.get(host).filter(|p| p.folder == Some(folder));
+        let progress = leader_state.progress.get(host).filter(|p| p.folder == Some(folder));
         progress.map_or(LogIndex::ZERO, |progress| progress.matched)
     }
 
     fn voters_refusal(&self, voters: &VoterSet) -> Option<Refusal> {
-        let leading = self.leading.as_ref()?;
-        if self.commit < leading.term_start {
+        let leader_state = self.leader_state.as_ref()?;
+        if self.commit < leader_state.term_start {
             return Some(Refusal::TermNotCommitted);
         }
         if self.commit < self.log.voters_index() {
             return Some(Refusal::ChangePending);
         }
-        let present = self.log.voters();
-        if voters.folders.is_empty() || !present.differs_by_one(voters) {
+        let current = self.log.voters();
+        if voters.folders.is_empty() || !current.differs_by_one(voters) {
             return Some(Refusal::NotOneChange);
         }
         let mut added =
-            voters.folders.iter().filter(|(host, folder)| !present.admits(host, **folder));
+            voters.folders.iter().filter(|(host, folder)| !current.admits(host, **folder));
         let wanted = LogIndex::new(self.commit.as_u64().saturating_sub(MAX_NEW_VOTER_LAG));
         let lags = added.any(|(host, folder)| {
-            let held = self.held_by(leading, host, *folder);
+            let held = self.held_by(leader_state, host, *folder);
             held < wanted.max(LogIndex::new(1))
         });
         lags.then_some(Refusal::Lagging)
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -3,47 +3,54 @@
 //! A [`Node`] is a state machine. It takes an [`Input`] and the time, and returns [`Action`]s for
 //! its driver, which owns the sockets, the files and the clock.
 //!
-//! # Driver's contract
+//! # Requirements on the driver
 //!
 //! The driver may step the node with several inputs, and then makes every [`Action::Write`]
-//! returned durable, in order, before it carries out any other action of those steps. If that fails
-//! it stops the node. A driver that steps the node on while a write is under way asks a
-//! [`SyncGate`], which knows what needn't wait. Messages may be lost, doubled and reordered.
-//! The driver steps the node with [`Input::Tick`] several times a heartbeat, and reads the clock
-//! anew before it trusts [`Node::holds_lease`]. The clock must go on while the host is suspended.
+//! returned durable, in order, before it carries out any other action of those steps. If a write
+//! fails, the driver stops the node. A driver that steps the node while a write is in progress
+//! passes the actions through a [`SyncGate`], which releases those that need not wait for the
+//! write. Messages may be lost, duplicated and reordered. The driver steps the node with
+//! [`Input::Tick`] several times per heartbeat interval, and reads the clock again before it relies
+//! on [`Node::holds_lease`]. The clock must keep running while the host is suspended.
 //!
 //! # Changes of voters
 //!
-//! A host is taken in after the leader has sent it the log, as one of [`Input::Learners`]; its
-//! folder is then in [`Status::progress`]. [`Input::ProposeVoters`] adds or removes one voter.
+//! A host can be added after the leader has replicated the log to it as one of
+//! [`Input::Learners`]; its folder is then in [`Status::progress`]. [`Input::ProposeVoters`] adds
+//! or removes one voter.
 //!
 //! [`next_voters`] decides such changes without an operator; the driver proposes what it returns.
 //!
 //! # Founding
 //!
-//! The hosts in [`Config::founders`] ask one another what they hold. The first-listed host writes
-//! the first entry, with the folder of each, once all others have said that they hold nothing and
-//! name the same first host. The others take that entry over. A host whose disk was lost has
-//! another folder: it neither founds a second log nor votes, since one host that holds anything
-//! denies it. A host that was added later and isn't listed isn't asked; keep the list up to date.
+//! The hosts in [`Config::founders`] query each other's folders. The first-listed host writes the
+//! first entry, with the folder of each founder, once all others have replied that their folder is
+//! empty and that they list the same host first. The others copy that entry. A host whose disk was
+//! lost has a new folder: it neither founds a second log nor votes, since one founder whose folder
+//! is not empty prevents it. Hosts that were added later and aren't listed aren't queried; keep the
+//! list up to date.
 //!
-//! # Lost, swapped and older folders
+//! # Lost, replaced and outdated folders
 //!
 //! A voter is a host together with its folder. A node votes only if the candidate's log names its
-//! folder. Votes and acknowledgements from another folder count for nothing until the voters are changed: remove the host, then add it with the new
-//! folder. The leader that takes a voter in also needs a majority of the voters
-//! before it.
-//!
-//! An older copy of the right folder is caught by registration. A voter that starts stays silent
-//! until a majority, itself included, has confirmed that its folder holds all that they remember
-//! of it: its count of starts, the highest term in which it voted or acknowledged, and the highest
-//! entry that it acknowledged then. They learn this from the votes, from the leader's heartbeats
-//! and from earlier registrations, and keep it with their vote. Not caught are: a copy taken since
-//! the last start that lacks only what the confirming voters had not heard of (the latest
-//! acknowledgements when the leader of that time is away) or, if they have restarted since, had not
-//! written with a later entry, a copy in which the folder is not a
-//! voter's yet, and older copies on a majority at once. One refusal keeps the node silent until
-//! its process ends.
+//! folder. Votes and acknowledgements from another folder are ignored until the voters are changed:
+//! remove the host, then add it with the new folder. To commit the addition of a voter, the leader
+//! also needs a majority of the voters before it.
+//!
+//! An outdated copy of the right folder is detected by registration. After a start, a voter neither
+//! votes nor acknowledges until a majority, itself included, has confirmed that its folder holds at
+//! least what they have recorded of it: its start count, the highest term in which it voted or
+//! acknowledged, and the highest entry that it acknowledged in that term. They record this from
+//! votes, from the leader's heartbeats and from earlier registrations, and store it with their
+//! vote. Three cases are not detected:
+//!
+//! - a copy made since the last start that lacks only what the confirming voters had not received
+//!   (the latest acknowledgements, if the leader of that time is down) or, if they have restarted
+//!   since, had not written with a later entry,
+//! - a copy in which the folder is not a voter's yet,
+//! - outdated copies on a majority at once.
+//!
+//! After one refusal the node stays inactive until its process ends.
 //!
 //! # Example
 //!
@@ -94,14 +101,14 @@
     config::Config,
     healing::{HealingSettings, LeaderView, next_voters},
     hints::LeaderHints,
-    message::{AppendOutcome, Ballot, Body, CommittedVoters, Founding, Message},
+    message::{AppendOutcome, Body, CommittedVoters, Founding, Message, VoteKind},
     node::Node,
     progress::Progress,
     registration::Registration,
     status::{Role, Status},
     sync_gate::{Batch, BatchNumber, SyncGate},
     types::{
-        Entry, FolderId, HardState, Payload, ProposalId, ReadId, Restored, Snapshot, Standing,
+        Entry, FolderId, FolderRecord, HardState, Payload, ProposalId, ReadId, Restored, Snapshot,
         StartCount, VoterSet,
     },
 };
--- a/crates/quorum/src/log.rs
+++ b/crates/quorum/src/log.rs
@@ -4,7 +4,7 @@
 
 use crate::{Entry, Payload, Snapshot, VoterSet};
 
-/// Entries kept in memory behind a snapshot, for followers that lag a little.
+/// Entries kept in memory behind a snapshot, for followers that lag slightly.
 const TRAILING_ENTRIES: u64 = 1024;
 /// Size assumed for an entry besides its command, in bytes.
 const ENTRY_OVERHEAD: usize = 24;
@@ -55,7 +55,7 @@
         self.snapshot.as_ref().map_or(LogIndex::ZERO, |snapshot| snapshot.last_index)
     }
 
-    /// Returns the term of the entry at `index`, if it is held.
+    /// Returns the term of the entry at `index`, if it is in the log.
     pub(crate) fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -109,7 +109,7 @@
         self.voters.last().map_or(&NONE, |(_, voters)| voters)
     }
 
-    /// Returns where the voters were last changed.
+    /// Returns the index of the last change of voters.
     pub(crate) fn voters_index(&self) -> LogIndex {
         self.voters.last().map_or(LogIndex::ZERO, |(index, _)| *index)
     }
@@ -120,7 +120,7 @@
         known.map(|(_, voters)| voters.clone()).unwrap_or_default()
     }
 
-    /// Makes `snapshot` stand for the log up to its last entry, which is held.
+    /// Replaces the log up to the snapshot's last entry, which is in the log, except trailing entries.
     pub(crate) fn compact(&mut self, snapshot: Snapshot) {
         let kept = snapshot.last_index.as_u64().saturating_sub(TRAILING_ENTRIES);
         while self.base_index.as_u64() < kept {
@@ -133,7 +133,7 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// Takes in a snapshot from elsewhere; entries after it stay only if they continue it.
+    /// Installs a snapshot; entries after it are kept only if the log holds its last entry.
     pub(crate) fn install(&mut self, snapshot: Snapshot) {
         if self.term_at(snapshot.last_index) == Some(snapshot.last_term) {
             return self.compact(snapshot);
@@ -144,7 +144,7 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// Returns the first entry of the run of one term that ends at `index`.
+    /// Returns the first entry in the sequence of entries of one term that ends at `index`.
     pub(crate) fn first_of_term(&self, index: LogIndex) -> LogIndex {
         let term = self.term_at(index);
         let mut first = index;
--- a/crates/quorum/src/message.rs
+++ b/crates/quorum/src/message.rs
@@ -3,7 +3,7 @@
 use base::{HostId, LogIndex, Term};
 use serde::{Deserialize, Serialize};
 
-use crate::{Entry, FolderId, Standing, StartCount, VoterSet};
+use crate::{Entry, FolderId, FolderRecord, StartCount, VoterSet};
 
 /// A message between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -12,13 +12,13 @@
     pub term: Term,
     /// The sender's folder.
     pub folder: FolderId,
-    /// How often the sender's folder has registered.
+    /// The number of registered starts of the sender's folder.
     pub starts: StartCount,
-    /// What the sender says.
+    /// The content.
     pub body: Body,
 }
 
-/// Where a message comes from.
+/// The sender of a message.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sender<'a> {
     pub(crate) host: &'a HostId,
@@ -26,17 +26,17 @@
     pub(crate) starts: StartCount,
 }
 
-/// What a message says.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Asks for a vote.
+    /// Requests a vote.
     Vote {
-        /// The term that the candidate wants to lead.
+        /// The term for which the candidate campaigns.
         campaign: Term,
-        /// How binding the vote is.
-        ballot: Ballot,
-        /// The folder from which the candidate's log lets the receiver vote.
-        named: FolderId,
+        /// The kind of vote.
+        vote_kind: VoteKind,
+        /// The receiver's folder according to the candidate's log.
+        voter_folder: FolderId,
         /// The candidate's last entry.
         last_index: LogIndex,
         /// That entry's term.
@@ -44,14 +44,14 @@
     },
     /// Answers [`Body::Vote`].
     VoteReply {
-        /// The term that was asked for.
+        /// The term of the request.
         campaign: Term,
-        /// The kind of vote that was asked for.
-        ballot: Ballot,
-        /// Whether the vote was given.
+        /// The kind of vote requested.
+        vote_kind: VoteKind,
+        /// Whether the vote was granted.
         granted: bool,
     },
-    /// Writes entries, or none as a heartbeat.
+    /// Replicates entries, or none as a heartbeat.
     Append {
         /// The entry before the first.
         prev_index: LogIndex,
@@ -61,19 +61,19 @@
         entries: Vec<Entry>,
         /// The leader's last committed entry.
         commit: LogIndex,
-        /// The leader's clock, returned unread.
+        /// The leader's clock, echoed in the reply without being interpreted.
         sent: Duration,
-        /// What the leader remembers of the voters.
-        standings: Vec<(HostId, Standing)>,
+        /// The leader's records of the voters' folders.
+        folder_records: Vec<(HostId, FolderRecord)>,
     },
     /// Answers [`Body::Append`].
     AppendReply {
         /// Whether the entries were written.
         outcome: AppendOutcome,
-        /// The leader's clock as it came.
+        /// The leader's clock, echoed from the request.
         sent: Duration,
     },
-    /// Transfers a part of a snapshot.
+    /// Transfers a chunk of a snapshot.
     Chunk {
         /// The last entry that the snapshot covers.
         last_index: LogIndex,
@@ -81,22 +81,22 @@
         last_term: Term,
         /// The voters after that entry.
         voters: VoterSet,
-        /// The position of this part, in bytes.
+        /// The offset of this chunk, in bytes.
         offset: u64,
-        /// The part.
+        /// The chunk.
         data: Arc<[u8]>,
-        /// Whether it is the last part.
+        /// Whether it is the last chunk.
         done: bool,
-        /// The leader's clock, returned unread.
+        /// The leader's clock, echoed in the reply without being interpreted.
         sent: Duration,
     },
     /// Answers [`Body::Chunk`].
     ChunkReply {
         /// The last entry that the snapshot covers.
         last_index: LogIndex,
-        /// The bytes received without a gap.
+        /// The number of contiguous bytes received.
         received: u64,
-        /// The leader's clock as it came.
+        /// The leader's clock, echoed from the request.
         sent: Duration,
     },
     /// Registers a start of the sender's folder; the message's term is the one found at the start.
@@ -110,20 +110,20 @@
     RegisterReply {
         /// The number of the start.
         starts: StartCount,
-        /// Whether the folder held all that the voter remembers of it.
+        /// Whether the folder holds at least what the voter has recorded of it.
         accepted: bool,
-        /// The voters that were committed last, if those after the sender's log are.
+        /// The latest committed voters, if the last change in the voter's log is committed.
         committed: Option<CommittedVoters>,
     },
-    /// Tells the receiver to campaign at once; the sender no longer leads.
+    /// Makes the receiver campaign at once; the sender no longer leads.
     Campaign,
-    /// Asks a host named in the settings whether a log was founded.
+    /// Queries a founder for a log that was founded already.
     FoundingQuery,
     /// Answers [`Body::FoundingQuery`].
     FoundingReply {
-        /// The folder that asked.
-        asker: FolderId,
-        /// What the host's folder holds.
+        /// The folder that sent the query.
+        requester: FolderId,
+        /// The state of the log in the replying folder.
         founding: Founding,
     },
 }
@@ -131,44 +131,44 @@
 /// Voters that are known to be committed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommittedVoters {
-    /// The entry that named them.
+    /// The entry that set them.
     pub index: LogIndex,
     /// The voters.
     pub voters: VoterSet,
 }
 
-/// How binding a vote is.
+/// The kind of a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ballot {
-    /// Asks only whether the candidate could win.
+pub enum VoteKind {
+    /// Tests whether the candidate could win, without a vote.
     PreVote,
-    /// Asks for the vote.
+    /// Requests the vote.
     Vote,
-    /// Asks for the vote on the word of the last leader, which gave up its lease.
+    /// Requests the vote after a transfer by the last leader, which gave up its lease.
     Transfer,
 }
 
-/// Whether entries were written.
+/// The outcome of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AppendOutcome {
     /// The log agrees with the leader's up to here.
     Matched(LogIndex),
-    /// The entry before the first is missing or another.
+    /// The entry before the first one is missing or differs.
     Conflict {
         /// The entry that the leader assumed.
         prev_index: LogIndex,
-        /// Where the leader should go on.
+        /// The entry from which the leader should continue.
         next: LogIndex,
     },
 }
 
-/// What a folder holds of a founded log.
+/// The state of the log in a folder, for founding.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Founding {
     /// Nothing was ever written.
     Fresh,
     /// The log's first entry names these voters.
     Founded(VoterSet),
-    /// The log goes on, and its first entry is no longer held.
+    /// The log was founded, and its first entry has been compacted away.
     Compacted,
 }
--- a/crates/quorum/src/node.rs
+++ b/crates/quorum/src/node.rs
@@ -10,35 +10,35 @@
     Action, Body, CommittedVoters, Config, Entry, FolderId, HardState, Input, Message, Refusal,
     Registration, Restored, Role, Status, VoterSet, Write,
     election::Campaign,
-    follower::{Incoming, Part},
-    leader::Leading,
+    follower::{IncomingSnapshot, SnapshotChunk},
+    leader::LeaderState,
     log::{Log, before},
     message::Sender,
     registration,
 };
 
-/// A voter's or follower's part in the replicated log.
+/// A replica of the log: a voter or a learner.
 #[derive(Debug)]
 pub struct Node<R> {
     pub(crate) cfg: Config,
     pub(crate) rng: R,
     pub(crate) folder: FolderId,
     pub(crate) hard: HardState,
-    pub(crate) standings_changed: bool,
+    pub(crate) folder_records_changed: bool,
     pub(crate) log: Log,
     pub(crate) commit: LogIndex,
     pub(crate) applied: LogIndex,
     pub(crate) now: MonotonicTime,
     pub(crate) leader: Option<HostId>,
-    pub(crate) leader_heard: MonotonicTime,
+    pub(crate) last_leader_contact: MonotonicTime,
     pub(crate) election_at: MonotonicTime,
     pub(crate) campaign: Option<Campaign>,
-    pub(crate) leading: Option<Leading>,
+    pub(crate) leader_state: Option<LeaderState>,
     pub(crate) learners: BTreeSet<HostId>,
-    pub(crate) incoming: Option<Incoming>,
+    pub(crate) incoming: Option<IncomingSnapshot>,
     pub(crate) registration: Registration,
     pub(crate) accepted_by: BTreeMap<HostId, FolderId>,
-    /// Committed voters after this node's log, as other voters told.
+    /// Committed voters newer than this node's log, received from other voters.
     pub(crate) later_voters: Option<CommittedVoters>,
     pub(crate) retry_at: MonotonicTime,
     pub(crate) fresh_founders: BTreeMap<HostId, FolderId>,
@@ -50,22 +50,22 @@
     pub fn new(cfg: Config, restored: Restored, now: MonotonicTime, rng: R) -> Self {
         let log = Log::new(restored.snapshot, restored.entries);
         let covered = log.snapshot_index();
-        let registration = registration::at_start(&cfg.host, restored.folder, log.voters());
+        let registration = registration::initial(&cfg.host, restored.folder, log.voters());
         let mut node = Self {
             cfg,
             rng,
             folder: restored.folder,
             hard: restored.hard_state,
-            standings_changed: false,
+            folder_records_changed: false,
             log,
             commit: covered,
             applied: covered,
             now,
             leader: None,
-            leader_heard: now,
+            last_leader_contact: now,
             election_at: now,
             campaign: None,
-            leading: None,
+            leader_state: None,
             learners: BTreeSet::new(),
             incoming: None,
             registration,
@@ -79,7 +79,7 @@
         node
     }
 
-    /// Takes one input and adds the actions that follow from it to `actions`.
+    /// Processes one input and adds the resulting actions to `actions`.
     pub fn step(&mut self, now: MonotonicTime, input: Input, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match input {
@@ -94,34 +94,34 @@
         }
     }
 
-    /// Returns until when no other node can lead, if this one leads.
+    /// Returns the end of the leader's lease, until which no other node can lead.
     pub fn lease_until(&self, now: MonotonicTime) -> Option<MonotonicTime> {
-        let leading = self.leading.as_ref()?;
-        if leading.transfer_until.is_some() || self.commit < leading.term_start {
+        let leader_state = self.leader_state.as_ref()?;
+        if leader_state.transfer_until.is_some() || self.commit < leader_state.term_start {
             return None;
         }
         self.support_until(now)
     }
 
-    /// Returns whether this node leads and no other one can at `now`.
+    /// Returns whether this node leads and holds a lease at `now`.
     pub fn holds_lease(&self, now: MonotonicTime) -> bool {
         self.lease_until(now).is_some_and(|until| now < until)
     }
 
-    /// Returns the role in the present term.
+    /// Returns the role in the current term.
     pub fn role(&self) -> Role {
-        if self.leading.is_some() {
+        if self.leader_state.is_some() {
             return Role::Leader;
         }
         if self.campaign.is_some() { Role::Candidate } else { Role::Follower }
     }
 
-    /// Returns the leader of the present term, if known.
+    /// Returns the leader of the current term, if known.
     pub fn leader(&self) -> Option<&HostId> {
         self.leader.as_ref()
     }
 
-    /// Returns the present term.
+    /// Returns the current term.
     pub fn term(&self) -> Term {
         self.hard.term
     }
@@ -131,7 +131,7 @@
         self.folder
     }
 
-    /// Returns what operators see of the node.
+    /// Returns the node's status.
     pub fn status(&self) -> Status {
         Status {
             term: self.hard.term,
@@ -144,12 +144,12 @@
             voters: self.log.voters().clone(),
             voters_committed: self.log.voters_index() <= self.commit,
             registration: self.registration,
-            progress: self.leading.as_ref().map(|l| l.progress.clone()).unwrap_or_default(),
+            progress: self.leader_state.as_ref().map(|l| l.progress.clone()).unwrap_or_default(),
         }
     }
 
     fn tick(&mut self, actions: &mut Vec<Action>) {
-        if self.leading.is_some() {
+        if self.leader_state.is_some() {
             return self.tick_leader(actions);
         }
         self.tick_founding(actions);
@@ -167,68 +167,73 @@
         let sender = Sender { host: from, folder, starts };
         match body {
             Body::Register { starts, last_index } => {
-                return self.register(sender, starts, term, last_index, actions);
+                return self.handle_register(sender, starts, term, last_index, actions);
             }
             Body::RegisterReply { starts, accepted, committed } => {
-                return self.registered(sender, starts, accepted, committed, actions);
+                return self.handle_register_reply(sender, starts, accepted, committed, actions);
             }
-            Body::FoundingQuery => return self.answer_founding(from, folder, actions),
-            Body::FoundingReply { asker, founding } => {
-                return self.take_founding(sender, asker, founding, actions);
+            Body::FoundingQuery => return self.handle_founding_query(from, folder, actions),
+            Body::FoundingReply { requester, founding } => {
+                return self.handle_founding_reply(sender, requester, founding, actions);
             }
             _ => {}
         }
         if self.registration != Registration::Done {
             return;
         }
-        if let Body::Vote { campaign, ballot, named, last_index, last_term } = body {
+        if let Body::Vote { campaign, vote_kind, voter_folder, last_index, last_term } = body {
             let candidate = (last_term, last_index);
-            if named != self.folder {
+            if voter_folder != self.folder {
                 return;
             }
-            return self.vote(sender, campaign, ballot, candidate, actions);
+            return self.handle_vote(sender, campaign, vote_kind, candidate, actions);
         }
         if term < self.hard.term {
-            return self.answer_stale(from, &body, actions);
+            return self.reject_stale_leader(from, &body, actions);
         }
         if self.hard.term < term {
-            self.follow(term, None, actions);
+            self.become_follower(term, None, actions);
         }
         self.receive_current(sender, body, actions);
     }
 
     fn receive_current(&mut self, from: Sender<'_>, body: Body, actions: &mut Vec<Action>) {
         match body {
-            Body::VoteReply { campaign, ballot, granted } => {
-                self.count_vote(from, campaign, ballot, granted, actions);
+            Body::VoteReply { campaign, vote_kind, granted } => {
+                self.handle_vote_reply(from, campaign, vote_kind, granted, actions);
             }
-            Body::Append { prev_index, prev_term, entries, commit, sent, standings } => {
-                self.hear_leader(from.host, actions);
-                self.merge_standings(&standings);
+            Body::Append { prev_index, prev_term, entries, commit, sent, folder_records } => {
+                self.note_leader_contact(from.host, actions);
+                self.merge_folder_records(&folder_records);
                 let outcome = self.append(prev_index, prev_term, entries, actions);
                 self.send(from.host, Body::AppendReply { outcome, sent }, actions);
-                self.learn_commit(outcome, commit, actions);
+                self.advance_follower_commit(outcome, commit, actions);
             }
             Body::AppendReply { outcome, sent } => {
-                self.appended(from, outcome, sent, actions);
+                self.handle_append_reply(from, outcome, sent, actions);
             }
             Body::Chunk { last_index, last_term, voters, offset, data, done, sent } => {
-                self.hear_leader(from.host, actions);
-                let target = Incoming::new(last_index, last_term, voters);
-                let part = Part { offset, data: &data, done, sent };
-                let reply = self.take_chunk(target, part, actions);
+                self.note_leader_contact(from.host, actions);
+                let target = IncomingSnapshot::new(last_index, last_term, voters);
+                let chunk = SnapshotChunk { offset, data: &data, done, sent };
+                let reply = self.receive_chunk(target, chunk, actions);
                 self.send(from.host, reply, actions);
             }
             Body::ChunkReply { last_index, received, sent } => {
-                self.chunk_taken(from, last_index, received, sent, actions);
+                self.handle_chunk_reply(from, last_index, received, sent, actions);
             }
             Body::Campaign => self.campaign_at_once(actions),
             _ => {}
         }
     }
 
-    /// Becomes a follower in `term`, which may be the present one.
-    pub(crate) fn follow(&mut self, term: Term, leader: Option<HostId>, actions: &mut Vec<Action>) {
+    /// Becomes a follower in `term`, which may be the current one.
+    pub(crate) fn become_follower(
+        &mut self,
+        term: Term,
+        leader: Option<HostId>,
+        actions: &mut Vec<Action>,
+    ) {
         if self.hard.term < term {
             self.hard.term = term;
             self.hard.voted_for = None;
@@ -237,14 +242,14 @@
         }
         self.leader = leader;
         self.campaign = None;
-        let Some(leading) = self.leading.take() else { return };
-        for read in leading.reads {
+        let Some(leader_state) = self.leader_state.take() else { return };
+        for read in leader_state.reads {
             actions.push(Action::ReadRefused { id: read.id, leader: self.leader.clone() });
         }
         self.defer_election();
     }
 
-    /// Draws the time of the next election.
+    /// Resets the election timeout to a random duration.
     pub(crate) fn defer_election(&mut self) {
         let shortest = self.cfg.election_timeout;
         let spread = u64::try_from(shortest.as_micros()).unwrap_or(u64::MAX).max(1);
@@ -252,12 +257,12 @@
         self.election_at = self.now + shortest + extra;
     }
 
-    /// Returns whether this node's folder is one of the voters'.
+    /// Returns whether this node is a voter with its present folder.
     pub(crate) fn is_voter(&self) -> bool {
         self.log.voters().admits(&self.cfg.host, self.folder)
     }
 
-    /// Returns the voters before the last change, until that is known to be committed.
+    /// Returns the voters before the last change, unless the change is known to be committed.
     pub(crate) fn voters_before_change(&self) -> Option<VoterSet> {
         let changed_at = self.log.voters_index();
         (self.commit < changed_at).then(|| self.log.voters_at(before(changed_at)))
@@ -276,14 +281,14 @@
     }
 
     pub(crate) fn save_hard_state(&mut self, actions: &mut Vec<Action>) {
-        self.standings_changed = false;
+        self.folder_records_changed = false;
         let hard_state = Some(self.hard.clone());
         actions.push(Action::Write(Write::Log { hard_state, entries: Vec::new() }));
     }
 
-    /// Writes entries, and what is newly known of the voters with them.
+    /// Writes entries, together with changed folder records.
     pub(crate) fn save_entries(&mut self, entries: Vec<Entry>, actions: &mut Vec<Action>) {
-        let changed = std::mem::take(&mut self.standings_changed);
+        let changed = std::mem::take(&mut self.folder_records_changed);
         let hard_state = changed.then(|| self.hard.clone());
         actions.push(Action::Write(Write::Log { hard_state, entries }));
     }
@@ -298,7 +303,7 @@
     }
 
     pub(crate) fn refusal(&self) -> Option<Refusal> {
-        let Some(leading) = &self.leading else { return Some(Refusal::NotLeader) };
-        leading.transfer_until.is_some().then_some(Refusal::Transferring)
+        let Some(leader_state) = &self.leader_state else { return Some(Refusal::NotLeader) };
+        leader_state.transfer_until.is_some().then_some(Refusal::Transferring)
     }
 }
--- a/crates/quorum/src/progress.rs
+++ b/crates/quorum/src/progress.rs
@@ -4,26 +4,26 @@
 
 use crate::FolderId;
 
-/// Batches sent to a follower ahead of its acknowledgements.
+/// Maximum unacknowledged batches in flight to a follower.
 const MAX_IN_FLIGHT: usize = 4;
 
-/// How far a follower's log is known to agree with the leader's.
+/// A leader's replication progress for one follower.
 #[derive(Clone, Debug)]
 pub struct Progress {
-    /// The folder that answered last.
+    /// The folder in the follower's last reply.
     pub folder: Option<FolderId>,
-    /// The last entry known to be held.
+    /// The last entry known to match the leader's log.
     pub matched: LogIndex,
     /// The next entry to send.
     pub next: LogIndex,
-    /// When the latest message that was answered had been sent.
-    pub heard: Option<MonotonicTime>,
+    /// Send time of the latest message that the follower answered.
+    pub last_contact: Option<MonotonicTime>,
     pub(crate) in_flight: VecDeque<LogIndex>,
     pub(crate) probing: bool,
     pub(crate) chunk: Option<ChunkProgress>,
 }
 
-/// How far a snapshot was transferred.
+/// Progress of a snapshot transfer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ChunkProgress {
     pub(crate) last_index: LogIndex,
@@ -37,21 +37,21 @@
             folder: None,
             matched: LogIndex::ZERO,
             next,
-            heard: None,
+            last_contact: None,
             in_flight: VecDeque::new(),
             probing: true,
             chunk: None,
         }
     }
 
-    /// Notes an answer from `folder` to a message sent at `sent`.
+    /// Records a reply from `folder` to a message sent at `sent`.
     ///
-    /// What another folder had acknowledged is forgotten.
-    pub(crate) fn answered(&mut self, folder: FolderId, sent: MonotonicTime) {
+    /// If the folder changed, the progress of the previous folder is discarded.
+    pub(crate) fn record_reply(&mut self, folder: FolderId, sent: MonotonicTime) {
         if self.folder != Some(folder) {
             *self = Self { folder: Some(folder), ..Self::new(self.next) };
         }
-        self.heard = self.heard.max(Some(sent));
+        self.last_contact = self.last_contact.max(Some(sent));
     }
 
     pub(crate) fn is_full(&self) -> bool {
@@ -59,12 +59,12 @@
         limit <= self.in_flight.len()
     }
 
-    pub(crate) fn sent_through(&mut self, last: LogIndex) {
+    pub(crate) fn mark_sent(&mut self, last: LogIndex) {
         self.next = last.next();
         self.in_flight.push_back(last);
     }
 
-    pub(crate) fn matched_through(&mut self, index: LogIndex) {
+    pub(crate) fn mark_matched(&mut self, index: LogIndex) {
         self.matched = self.matched.max(index);
         self.next = self.next.max(self.matched.next());
         self.probing = false;
@@ -74,7 +74,7 @@
         }
     }
 
-    pub(crate) fn conflicted(&mut self, prev_index: LogIndex, next: LogIndex) {
+    pub(crate) fn mark_conflict(&mut self, prev_index: LogIndex, next: LogIndex) {
         if prev_index <= self.matched {
             return;
         }
--- a/crates/quorum/src/registration.rs
+++ b/crates/quorum/src/registration.rs
@@ -4,17 +4,18 @@
 use rand::Rng;
 
 use crate::{
-    Action, Body, CommittedVoters, FolderId, Node, Standing, StartCount, VoterSet, message::Sender,
+    Action, Body, CommittedVoters, FolderId, FolderRecord, Node, StartCount, VoterSet,
+    message::Sender,
 };
 
-/// Whether a node may vote from the folder that it found at its start.
+/// The state of the registration of a node's folder, without which it can't vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Registration {
-    /// The other voters have not confirmed the folder yet.
+    /// A majority of the voters has not confirmed the folder yet.
     Pending,
-    /// A majority confirmed the folder, or it is not a voter's.
+    /// A majority has confirmed the folder, or the folder is not a voter's.
     Done,
-    /// A voter remembers more of this folder than it holds: it is an older copy.
+    /// A voter has recorded more of this folder than it holds: it is an outdated copy.
     Refused,
 }
 
@@ -28,8 +29,8 @@
     }
 }
 
-/// Returns what a node with this folder starts with.
-pub(crate) fn at_start(host: &HostId, folder: FolderId, voters: &VoterSet) -> Registration {
+/// Returns the initial state for this folder.
+pub(crate) fn initial(host: &HostId, folder: FolderId, voters: &VoterSet) -> Registration {
     if voters.admits(host, folder) { Registration::Pending } else { Registration::Done }
 }
 
@@ -38,7 +39,7 @@
         if self.registration != Registration::Pending || self.now < self.retry_at {
             return;
         }
-        self.retry_at = self.now + self.cfg.heartbeat;
+        self.retry_at = self.now + self.cfg.heartbeat_interval;
         let (starts, last_index) = (self.next_start(), self.log.last_index());
         let later = self.later_voters.iter().flat_map(|later| later.voters.folders.keys());
         let mut others = BTreeSet::from_iter(self.other_voters());
@@ -49,10 +50,10 @@
         self.finish_registration(actions);
     }
 
-    /// Checks the folder of a voter that started against what is remembered of it.
+    /// Checks the folder of a voter that started against this node's record of it.
     ///
-    /// This node's log may not name that folder yet, or no longer.
-    pub(crate) fn register(
+    /// This node's log may not name that folder yet, or may no longer do so.
+    pub(crate) fn handle_register(
         &mut self,
         from: Sender<'_>,
         starts: StartCount,
@@ -63,23 +64,23 @@
         if self.registration == Registration::Refused {
             return;
         }
-        let known = self.standing(from.host, from.folder);
+        let known = self.folder_record(from.host, from.folder);
         let is_new = known.starts < starts || known.starts == starts && !known.active;
         let accepted = is_new && (known.term, known.matched) <= (term, last_index);
         let replaced = self.log.voters().folders.get(from.host).is_some_and(|f| *f != from.folder);
         if accepted && !replaced {
-            let mut standing = known;
-            (standing.starts, standing.active) = (starts, false);
-            standing.raise(term, LogIndex::ZERO);
-            self.hard.standings.insert(from.host.clone(), standing);
+            let mut record = known;
+            (record.starts, record.active) = (starts, false);
+            record.raise(term, LogIndex::ZERO);
+            self.hard.folder_records.insert(from.host.clone(), record);
             self.save_hard_state(actions);
         }
         let committed = self.committed_voters();
         self.send(from.host, Body::RegisterReply { starts, accepted, committed }, actions);
     }
 
-    /// Takes in committed voters, if this node's log is behind them.
-    fn learn_voters(&mut self, committed: Option<CommittedVoters>) {
+    /// Records committed voters, if they are newer than this node's log.
+    fn record_later_voters(&mut self, committed: Option<CommittedVoters>) {
         let known = self.later_voters.as_ref().map(|later| later.index);
         let known = known.unwrap_or_default().max(self.log.voters_index());
         if let Some(committed) = committed.filter(|committed| known < committed.index) {
@@ -87,7 +88,7 @@
         }
     }
 
-    pub(crate) fn registered(
+    pub(crate) fn handle_register_reply(
         &mut self,
         from: Sender<'_>,
         starts: StartCount,
@@ -104,36 +105,36 @@
             self.registration = Registration::Refused;
             return;
         }
-        self.learn_voters(committed);
+        self.record_later_voters(committed);
         self.accepted_by.insert(from.host.clone(), from.folder);
         self.finish_registration(actions);
     }
 
-    /// Remembers that a voter's folder voted or acknowledged in `term`.
-    pub(crate) fn note_promise(&mut self, from: Sender<'_>, term: Term, matched: LogIndex) {
+    /// Records that a voter's folder voted or acknowledged in `term`.
+    pub(crate) fn record_promise(&mut self, from: Sender<'_>, term: Term, matched: LogIndex) {
         if !self.is_admitted(from.host, from.folder) {
             return;
         }
-        let mut standing = self.standing(from.host, from.folder);
-        if standing.starts <= from.starts {
-            (standing.starts, standing.active) = (from.starts, true);
+        let mut record = self.folder_record(from.host, from.folder);
+        if record.starts <= from.starts {
+            (record.starts, record.active) = (from.starts, true);
         }
-        standing.raise(term, matched);
-        self.remember(from.host, standing);
+        record.raise(term, matched);
+        self.store_folder_record(from.host, record);
     }
 
-    pub(crate) fn merge_standings(&mut self, standings: &[(HostId, Standing)]) {
-        for (host, heard) in standings {
-            if !self.is_admitted(host, heard.folder) || *host == self.cfg.host {
+    pub(crate) fn merge_folder_records(&mut self, folder_records: &[(HostId, FolderRecord)]) {
+        for (host, received) in folder_records {
+            if !self.is_admitted(host, received.folder) || *host == self.cfg.host {
                 continue;
             }
-            let mut standing = self.standing(host, heard.folder);
-            standing.merge(heard);
-            self.remember(host, standing);
+            let mut record = self.folder_record(host, received.folder);
+            record.merge(received);
+            self.store_folder_record(host, record);
         }
     }
 
-    /// Returns whether a folder is a voter's, or was until a change that may not be committed.
+    /// Returns whether a folder is a voter's, or was before a change that may not be committed.
     fn is_admitted(&self, host: &HostId, folder: FolderId) -> bool {
         self.log.voters().admits(host, folder)
             || self.voters_before_change().is_some_and(|voters| voters.admits(host, folder))
@@ -143,17 +144,17 @@
         StartCount(self.hard.starts.0 + 1)
     }
 
-    fn standing(&self, host: &HostId, folder: FolderId) -> Standing {
-        let known = self.hard.standings.get(host).filter(|known| known.folder == folder);
-        known.copied().unwrap_or(Standing { folder, ..Standing::default() })
+    fn folder_record(&self, host: &HostId, folder: FolderId) -> FolderRecord {
+        let known = self.hard.folder_records.get(host).filter(|known| known.folder == folder);
+        known.copied().unwrap_or(FolderRecord { folder, ..FolderRecord::default() })
     }
 
-    fn remember(&mut self, host: &HostId, standing: Standing) {
-        if self.hard.standings.get(host) == Some(&standing) {
+    fn store_folder_record(&mut self, host: &HostId, record: FolderRecord) {
+        if self.hard.folder_records.get(host) == Some(&record) {
             return;
         }
-        self.hard.standings.insert(host.clone(), standing);
-        self.standings_changed = true;
+        self.hard.folder_records.insert(host.clone(), record);
+        self.folder_records_changed = true;
     }
 
     fn finish_registration(&mut self, actions: &mut Vec<Action>) {
@@ -169,8 +170,8 @@
 
     /// Returns the voters that may confirm this node's folder.
     ///
-    /// Voters that were committed later count too: some of those that this node's log still names
-    /// may be gone for good.
+    /// Newer committed voters can confirm it too, since voters that this node's log still names may
+    /// be lost permanently.
     fn confirming_voters(&self) -> impl Iterator<Item = &VoterSet> {
         let later = self.later_voters.iter().map(|later| &later.voters);
         let admits = |voters: &&VoterSet| voters.admits(&self.cfg.host, self.folder);
--- a/crates/quorum/src/replication.rs
+++ b/crates/quorum/src/replication.rs
@@ -8,14 +8,14 @@
 };
 
 impl<R: Rng> Node<R> {
-    /// Sends what each follower lacks, as far as its window allows.
+    /// Sends each follower the entries that it lacks, as far as its window allows.
     pub(crate) fn replicate_to_all(&mut self, actions: &mut Vec<Action>) {
         for host in self.followers() {
             self.replicate(&host, actions);
         }
     }
 
-    /// Sends a message to each follower, also to those that lack nothing.
+    /// Sends a heartbeat, or a snapshot chunk, to each follower, also to those that lack nothing.
     pub(crate) fn heartbeat(&mut self, actions: &mut Vec<Action>) {
         for host in self.followers() {
             let Some(next) = self.next_for(&host) else { continue };
@@ -27,30 +27,32 @@
         }
     }
 
-    pub(crate) fn appended(
+    pub(crate) fn handle_append_reply(
         &mut self,
         from: Sender<'_>,
         outcome: AppendOutcome,
         sent: Duration,
         actions: &mut Vec<Action>,
     ) {
-        let Some(leading) = &mut self.leading else { return };
-        let Some(progress) = leading.progress.get_mut(from.host) else { return };
-        progress.answered(from.folder, MonotonicTime::new(sent));
+        let Some(leader_state) = &mut self.leader_state else { return };
+        let Some(progress) = leader_state.progress.get_mut(from.host) else { return };
+        progress.record_reply(from.folder, MonotonicTime::new(sent));
         match outcome {
             AppendOutcome::Matched(index) => {
-                progress.matched_through(index);
-                self.note_promise(from, self.hard.term, index);
+                progress.mark_matched(index);
+                self.record_promise(from, self.hard.term, index);
                 self.advance_commit(actions);
             }
-            AppendOutcome::Conflict { prev_index, next } => progress.conflicted(prev_index, next),
+            AppendOutcome::Conflict { prev_index, next } => {
+                progress.mark_conflict(prev_index, next)
+            }
         }
         self.answer_reads(actions);
         self.replicate(from.host, actions);
-        self.hand_over(actions);
+        self.try_transfer(actions);
     }
 
-    pub(crate) fn chunk_taken(
+    pub(crate) fn handle_chunk_reply(
         &mut self,
         from: Sender<'_>,
         last_index: LogIndex,
@@ -58,9 +60,9 @@
         sent: Duration,
         actions: &mut Vec<Action>,
     ) {
-        let Some(leading) = &mut self.leading else { return };
-        let Some(progress) = leading.progress.get_mut(from.host) else { return };
-        progress.answered(from.folder, MonotonicTime::new(sent));
+        let Some(leader_state) = &mut self.leader_state else { return };
+        let Some(progress) = leader_state.progress.get_mut(from.host) else { return };
+        progress.record_reply(from.folder, MonotonicTime::new(sent));
         if let Some(chunk) = &mut progress.chunk
             && chunk.last_index == last_index
         {
@@ -72,17 +74,19 @@
     }
 
     fn followers(&self) -> Vec<HostId> {
-        let leading = self.leading.as_ref();
-        leading.map(|leading| leading.progress.keys().cloned().collect()).unwrap_or_default()
+        let leader_state = self.leader_state.as_ref();
+        leader_state
+            .map(|leader_state| leader_state.progress.keys().cloned().collect())
+            .unwrap_or_default()
     }
 
     fn next_for(&self, host: &HostId) -> Option<LogIndex> {
-        self.leading.as_ref()?.progress.get(host).map(|progress| progress.next)
+        self.leader_state.as_ref()?.progress.get(host).map(|progress| progress.next)
     }
 
     fn replicate(&mut self, to: &HostId, actions: &mut Vec<Action>) {
-        while let Some(leading) = &mut self.leading
-            && let Some(progress) = leading.progress.get_mut(to)
+        while let Some(leader_state) = &mut self.leader_state
+            && let Some(progress) = leader_state.progress.get_mut(to)
         {
             let next = progress.next;
             if self.log.term_at(before(next)).is_none() {
@@ -91,9 +95,9 @@
             if self.log.last_index() < next || progress.is_full() {
                 return;
             }
-            let entries = self.log.batch(next, self.cfg.max_batch);
+            let entries = self.log.batch(next, self.cfg.max_batch_bytes);
             let Some(last) = entries.last() else { return };
-            progress.sent_through(last.index);
+            progress.mark_sent(last.index);
             self.send_append(to, next, entries, false, actions);
         }
     }
@@ -103,21 +107,21 @@
         to: &HostId,
         first: LogIndex,
         entries: Vec<Entry>,
-        idle: bool,
+        is_heartbeat: bool,
         actions: &mut Vec<Action>,
     ) {
         let prev_index = before(first);
         let Some(prev_term) = self.log.term_at(prev_index) else { return };
-        let known = self.hard.standings.iter().filter(|_| idle);
-        let standings = known.map(|(host, standing)| (host.clone(), *standing)).collect();
+        let known = self.hard.folder_records.iter().filter(|_| is_heartbeat);
+        let folder_records = known.map(|(host, record)| (host.clone(), *record)).collect();
         let (commit, sent) = (self.commit, self.now.since_origin());
-        let body = Body::Append { prev_index, prev_term, entries, commit, sent, standings };
+        let body = Body::Append { prev_index, prev_term, entries, commit, sent, folder_records };
         self.send(to, body, actions);
     }
 
     fn resume_chunks(&mut self, to: &HostId, actions: &mut Vec<Action>) {
-        let leading = self.leading.as_mut();
-        let progress = leading.and_then(|leading| leading.progress.get_mut(to));
+        let leader_state = self.leader_state.as_mut();
+        let progress = leader_state.and_then(|leader_state| leader_state.progress.get_mut(to));
         if let Some(chunk) = progress.and_then(|progress| progress.chunk.as_mut()) {
             chunk.waiting = false;
         }
@@ -126,8 +130,8 @@
 
     fn send_chunk(&mut self, to: &HostId, actions: &mut Vec<Action>) {
         let Some(snapshot) = self.log.snapshot() else { return };
-        let Some(leading) = &mut self.leading else { return };
-        let Some(progress) = leading.progress.get_mut(to) else { return };
+        let Some(leader_state) = &mut self.leader_state else { return };
+        let Some(progress) = leader_state.progress.get_mut(to) else { return };
         let last_index = snapshot.last_index;
         let current = progress.chunk.filter(|chunk| chunk.last_index == last_index);
         let mut chunk = current.unwrap_or(ChunkProgress { last_index, offset: 0, waiting: false });
@@ -135,7 +139,7 @@
             return;
         }
         let start = usize::try_from(chunk.offset).unwrap_or(0).min(snapshot.data.len());
-        let end = snapshot.data.len().min(start + self.cfg.max_chunk);
+        let end = snapshot.data.len().min(start + self.cfg.max_chunk_bytes);
         let data: Arc<[u8]> = snapshot.data[start..end].into();
         let body = Body::Chunk {
             last_index,
--- a/crates/quorum/src/status.rs
+++ b/crates/quorum/src/status.rs
@@ -4,29 +4,29 @@
 
 use crate::{Progress, Registration, VoterSet};
 
-/// What a node does in its term.
+/// A node's role in its term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Follows a leader, or waits for one.
+    /// Follows a leader, or waits for an election.
     Follower,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
-    /// Writes the log.
+    /// Appends to the log and replicates it.
     Leader,
 }
 
-/// A node's state as operators see it.
+/// A node's status, for operators.
 #[derive(Clone, Debug)]
 pub struct Status {
     /// The term.
     pub term: Term,
-    /// The role in it.
+    /// The role in that term.
     pub role: Role,
     /// The leader, if known.
     pub leader: Option<HostId>,
     /// The last entry known to be committed.
     pub commit: LogIndex,
-    /// The last entry handed out to be applied.
+    /// The last entry passed to the driver to be applied.
     pub applied: LogIndex,
     /// The last entry of the log.
     pub last: LogIndex,
@@ -38,6 +38,6 @@
     pub voters_committed: bool,
     /// Whether this node may vote from its folder.
     pub registration: Registration,
-    /// What a leader knows of each voter and learner.
+    /// A leader's replication progress for each voter and learner.
     pub progress: BTreeMap<HostId, Progress>,
 }
--- a/crates/quorum/src/sync_gate.rs
+++ b/crates/quorum/src/sync_gate.rs
@@ -4,19 +4,20 @@
 
 use crate::{Action, AppendOutcome, Body, HardState, Message, Restored, StartCount, Write};
 
-/// Time after which a follower's answers don't wait for a sync; most are done by then.
-const ANSWER_AFTER: Duration = Duration::from_millis(100);
+/// Sync duration after which a follower's replies no longer wait; most syncs are done earlier.
+const EARLY_REPLY_AFTER: Duration = Duration::from_millis(100);
 
-/// Time after which a sync holds everything back, so that another host may lead.
+/// Sync duration after which all messages are held back, so that another host can lead.
 const STALLED_AFTER: Duration = Duration::from_secs(1);
 
-/// Holds back what depends on writes that are not durable yet.
+/// Delays actions that depend on writes that are not durable yet.
 ///
-/// The driver hands it all actions of its node, writes the batches that it returns, and carries
-/// out the actions that it lets through. A leader's entries and heartbeats don't wait for its own
-/// disk, and while a sync takes long a follower's answers don't either. They claim nothing of what
-/// is not durable: they name no commit that counts on it, and acknowledge none of it. So a slow
-/// disk costs its host neither the lead nor its leader. All this ends once the disk seems stuck.
+/// The driver submits all actions of its node, writes the batches that the gate returns, and
+/// carries out the actions that it releases. A leader's entries and heartbeats don't wait for its
+/// own disk, nor do a follower's replies during a long sync. Messages released early depend on
+/// nothing that is not durable: they name no commit index that counts it, and don't acknowledge it.
+/// So a slow disk neither deposes a leader nor makes a follower lose its leader. Once a sync takes
+/// so long that the disk seems stuck, nothing is released early.
 #[derive(Debug)]
 pub struct SyncGate {
     durable: Durable,
@@ -25,20 +26,20 @@
     last: BatchNumber,
 }
 
-/// Numbers the batches in the order in which they must be written.
+/// The number of a batch, in the order in which batches must be written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BatchNumber(u64);
 
-/// What must be written together, in order.
+/// Writes that must be made durable together, in order.
 #[derive(Clone, Debug)]
 pub struct Batch {
-    /// Its place among the batches.
+    /// The batch's number.
     pub number: BatchNumber,
-    /// What is to be written.
+    /// The writes.
     pub writes: Vec<Write>,
 }
 
-/// What a crash would leave.
+/// The state on disk that survives a crash.
 #[derive(Clone, Copy, Debug)]
 struct Durable {
     term: Term,
@@ -46,10 +47,10 @@
     last: LogIndex,
 }
 
-/// What goes ahead of the writes that are under way.
+/// How an action is released while writes are in progress.
 enum Release {
     Now(Action),
-    /// One goes now, and the other, which says more, once all is written.
+    /// `now` is sent at once; `later`, the full message, once all writes are durable.
     Partly {
         now: Action,
         later: Action,
@@ -61,14 +62,14 @@
 struct Unsynced {
     number: BatchNumber,
     since: MonotonicTime,
-    /// What a crash would leave once this batch is synced.
+    /// The state that survives a crash once this batch is synced.
     after: Durable,
-    /// The last entry that stays as it was; none is known to if a snapshot replaces them.
+    /// The last entry that the batch leaves unchanged; `None` if a snapshot replaces the log.
     kept: Option<LogIndex>,
 }
 
 impl SyncGate {
-    /// Creates a gate for what a data folder held.
+    /// Creates a gate for a restored data folder.
     pub fn new(restored: &Restored) -> Self {
         let covered = restored.snapshot.as_ref().map(|snapshot| snapshot.last_index);
         let written = restored.entries.last().map(|entry| entry.index);
@@ -83,8 +84,8 @@
         }
     }
 
-    /// Takes a node's actions, adds those that may be carried out at once to `ready`, and returns
-    /// what must be written.
+    /// Submits a node's actions: adds those that may be carried out at once to `ready`, and returns
+    /// the writes as a batch.
     pub fn submit(
         &mut self,
         now: MonotonicTime,
@@ -118,7 +119,7 @@
         batch
     }
 
-    /// Notes that the batches up to `through` are durable, and adds what waited for them to
+    /// Marks the batches up to `through` as durable, and adds the actions that waited for them to
     /// `ready`.
     pub fn mark_synced(&mut self, through: BatchNumber, ready: &mut Vec<Action>) {
         while let Some(done) = self.unsynced.pop_front_if(|batch| batch.number <= through) {
@@ -129,12 +130,12 @@
         }
     }
 
-    /// Returns how long the oldest batch that isn't durable has been under way, if there is one.
+    /// Returns the time since the oldest batch that isn't durable was submitted, if there is one.
     pub fn oldest_sync_age(&self, now: MonotonicTime) -> Option<Duration> {
         self.unsynced.front().map(|batch| now.saturating_since(batch.since))
     }
 
-    /// Numbers what is to be written; a snapshot that replaces the state may replace entries too.
+    /// Numbers the writes of a batch; a snapshot that replaces the state may replace entries too.
     fn number(
         &mut self,
         now: MonotonicTime,
@@ -161,7 +162,7 @@
                 }
                 Write::Snapshot(snapshot) if is_replaced => {
                     kept = None;
-                    // The entries after it may have been dropped.
+                    // The entries after the snapshot may have been dropped.
                     after.last = snapshot.last_index;
                 }
                 Write::Snapshot(_) => {}
@@ -171,7 +172,7 @@
         Some(Batch { number: self.last, writes })
     }
 
-    /// Decides what of an action goes ahead of the writes that are under way.
+    /// Decides which part of an action is released before the writes in progress are durable.
     fn release(&self, now: MonotonicTime, action: Action) -> Release {
         let Action::Send { to, message } = &action else { return Release::Later(action) };
         let (Some(waited), Some(kept)) = (self.oldest_sync_age(now), self.kept()) else {
@@ -183,8 +184,8 @@
         let body = match &message.body {
             Body::Append { commit, .. } if *commit <= kept => return Release::Now(action),
             body @ Body::Append { .. } => with_commit(body.clone(), kept),
-            Body::AppendReply { outcome, sent } if ANSWER_AFTER <= waited => {
-                Body::AppendReply { outcome: durable_part(*outcome, kept), sent: *sent }
+            Body::AppendReply { outcome, sent } if EARLY_REPLY_AFTER <= waited => {
+                Body::AppendReply { outcome: durable_outcome(*outcome, kept), sent: *sent }
             }
             _ => return Release::Later(action),
         };
@@ -196,12 +197,12 @@
         Release::Partly { now: early, later: action }
     }
 
-    /// Returns whether a crash would leave the term and the start that a message names.
+    /// Returns whether the term and the start that a message names would survive a crash.
     fn is_durable(&self, message: &Message) -> bool {
         message.term <= self.durable.term && message.starts <= self.durable.starts
     }
 
-    /// Returns the last entry that a crash would leave as the node has it, if one is known.
+    /// Returns the last entry that would survive a crash unchanged, if one is known.
     fn kept(&self) -> Option<LogIndex> {
         let mut unsynced = self.unsynced.iter();
         unsynced.try_fold(self.durable.last, |kept, batch| Some(kept.min(batch.kept?)))
@@ -215,8 +216,8 @@
     body
 }
 
-/// Returns what an answer may say of the entries up to `kept`.
-fn durable_part(outcome: AppendOutcome, kept: LogIndex) -> AppendOutcome {
+/// Returns the outcome limited to the entries up to `kept`, which are durable.
+fn durable_outcome(outcome: AppendOutcome, kept: LogIndex) -> AppendOutcome {
     match outcome {
         AppendOutcome::Matched(index) => AppendOutcome::Matched(index.min(kept)),
         conflict @ AppendOutcome::Conflict { .. } => conflict,
--- a/crates/quorum/src/types.rs
+++ b/crates/quorum/src/types.rs
@@ -3,7 +3,7 @@
 use base::{HostId, LogIndex, ParseError, Term};
 use serde::{Deserialize, Serialize};
 
-/// The identity of a data folder, drawn when the folder is made.
+/// The random identity of a data folder, drawn when the folder is created.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -37,7 +37,7 @@
     }
 }
 
-/// The voters, each with the data folder that it may vote from.
+/// The voters, each with the data folder from which it may vote.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterSet {
     /// Folder of each voter.
@@ -79,14 +79,14 @@
     pub index: LogIndex,
     /// The term of the leader that wrote it.
     pub term: Term,
-    /// What it holds.
+    /// The entry's content.
     pub payload: Payload,
 }
 
-/// What an entry holds.
+/// The content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing; the first entry of a leader's term.
+    /// No content; the first entry of a leader's term.
     Empty,
     /// A command for the replicated state.
     Command(Arc<[u8]>),
@@ -94,33 +94,33 @@
     Voters(VoterSet),
 }
 
-/// What a voter must remember besides the log.
+/// The state that a voter persists besides the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// The latest term seen.
     pub term: Term,
-    /// Whom the voter voted for in that term.
+    /// The candidate that the voter voted for in that term.
     pub voted_for: Option<HostId>,
-    /// How often a process registered this folder with the other voters.
+    /// The number of process starts registered with the other voters for this folder.
     pub starts: StartCount,
-    /// What the other voters' folders are known to have promised.
-    pub standings: BTreeMap<HostId, Standing>,
+    /// What is recorded of the other voters' folders.
+    pub folder_records: BTreeMap<HostId, FolderRecord>,
 }
 
-/// A number of registered process starts of one folder.
+/// The number of registered process starts of one folder.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct StartCount(pub u64);
 
-/// The least that a voter's folder must still hold, from what it was heard to promise.
+/// The minimum that a voter's folder must hold, from its votes, acknowledgements and registrations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct FolderRecord {
     /// The folder.
     pub folder: FolderId,
-    /// The highest start that registered.
+    /// The highest registered start.
     pub starts: StartCount,
-    /// Whether it voted or acknowledged since that start, so that the start can't come again.
+    /// Whether it voted or acknowledged since that start; its number can then not be registered again.
     pub active: bool,
     /// The highest term in which it voted or acknowledged.
     pub term: Term,
@@ -128,15 +128,15 @@
     pub matched: LogIndex,
 }
 
-impl Standing {
-    /// Raises the promise to an acknowledgement of `matched` in `term`.
+impl FolderRecord {
+    /// Raises the record to an acknowledgement of `matched` in `term`.
     pub(crate) fn raise(&mut self, term: Term, matched: LogIndex) {
         if (self.term, self.matched) < (term, matched) {
             (self.term, self.matched) = (term, matched);
         }
     }
 
-    /// Takes in what another voter remembers of the same host.
+    /// Merges another voter's record of the same host; a record of another folder is ignored.
     pub(crate) fn merge(&mut self, other: &Self) {
         if self.folder != other.folder {
             return;
@@ -150,10 +150,10 @@
     }
 }
 
-/// The replicated state up to an entry, which stands for the log up to there.
+/// The replicated state up to an entry, which replaces the log up to there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last entry it covers.
+    /// The last entry that it covers.
     pub last_index: LogIndex,
     /// That entry's term.
     pub last_term: Term,
@@ -163,7 +163,7 @@
     pub data: Arc<[u8]>,
 }
 
-/// What a node finds in its data folder at start.
+/// The content of a data folder at the start of a node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Restored {
     /// The folder's identity.
@@ -176,10 +176,10 @@
     pub entries: Vec<Entry>,
 }
 
-/// The driver's name for a proposal.
+/// The driver's identifier of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProposalId(pub u64);
 
-/// The driver's name for a read.
+/// The driver's identifier of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReadId(pub u64);
--- a/crates/quorum/tests/checker.rs
+++ b/crates/quorum/tests/checker.rs
@@ -7,7 +7,7 @@
 
 use base::{HostId, LogIndex, Term};
 use quorum::{
-    Ballot, Body, Entry, FolderId, HardState, Message, Payload, ReadId, Snapshot, VoterSet,
+    Body, Entry, FolderId, HardState, Message, Payload, ReadId, Snapshot, VoteKind, VoterSet,
 };
 
 /// What a crash leaves of a node.
@@ -45,7 +45,7 @@
 pub enum Violation {
     TwoLeaders(Term),
     TwoVotes(Term, HostId),
-    VoteByStranger(HostId),
+    VoteByNonVoter(HostId),
     CommittedDiffers(LogIndex),
     CommittedWithoutMajority(LogIndex),
     LogsDiffer(LogIndex),
@@ -64,32 +64,38 @@
     states: BTreeMap<LogIndex, u64>,
     written: BTreeSet<(FolderId, LogIndex, Term)>,
     covered: BTreeMap<FolderId, LogIndex>,
-    named: BTreeSet<(HostId, FolderId)>,
+    known_voters: BTreeSet<(HostId, FolderId)>,
     reads: BTreeMap<ReadId, LogIndex>,
 }
 
 impl Checker {
-    pub fn leads(&mut self, term: Term, host: &HostId, folder: FolderId) {
+    pub fn record_leader(&mut self, term: Term, host: &HostId, folder: FolderId) {
         let first = self.leaders.entry(term).or_insert_with(|| (host.clone(), folder));
         if *first != (host.clone(), folder) {
             self.violations.push(Violation::TwoLeaders(term));
         }
     }
 
-    pub fn sends(&mut self, host: &HostId, to: &HostId, message: &Message, disk: &DiskImage) {
+    pub fn record_message(
+        &mut self,
+        host: &HostId,
+        to: &HostId,
+        message: &Message,
+        disk: &DiskImage,
+    ) {
         match &message.body {
-            Body::VoteReply { campaign, ballot, granted: true } => {
-                self.votes_for(host, to, *ballot, *campaign, disk);
+            Body::VoteReply { campaign, vote_kind, granted: true } => {
+                self.check_vote(host, to, *vote_kind, *campaign, disk);
             }
-            Body::Vote { campaign, ballot, .. } => {
-                self.votes_for(host, host, *ballot, *campaign, disk);
+            Body::Vote { campaign, vote_kind, .. } => {
+                self.check_vote(host, host, *vote_kind, *campaign, disk);
             }
             _ => {}
         }
     }
 
     /// Notes that a node applied an entry, and returns the state after it.
-    pub fn applies(&mut self, entry: &Entry, state: u64) -> u64 {
+    pub fn record_applied(&mut self, entry: &Entry, state: u64) -> u64 {
         let index = entry.index;
         if *self.committed.entry(index).or_insert_with(|| entry.clone()) != *entry {
             self.violations.push(Violation::CommittedDiffers(index));
@@ -102,23 +108,23 @@
     }
 
     /// Notes that a folder holds an entry, also if its disk is lost later.
-    pub fn writes(&mut self, folder: FolderId, entries: &[Entry]) {
+    pub fn record_written(&mut self, folder: FolderId, entries: &[Entry]) {
         self.written.extend(entries.iter().map(|entry| (folder, entry.index, entry.term)));
         for entry in entries {
             if let Payload::Voters(voters) = &entry.payload {
-                self.named.extend(voters.folders.clone());
+                self.known_voters.extend(voters.folders.clone());
             }
         }
     }
 
     /// Notes that a folder holds a snapshot.
-    pub fn saves(&mut self, folder: FolderId, through: LogIndex) {
+    pub fn record_snapshot(&mut self, folder: FolderId, through: LogIndex) {
         let covered = self.covered.entry(folder).or_default();
         *covered = through.max(*covered);
     }
 
     /// Checks the first commit of an entry: a majority of its leader's voters must have held it.
-    pub fn commits(&mut self, entry: &Entry, voters: &VoterSet) {
+    pub fn check_commit(&mut self, entry: &Entry, voters: &VoterSet) {
         if self.committed.contains_key(&entry.index) {
             return;
         }
@@ -132,32 +138,32 @@
     }
 
     /// Checks that one host at most holds a lease at a time.
-    pub fn holds_leases(&mut self, holders: &[Term]) {
+    pub fn check_leases(&mut self, holders: &[Term]) {
         if let [_, second, ..] = holders {
             self.violations.push(Violation::TwoLeases(*second));
         }
     }
 
-    pub fn reads(&mut self, id: ReadId) {
+    pub fn record_read(&mut self, id: ReadId) {
         let committed = self.committed.keys().next_back();
         self.reads.insert(id, committed.copied().unwrap_or_default());
     }
 
     /// Checks that a read sees all that was committed when it came.
-    pub fn answers_read(&mut self, id: ReadId, index: LogIndex) {
+    pub fn check_read(&mut self, id: ReadId, index: LogIndex) {
         if self.reads.get(&id).is_none_or(|needed| index < *needed) {
             self.violations.push(Violation::StaleRead(id));
         }
     }
 
-    pub fn restores(&mut self, index: LogIndex, state: u64) {
+    pub fn check_restored(&mut self, index: LogIndex, state: u64) {
         if self.states.get(&index) != Some(&state) {
             self.violations.push(Violation::StateDiffers(index));
         }
     }
 
     /// Checks that two logs are equal up to the last entry that they share.
-    pub fn compare(&mut self, a: &DiskImage, b: &DiskImage) {
+    pub fn check_logs(&mut self, a: &DiskImage, b: &DiskImage) {
         let other: BTreeMap<LogIndex, &Entry> = b.entries.iter().map(|e| (e.index, e)).collect();
         let pairs = a.entries.iter().filter_map(|entry| Some((entry, *other.get(&entry.index)?)));
         let mut differing = None;
@@ -173,18 +179,18 @@
         }
     }
 
-    fn votes_for(
+    fn check_vote(
         &mut self,
         host: &HostId,
         candidate: &HostId,
-        ballot: Ballot,
+        vote_kind: VoteKind,
         term: Term,
         disk: &DiskImage,
     ) {
-        if !self.named.contains(&(host.clone(), disk.folder)) {
-            self.violations.push(Violation::VoteByStranger(host.clone()));
+        if !self.known_voters.contains(&(host.clone(), disk.folder)) {
+            self.violations.push(Violation::VoteByNonVoter(host.clone()));
         }
-        if ballot == Ballot::PreVote {
+        if vote_kind == VoteKind::PreVote {
             return;
         }
         let key = (term, host.clone(), disk.folder);
--- a/crates/quorum/tests/cluster.rs
+++ b/crates/quorum/tests/cluster.rs
@@ -17,7 +17,7 @@
 use crate::checker::{Checker, DiskImage};
 
 /// Time between two ticks, in milliseconds.
-pub const TICK: u64 = 20;
+pub const TICK_MS: u64 = 20;
 
 /// A fault planted in the driver, which the checker must find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,7 +44,7 @@
     pub host: HostId,
     pub disk: DiskImage,
     pub node: Option<Node<Pcg64Mcg>>,
-    pub answers: Vec<Action>,
+    pub responses: Vec<Action>,
     /// How long a sync takes.
     pub sync_time: Duration,
     gate: SyncGate,
@@ -99,7 +99,7 @@
                 host: host(i),
                 disk,
                 node: None,
-                answers: Vec::new(),
+                responses: Vec::new(),
                 sync_time: Duration::ZERO,
                 gate: SyncGate::new(&Restored::default()),
                 unwritten: VecDeque::new(),
@@ -114,7 +114,7 @@
     }
 
     /// Starts a cluster and waits for its leader.
-    pub fn led(founders: usize, spares: usize) -> (Self, usize) {
+    pub fn with_leader(founders: usize, spares: usize) -> (Self, usize) {
         let mut cluster = Self::new(founders, spares);
         cluster.run(2000);
         let leader = cluster.leader().expect("a leader within 2 s");
@@ -124,8 +124,8 @@
     pub fn config(&self, i: usize) -> Config {
         let mut cfg = Config::new(host(i));
         cfg.founders = (0..self.founders).map(host).collect();
-        cfg.max_batch = 256;
-        cfg.max_chunk = 3;
+        cfg.max_batch_bytes = 256;
+        cfg.max_chunk_bytes = 3;
         cfg
     }
 
@@ -185,14 +185,14 @@
 
     /// Lets time pass, with every message delivered within a tick, in random order.
     pub fn run(&mut self, millis: u64) {
-        for _ in 0..millis.div_ceil(TICK) {
+        for _ in 0..millis.div_ceil(TICK_MS) {
             self.tick_all();
             self.deliver_all();
         }
     }
 
     pub fn tick_all(&mut self) {
-        self.now += Duration::from_millis(TICK);
+        self.now += Duration::from_millis(TICK_MS);
         for i in 0..self.machines.len() {
             self.step(i, Input::Tick, None);
         }
@@ -233,7 +233,7 @@
         }
     }
 
-    pub fn double_packet(&mut self, slot: usize) {
+    pub fn duplicate_packet(&mut self, slot: usize) {
         if !self.packets.is_empty() {
             self.packets.push(self.packets[slot % self.packets.len()].clone());
         }
@@ -258,7 +258,7 @@
 
     pub fn read(&mut self, i: usize) -> ReadId {
         let id = ReadId(self.fresh_id());
-        self.checker.reads(id);
+        self.checker.record_read(id);
         self.step(i, Input::Read { id }, None);
         id
     }
@@ -365,11 +365,11 @@
                     if let (Fault::ForgetVote, Some(hard_state)) = (self.fault, &mut hard_state) {
                         hard_state.voted_for = None;
                     }
-                    self.checker.writes(machine.disk.folder, &entries);
+                    self.checker.record_written(machine.disk.folder, &entries);
                     machine.disk.write(hard_state, entries);
                 }
                 Write::Snapshot(snapshot) => {
-                    self.checker.saves(machine.disk.folder, snapshot.last_index);
+                    self.checker.record_snapshot(machine.disk.folder, snapshot.last_index);
                     machine.disk.save(snapshot);
                 }
             }
@@ -387,21 +387,21 @@
             }
             Action::Restore(snapshot) => {
                 let state = state_in(&snapshot.data);
-                self.checker.restores(snapshot.last_index, state);
+                self.checker.check_restored(snapshot.last_index, state);
                 let machine = &mut self.machines[i];
                 (machine.state, machine.applied) = (state, snapshot.last_index);
             }
             Action::ReadReady { id, index } => {
-                self.checker.answers_read(id, index);
-                self.machines[i].answers.push(Action::ReadReady { id, index });
+                self.checker.check_read(id, index);
+                self.machines[i].responses.push(Action::ReadReady { id, index });
             }
-            answer => self.machines[i].answers.push(answer),
+            answer => self.machines[i].responses.push(answer),
         }
     }
 
     fn send(&mut self, i: usize, to: &HostId, mut message: Message) {
         let machine = &self.machines[i];
-        self.checker.sends(&machine.host, to, &message, &machine.disk);
+        self.checker.record_message(&machine.host, to, &message, &machine.disk);
         if self.fault == Fault::ForgeFolder {
             message.folder = machine.first_folder;
         }
@@ -415,9 +415,9 @@
         let machine = &mut self.machines[i];
         let own = machine.committed_with.pop_front_if(|(index, _)| *index == entry.index);
         if let Some((_, voters)) = own {
-            self.checker.commits(entry, &voters);
+            self.checker.check_commit(entry, &voters);
         }
-        machine.state = self.checker.applies(entry, machine.state);
+        machine.state = self.checker.record_applied(entry, machine.state);
         machine.applied = entry.index;
     }
 
@@ -428,17 +428,17 @@
             node.role() == Role::Leader && node.term() <= machine.disk.hard_state.term
         };
         if let Some(node) = machine.node.as_ref().filter(is_known) {
-            self.checker.leads(node.term(), &machine.host, node.folder());
+            self.checker.record_leader(node.term(), &machine.host, node.folder());
         }
         let nodes = self.machines.iter().filter_map(|machine| machine.node.as_ref());
         let holders = nodes.filter(|node| node.holds_lease(self.now)).map(Node::term);
-        self.checker.holds_leases(&holders.collect::<Vec<_>>());
+        self.checker.check_leases(&holders.collect::<Vec<_>>());
     }
 
     fn compare_logs(&mut self, i: usize) {
         for (other, machine) in self.machines.iter().enumerate() {
             if other != i {
-                self.checker.compare(&self.machines[i].disk, &machine.disk);
+                self.checker.check_logs(&self.machines[i].disk, &machine.disk);
             }
         }
     }
--- a/crates/quorum/tests/election.rs
+++ b/crates/quorum/tests/election.rs
@@ -1,7 +1,7 @@
 //! Elections.
 
 use base::{HostId, Term};
-use quorum::{Ballot, Body, Role};
+use quorum::{Body, Role, VoteKind};
 
 use crate::{
     checker::Violation,
@@ -12,7 +12,7 @@
     ($($name:ident: $hosts:expr,)*) => {$(
         #[test]
         fn $name() {
-            let (cluster, leader) = Cluster::led($hosts, 0);
+            let (cluster, leader) = Cluster::with_leader($hosts, 0);
             for i in 0..$hosts {
                 assert_eq!(cluster.status(i).leader, Some(host(leader)));
             }
@@ -28,7 +28,7 @@
 
 #[test]
 fn host_that_was_cut_off_deposes_nobody() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let term = cluster.status(leader).term;
     let cut_off = cluster.other(&[leader]);
     cluster.isolate(cut_off);
@@ -41,7 +41,7 @@
 
 #[test]
 fn leader_without_a_majority_steps_down() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     cluster.isolate(leader);
     cluster.run(1000);
     assert_eq!(cluster.role(leader), Some(Role::Follower));
@@ -50,7 +50,7 @@
 #[test]
 fn another_host_leads_within_two_seconds_of_a_crash() {
     for hosts in [3, 5] {
-        let (mut cluster, leader) = Cluster::led(hosts, 0);
+        let (mut cluster, leader) = Cluster::with_leader(hosts, 0);
         cluster.crash(leader);
         cluster.run(2000);
         assert!(cluster.leader().is_some_and(|next| next != leader));
@@ -58,8 +58,8 @@
 }
 
 /// Has a host vote for itself, restart, and be asked again in the same term.
-fn ask_twice(fault: Fault) -> (Cluster, HostId, Term) {
-    let (mut cluster, _) = Cluster::led(3, 0);
+fn request_votes_across_restart(fault: Fault) -> (Cluster, HostId, Term) {
+    let (mut cluster, _) = Cluster::with_leader(3, 0);
     cluster.fault = fault;
     (0..3).for_each(|i| cluster.restart(i));
     let (first, term) = run_to_vote(&mut cluster);
@@ -79,7 +79,9 @@
 fn run_to_vote(cluster: &mut Cluster) -> (usize, Term) {
     for _ in 0..100_000 {
         let asked = cluster.under_way().find_map(|message| match message.body {
-            Body::Vote { ballot: Ballot::Vote, campaign, .. } => Some((message.folder, campaign)),
+            Body::Vote { vote_kind: VoteKind::Vote, campaign, .. } => {
+                Some((message.folder, campaign))
+            }
             _ => None,
         });
         if let Some((folder, term)) = asked {
@@ -96,12 +98,12 @@
 
 #[test]
 fn vote_survives_a_restart() {
-    let (cluster, ..) = ask_twice(Fault::None);
+    let (cluster, ..) = request_votes_across_restart(Fault::None);
     assert_eq!(cluster.checker.violations, []);
 }
 
 #[test]
 fn checker_finds_a_forgotten_vote() {
-    let (cluster, voter, term) = ask_twice(Fault::ForgetVote);
+    let (cluster, voter, term) = request_votes_across_restart(Fault::ForgetVote);
     assert!(cluster.checker.violations.contains(&Violation::TwoVotes(term, voter)));
 }
--- a/crates/quorum/tests/healing.rs
+++ b/crates/quorum/tests/healing.rs
@@ -8,16 +8,16 @@
 use crate::cluster::{Cluster, host};
 
 /// Time between two looks at the voters, in milliseconds.
-const PERIOD: u64 = 100;
+const HEALING_INTERVAL_MS: u64 = 100;
 
-/// A site of five hosts with disks, two of which may lose theirs at once.
-struct Site {
+/// A healing of five hosts with disks, two of which may lose theirs at once.
+struct HealingCluster {
     cluster: Cluster,
     led_since: BTreeMap<usize, MonotonicTime>,
     fewest: usize,
 }
 
-impl Site {
+impl HealingCluster {
     fn new(founders: usize, spares: usize) -> Self {
         let cluster = Cluster::new(founders, spares);
         Self { cluster, led_since: BTreeMap::new(), fewest: usize::MAX }
@@ -29,8 +29,8 @@
 
     /// Lets time pass while the leader mends the voters.
     fn run(&mut self, millis: u64) {
-        for _ in 0..millis.div_ceil(PERIOD) {
-            self.cluster.run(PERIOD);
+        for _ in 0..millis.div_ceil(HEALING_INTERVAL_MS) {
+            self.cluster.run(HEALING_INTERVAL_MS);
             self.heal();
         }
     }
@@ -84,93 +84,93 @@
     }
 }
 
-fn grown() -> Site {
-    let mut site = Site::new(3, 2);
-    site.run(3000);
-    site
+fn five_voters() -> HealingCluster {
+    let mut healing = HealingCluster::new(3, 2);
+    healing.run(3000);
+    healing
 }
 
 #[test]
 fn founders_take_the_other_hosts_in() {
-    let mut site = grown();
-    site.commit("order 1");
-    site.finish();
+    let mut healing = five_voters();
+    healing.commit("order 1");
+    healing.finish();
 }
 
 #[test]
 fn lost_disk_is_swapped_within_the_time_to_catch_up() {
-    let mut site = grown();
-    let lost = site.others(1)[0];
-    site.cluster.lose_disk(lost);
-    site.run(2000);
-    site.finish();
-    assert_eq!(site.fewest, 4);
+    let mut healing = five_voters();
+    let lost = healing.others(1)[0];
+    healing.cluster.lose_disk(lost);
+    healing.run(2000);
+    healing.finish();
+    assert_eq!(healing.fewest, 4);
 }
 
 #[test]
 fn lost_leader_disk_is_swapped() {
-    let mut site = grown();
-    let leader = site.leader();
-    site.cluster.lose_disk(leader);
-    site.run(4000);
-    site.finish();
+    let mut healing = five_voters();
+    let leader = healing.leader();
+    healing.cluster.lose_disk(leader);
+    healing.run(4000);
+    healing.finish();
 }
 
 #[test]
 fn two_lost_disks_while_all_others_restart_lose_nothing() {
-    let mut site = grown();
-    site.commit("order 1");
-    let lost = site.others(2);
+    let mut healing = five_voters();
+    healing.commit("order 1");
+    let lost = healing.others(2);
     for i in 0..5 {
-        site.cluster.crash(i);
+        healing.cluster.crash(i);
     }
     for i in 0..5 {
         if lost.contains(&i) {
-            site.cluster.lose_disk(i);
+            healing.cluster.lose_disk(i);
         } else {
-            site.cluster.start(i);
+            healing.cluster.start(i);
         }
     }
-    site.run(6000);
-    site.commit("order 2");
-    site.finish();
-    assert_eq!(site.fewest, 4);
+    healing.run(6000);
+    healing.commit("order 2");
+    healing.finish();
+    assert_eq!(healing.fewest, 4);
 }
 
 #[test]
 fn replaced_host_is_left_out_for_the_new_one() {
-    let mut site = Site::new(3, 3);
-    site.cluster.crash(5);
-    site.run(3000);
-    let gone = site.others(1)[0];
-    site.cluster.crash(gone);
-    site.run(2500);
-    assert_eq!(site.cluster.status(site.leader()).voters.folders.len(), 5);
-    site.cluster.start(5);
-    site.run(2500);
-    site.finish();
+    let mut healing = HealingCluster::new(3, 3);
+    healing.cluster.crash(5);
+    healing.run(3000);
+    let gone = healing.others(1)[0];
+    healing.cluster.crash(gone);
+    healing.run(2500);
+    assert_eq!(healing.cluster.status(healing.leader()).voters.folders.len(), 5);
+    healing.cluster.start(5);
+    healing.run(2500);
+    healing.finish();
 }
 
 #[test]
 fn silent_voters_stay_without_a_replacement() {
-    let mut site = grown();
-    let silent = site.others(2);
-    silent.iter().for_each(|i| site.cluster.crash(*i));
-    site.run(8000);
-    site.commit("order 1");
-    assert_eq!(site.cluster.status(site.leader()).voters.folders.len(), 5);
-    silent.iter().for_each(|i| site.cluster.start(*i));
-    site.run(2000);
-    site.finish();
+    let mut healing = five_voters();
+    let silent = healing.others(2);
+    silent.iter().for_each(|i| healing.cluster.crash(*i));
+    healing.run(8000);
+    healing.commit("order 1");
+    assert_eq!(healing.cluster.status(healing.leader()).voters.folders.len(), 5);
+    silent.iter().for_each(|i| healing.cluster.start(*i));
+    healing.run(2000);
+    healing.finish();
 }
 
 #[test]
 fn settings_keep_a_copy_more_than_disks_may_be_lost() {
     for lost_disks in 0..4 {
         let settings = HealingSettings { lost_disks, ..HealingSettings::default() };
-        for voters in settings.fewest()..=settings.target() {
+        for voters in settings.min_voters()..=settings.target_voters() {
             assert!(lost_disks < voters / 2 + 1);
         }
     }
-    assert!(Duration::ZERO < HealingSettings::default().silence);
+    assert!(Duration::ZERO < HealingSettings::default().replace_after);
 }
--- a/crates/quorum/tests/lease.rs
+++ b/crates/quorum/tests/lease.rs
@@ -8,14 +8,14 @@
 
 #[test]
 fn connected_leader_holds_the_lease() {
-    let (cluster, leader) = Cluster::led(3, 0);
+    let (cluster, leader) = Cluster::with_leader(3, 0);
     assert!(cluster.node(leader).holds_lease(cluster.now));
     assert!(!cluster.node(cluster.other(&[leader])).holds_lease(cluster.now));
 }
 
 #[test]
 fn lease_of_a_frozen_leader_ends_by_itself() {
-    let (cluster, leader) = Cluster::led(3, 0);
+    let (cluster, leader) = Cluster::with_leader(3, 0);
     let later = cluster.now + Duration::from_millis(300);
     assert!(!cluster.node(leader).holds_lease(later));
 }
@@ -23,7 +23,7 @@
 #[test]
 fn no_other_host_leads_before_the_lease_ends() {
     for hosts in [3, 5] {
-        let (mut cluster, old) = Cluster::led(hosts, 0);
+        let (mut cluster, old) = Cluster::with_leader(hosts, 0);
         let until = cluster.node(old).lease_until(cluster.now).expect("a lease");
         cluster.isolate(old);
         while cluster.leader() == Some(old) {
@@ -38,7 +38,7 @@
 
 #[test]
 fn restarted_voter_still_honours_the_lease() {
-    let (mut cluster, old) = Cluster::led(3, 0);
+    let (mut cluster, old) = Cluster::with_leader(3, 0);
     let until = cluster.node(old).lease_until(cluster.now).expect("a lease");
     cluster.isolate(old);
     let others: Vec<usize> = (0..3).filter(|i| *i != old).collect();
@@ -51,47 +51,47 @@
 
 #[test]
 fn read_under_the_lease_is_answered_at_once() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let index = cluster.status(leader).commit;
     let id = cluster.read(leader);
-    assert!(cluster.machines[leader].answers.contains(&Action::ReadReady { id, index }));
+    assert!(cluster.machines[leader].responses.contains(&Action::ReadReady { id, index }));
 }
 
 #[test]
 fn read_without_a_lease_waits_for_a_majority() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     cluster.now += Duration::from_millis(400);
     let id = cluster.read(leader);
     let index = cluster.status(leader).commit;
     let ready = Action::ReadReady { id, index };
-    assert!(!cluster.machines[leader].answers.contains(&ready));
+    assert!(!cluster.machines[leader].responses.contains(&ready));
     cluster.deliver_all();
-    assert!(cluster.machines[leader].answers.contains(&ready));
+    assert!(cluster.machines[leader].responses.contains(&ready));
 }
 
 #[test]
 fn read_at_a_leader_that_was_cut_off_is_refused() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     cluster.isolate(leader);
     cluster.run(400);
     let id = cluster.read(leader);
     cluster.run(1000);
     let refused = Action::ReadRefused { id, leader: None };
-    assert!(cluster.machines[leader].answers.contains(&refused));
+    assert!(cluster.machines[leader].responses.contains(&refused));
 }
 
 #[test]
 fn read_at_a_follower_names_the_leader() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let follower = cluster.other(&[leader]);
     let id = cluster.read(follower);
     let refused = Action::ReadRefused { id, leader: Some(host(leader)) };
-    assert!(cluster.machines[follower].answers.contains(&refused));
+    assert!(cluster.machines[follower].responses.contains(&refused));
 }
 
 #[test]
 fn leader_hands_over_without_an_election_timeout() {
-    let (mut cluster, old) = Cluster::led(3, 0);
+    let (mut cluster, old) = Cluster::with_leader(3, 0);
     cluster.step(old, Input::Transfer, None);
     assert!(!cluster.node(old).holds_lease(cluster.now));
     cluster.run(40);
@@ -102,13 +102,13 @@
 
 #[test]
 fn leader_that_hands_over_takes_no_proposals_and_goes_on_if_nobody_can() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     cluster.propose(leader, "order 1");
     cluster.step(leader, Input::Transfer, None);
     let id = cluster.propose(leader, "order 2");
     let refused =
         Action::Refused { id, leader: Some(host(leader)), refusal: Refusal::Transferring };
-    assert!(cluster.machines[leader].answers.contains(&refused));
+    assert!(cluster.machines[leader].responses.contains(&refused));
     cluster.drop_all();
     cluster.run(500);
     assert!(cluster.is_committed("order 1"));
--- a/crates/quorum/tests/lost_disk.rs
+++ b/crates/quorum/tests/lost_disk.rs
@@ -4,12 +4,12 @@
 
 use crate::{
     cluster::Cluster,
-    voters::{follow, with, without},
+    voters::{add_learner, with, without},
 };
 
 #[test]
 fn founders_write_the_same_first_entry() {
-    let (cluster, _) = Cluster::led(3, 0);
+    let (cluster, _) = Cluster::with_leader(3, 0);
     let firsts: Vec<_> = cluster.machines.iter().map(|m| m.disk.entries[0].clone()).collect();
     assert!(firsts.windows(2).all(|pair| pair[0] == pair[1]));
     assert_eq!(cluster.status(0).voters.folders.len(), 3);
@@ -28,7 +28,7 @@
 
 #[test]
 fn lost_disk_founds_no_second_log() {
-    let (mut cluster, _) = Cluster::led(3, 0);
+    let (mut cluster, _) = Cluster::with_leader(3, 0);
     cluster.crash(1);
     cluster.lose_disk(0);
     cluster.lose_disk(2);
@@ -42,7 +42,7 @@
 
 #[test]
 fn lost_disk_neither_votes_nor_acknowledges() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let lost = cluster.other(&[leader]);
     let down = cluster.other(&[leader, lost]);
     cluster.lose_disk(lost);
@@ -58,13 +58,13 @@
 
 #[test]
 fn lost_disk_votes_after_a_committed_change() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let lost = cluster.other(&[leader]);
     cluster.lose_disk(lost);
     cluster.run(200);
     cluster.propose_voters(leader, without(&cluster, leader, lost));
     cluster.run(200);
-    follow(&mut cluster, leader, lost);
+    add_learner(&mut cluster, leader, lost);
     cluster.propose_voters(leader, with(&cluster, leader, lost));
     cluster.run(200);
     cluster.crash(leader);
@@ -75,7 +75,7 @@
 
 #[test]
 fn all_voters_may_restart_at_once() {
-    let (mut cluster, _) = Cluster::led(5, 0);
+    let (mut cluster, _) = Cluster::with_leader(5, 0);
     for _ in 0..5 {
         (0..5).for_each(|i| cluster.crash(i));
         (0..5).for_each(|i| cluster.start(i));
@@ -89,7 +89,7 @@
 
 #[test]
 fn voter_stays_silent_until_a_majority_confirmed_it() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let alone = cluster.other(&[leader]);
     cluster.isolate(alone);
     cluster.restart(alone);
@@ -110,7 +110,7 @@
 
 #[test]
 fn older_copy_is_refused() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let old = cluster.other(&[leader]);
     put_back_older_copy(&mut cluster, leader, old);
     cluster.run(2000);
@@ -119,7 +119,7 @@
 
 #[test]
 fn older_copy_is_refused_without_the_leader_of_that_time() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let old = cluster.other(&[leader]);
     put_back_older_copy(&mut cluster, leader, old);
     cluster.crash(leader);
@@ -130,7 +130,7 @@
 
 #[test]
 fn older_copy_is_refused_however_often_it_starts() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let old = cluster.other(&[leader]);
     put_back_older_copy(&mut cluster, leader, old);
     for _ in 0..10 {
@@ -143,7 +143,7 @@
 
 #[test]
 fn copy_from_before_the_last_start_is_refused_though_it_lacks_no_entry() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let old = cluster.other(&[leader]);
     let copy = cluster.machines[old].disk.clone();
     cluster.restart(old);
--- a/crates/quorum/tests/messages.rs
+++ b/crates/quorum/tests/messages.rs
@@ -4,8 +4,8 @@
 
 use base::{HostId, LogIndex, MonotonicTime, Term};
 use quorum::{
-    Action, AppendOutcome, Ballot, Body, Config, Entry, FolderId, HardState, Input, Message, Node,
-    Payload, ProposalId, Restored, Role, StartCount, VoterSet, Write,
+    Action, AppendOutcome, Body, Config, Entry, FolderId, HardState, Input, Message, Node, Payload,
+    ProposalId, Restored, Role, StartCount, VoteKind, VoterSet, Write,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -13,13 +13,13 @@
 use crate::cluster::host;
 
 /// Host 0 with its log, among voters that the test plays.
-pub struct Bench {
+pub struct NodeHarness {
     node: Node<Pcg64Mcg>,
     now: MonotonicTime,
     actions: Vec<Action>,
 }
 
-impl Bench {
+impl NodeHarness {
     /// Starts host 0 among `voters` with one entry of each term after the first entry.
     pub fn new(voters: usize, terms: &[u64]) -> Self {
         let folders = (0..voters).map(|i| (host(i), folder(i))).collect();
@@ -32,25 +32,25 @@
         let restored = Restored { folder: folder(0), hard_state, entries, snapshot: None };
         let rng = Pcg64Mcg::seed_from_u64(1);
         let node = Node::new(Config::new(host(0)), restored, MonotonicTime::ZERO, rng);
-        let mut bench = Self { node, now: MonotonicTime::ZERO, actions: Vec::new() };
-        bench.wait(0);
+        let mut harness = Self { node, now: MonotonicTime::ZERO, actions: Vec::new() };
+        harness.wait(0);
         let starts = StartCount(1);
         let reply = Body::RegisterReply { starts, accepted: true, committed: None };
-        (1..voters).for_each(|i| bench.receive(i, folder(i), reply.clone()));
-        bench
+        (1..voters).for_each(|i| harness.receive(i, folder(i), reply.clone()));
+        harness
     }
 
     /// Starts host 0 and has it elected by all `voters`.
     fn leading(voters: usize, terms: &[u64]) -> Self {
-        let mut bench = Self::new(voters, terms);
-        bench.wait(700);
-        let campaign = bench.node.term().next();
-        for ballot in [Ballot::PreVote, Ballot::Vote] {
-            let body = Body::VoteReply { campaign, ballot, granted: true };
-            (1..voters).for_each(|i| bench.receive(i, folder(i), body.clone()));
+        let mut harness = Self::new(voters, terms);
+        harness.wait(700);
+        let campaign = harness.node.term().next();
+        for vote_kind in [VoteKind::PreVote, VoteKind::Vote] {
+            let body = Body::VoteReply { campaign, vote_kind, granted: true };
+            (1..voters).for_each(|i| harness.receive(i, folder(i), body.clone()));
         }
-        assert_eq!(bench.node.role(), Role::Leader);
-        bench
+        assert_eq!(harness.node.role(), Role::Leader);
+        harness
     }
 
     pub fn wait(&mut self, millis: u64) {
@@ -120,41 +120,41 @@
         entries: Vec::new(),
         commit: LogIndex::new(commit),
         sent: Duration::ZERO,
-        standings: Vec::new(),
+        folder_records: Vec::new(),
     }
 }
 
 #[test]
 fn entry_of_an_older_term_is_not_committed_by_counting() {
-    let mut bench = Bench::leading(3, &[2]);
-    bench.acknowledge(1, 2);
-    assert_eq!(bench.commit(), 0);
-    bench.acknowledge(1, 3);
-    assert_eq!(bench.commit(), 3);
+    let mut harness = NodeHarness::leading(3, &[2]);
+    harness.acknowledge(1, 2);
+    assert_eq!(harness.commit(), 0);
+    harness.acknowledge(1, 3);
+    assert_eq!(harness.commit(), 3);
 }
 
 #[test]
 fn vote_from_another_folder_does_not_count() {
-    let mut bench = Bench::new(3, &[]);
-    bench.wait(700);
-    let campaign = bench.node.term().next();
-    let body = Body::VoteReply { campaign, ballot: Ballot::PreVote, granted: true };
-    bench.receive(1, folder(9), body.clone());
-    assert_eq!(bench.node.term().next(), campaign);
-    bench.receive(1, folder(1), body);
-    assert_eq!(bench.node.term(), campaign);
+    let mut harness = NodeHarness::new(3, &[]);
+    harness.wait(700);
+    let campaign = harness.node.term().next();
+    let body = Body::VoteReply { campaign, vote_kind: VoteKind::PreVote, granted: true };
+    harness.receive(1, folder(9), body.clone());
+    assert_eq!(harness.node.term().next(), campaign);
+    harness.receive(1, folder(1), body);
+    assert_eq!(harness.node.term(), campaign);
 }
 
 #[test]
 fn commit_stops_where_the_logs_are_known_to_agree() {
-    let mut bench = Bench::new(3, &[1, 1, 1]);
-    bench.receive(1, folder(1), heartbeat(2, 1, 4));
-    assert_eq!(bench.commit(), 2);
+    let mut harness = NodeHarness::new(3, &[1, 1, 1]);
+    harness.receive(1, folder(1), heartbeat(2, 1, 4));
+    assert_eq!(harness.commit(), 2);
 }
 
 #[test]
 fn snapshot_of_another_history_replaces_the_log() {
-    let mut bench = Bench::new(3, &[1, 1, 1]);
+    let mut harness = NodeHarness::new(3, &[1, 1, 1]);
     let body = Body::Chunk {
         last_index: LogIndex::new(3),
         last_term: Term::new(2),
@@ -164,37 +164,37 @@
         done: true,
         sent: Duration::ZERO,
     };
-    bench.receive_in(Term::new(3), StartCount(1), 1, folder(1), body);
-    let status = bench.node.status();
+    harness.receive_in(Term::new(3), StartCount(1), 1, folder(1), body);
+    let status = harness.node.status();
     assert_eq!((status.last, status.commit), (LogIndex::new(3), LogIndex::new(3)));
 }
 
 #[test]
 fn new_voter_does_not_make_the_majority_that_takes_it_in() {
-    let mut bench = Bench::leading(2, &[]);
-    bench.acknowledge(1, 2);
-    bench.step(Input::Learners(vec![host(2)]));
-    bench.acknowledge(2, 2);
-    let mut voters = bench.node.status().voters;
+    let mut harness = NodeHarness::leading(2, &[]);
+    harness.acknowledge(1, 2);
+    harness.step(Input::Learners(vec![host(2)]));
+    harness.acknowledge(2, 2);
+    let mut voters = harness.node.status().voters;
     voters.folders.insert(host(2), folder(2));
-    bench.step(Input::ProposeVoters { id: ProposalId(1), voters });
-    bench.acknowledge(2, 3);
-    assert_eq!(bench.commit(), 2);
-    bench.acknowledge(1, 3);
-    assert_eq!(bench.commit(), 3);
+    harness.step(Input::ProposeVoters { id: ProposalId(1), voters });
+    harness.acknowledge(2, 3);
+    assert_eq!(harness.commit(), 2);
+    harness.acknowledge(1, 3);
+    assert_eq!(harness.commit(), 3);
 }
 
 #[test]
 fn vote_and_term_are_written() {
-    let mut bench = Bench::new(3, &[]);
-    bench.wait(700);
-    let (campaign, ballot, named) = (Term::new(5), Ballot::Vote, folder(0));
+    let mut harness = NodeHarness::new(3, &[]);
+    harness.wait(700);
+    let (campaign, vote_kind, voter_folder) = (Term::new(5), VoteKind::Vote, folder(0));
     let (last_index, last_term) = (LogIndex::new(1), Term::new(1));
-    let vote = Body::Vote { campaign, ballot, named, last_index, last_term };
-    bench.receive(1, folder(1), vote);
-    let written = bench.written();
+    let vote = Body::Vote { campaign, vote_kind, voter_folder, last_index, last_term };
+    harness.receive(1, folder(1), vote);
+    let written = harness.written();
     assert_eq!((written.term, written.voted_for), (campaign, Some(host(1))));
-    bench.receive_in(Term::new(7), StartCount(1), 2, folder(2), heartbeat(1, 1, 0));
-    let written = bench.written();
+    harness.receive_in(Term::new(7), StartCount(1), 2, folder(2), heartbeat(1, 1, 0));
+    let written = harness.written();
     assert_eq!((written.term, written.voted_for), (Term::new(7), None));
 }
--- a/crates/quorum/tests/model.rs
+++ b/crates/quorum/tests/model.rs
@@ -10,7 +10,7 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use quorum::{Input, Payload, VoterSet};
 
-use crate::cluster::{Cluster, Crash, Fault, TICK};
+use crate::cluster::{Cluster, Crash, Fault, TICK_MS};
 
 /// Most transitions in a run.
 const MAX_TRANSITIONS: usize = 120;
@@ -23,7 +23,7 @@
     Deliver(u16),
     DeliverAndCrash(u16, Crash),
     Drop(u16),
-    Double(u16),
+    Duplicate(u16),
     Crash(usize),
     Start(usize),
     LoseDisk(usize),
@@ -48,7 +48,7 @@
         40 => any::<u16>().prop_map(Transition::Deliver),
         4 => (any::<u16>(), crash).prop_map(|(slot, crash)| Transition::DeliverAndCrash(slot, crash)),
         6 => any::<u16>().prop_map(Transition::Drop),
-        6 => any::<u16>().prop_map(Transition::Double),
+        6 => any::<u16>().prop_map(Transition::Duplicate),
         3 => host().prop_map(Transition::Crash),
         8 => host().prop_map(Transition::Start),
         1 => host().prop_map(Transition::LoseDisk),
@@ -67,9 +67,9 @@
 
 /// Any transition may follow any other; what can't happen does nothing.
 #[derive(Debug)]
-struct Anything<const HOSTS: usize>;
+struct AnyTransition<const HOSTS: usize>;
 
-impl<const HOSTS: usize> ReferenceStateMachine for Anything<HOSTS> {
+impl<const HOSTS: usize> ReferenceStateMachine for AnyTransition<HOSTS> {
     type State = ();
     type Transition = Transition;
 
@@ -84,11 +84,11 @@
     fn apply(_state: (), _transition: &Transition) {}
 }
 
-struct Checked<const HOSTS: usize>;
+struct ClusterTest<const HOSTS: usize>;
 
-impl<const HOSTS: usize> StateMachineTest for Checked<HOSTS> {
+impl<const HOSTS: usize> StateMachineTest for ClusterTest<HOSTS> {
     type SystemUnderTest = Cluster;
-    type Reference = Anything<HOSTS>;
+    type Reference = AnyTransition<HOSTS>;
 
     fn init_test(_state: &()) -> Cluster {
         let mut cluster = Cluster::new(HOSTS, 0);
@@ -108,18 +108,18 @@
 
 fn carry_out(cluster: &mut Cluster, transition: Transition) {
     match transition {
-        Transition::Run(ticks) => cluster.run(u64::from(ticks) * TICK),
+        Transition::Run(ticks) => cluster.run(u64::from(ticks) * TICK_MS),
         Transition::Wait(ticks) => (0..ticks).for_each(|_| cluster.tick_all()),
         Transition::Restart(i) => cluster.restart(i),
         Transition::Deliver(slot) => cluster.deliver(slot.into(), None),
         Transition::DeliverAndCrash(slot, crash) => cluster.deliver(slot.into(), Some(crash)),
         Transition::Drop(slot) => cluster.drop_packet(slot.into()),
-        Transition::Double(slot) => cluster.double_packet(slot.into()),
+        Transition::Duplicate(slot) => cluster.duplicate_packet(slot.into()),
         Transition::Crash(i) => cluster.crash(i),
         Transition::Start(i) => cluster.start(i),
         Transition::LoseDisk(i) => lose_disk(cluster, i),
         Transition::SlowDisk(i, ticks) => {
-            let sync_time = Duration::from_millis(u64::from(ticks) * TICK);
+            let sync_time = Duration::from_millis(u64::from(ticks) * TICK_MS);
             cluster.machines[i].sync_time = sync_time;
         }
         Transition::Isolate(i) => cluster.isolate(i),
@@ -177,19 +177,19 @@
     #![proptest_config(config(96))]
 
     #[test]
-    fn three_hosts_keep_their_promises(sequential 1..MAX_TRANSITIONS => Checked<3>);
+    fn three_hosts_keep_their_promises(sequential 1..MAX_TRANSITIONS => ClusterTest<3>);
 }
 
 prop_state_machine! {
     #![proptest_config(config(48))]
 
     #[test]
-    fn five_hosts_keep_their_promises(sequential 1..MAX_TRANSITIONS => Checked<5>);
+    fn five_hosts_keep_their_promises(sequential 1..MAX_TRANSITIONS => ClusterTest<5>);
 }
 
 /// Returns whether random runs with a planted fault break a promise.
-fn is_found(fault: Fault) -> bool {
-    let strategy = <Anything<3>>::sequential_strategy(MAX_TRANSITIONS / 2..MAX_TRANSITIONS);
+fn is_detected(fault: Fault) -> bool {
+    let strategy = <AnyTransition<3>>::sequential_strategy(MAX_TRANSITIONS / 2..MAX_TRANSITIONS);
     let run = |((), transitions, _): (_, Vec<Transition>, _)| {
         let mut cluster = Cluster::new(3, 0);
         cluster.fault = fault;
@@ -208,7 +208,7 @@
     ($($name:ident: $fault:expr => $found:expr,)*) => {$(
         #[test]
         fn $name() {
-            assert_eq!(is_found($fault), $found);
+            assert_eq!(is_detected($fault), $found);
         }
     )*};
 }
@@ -224,14 +224,14 @@
 
     #[test]
     fn three_hosts_recover_once_all_is_mended(
-        run in <Anything<3>>::sequential_strategy(MAX_TRANSITIONS / 2..MAX_TRANSITIONS),
+        run in <AnyTransition<3>>::sequential_strategy(MAX_TRANSITIONS / 2..MAX_TRANSITIONS),
     ) {
         recover(Cluster::new(3, 0), run.1);
     }
 
     #[test]
     fn five_hosts_recover_once_all_is_mended(
-        run in <Anything<5>>::sequential_strategy(MAX_TRANSITIONS / 2..MAX_TRANSITIONS),
+        run in <AnyTransition<5>>::sequential_strategy(MAX_TRANSITIONS / 2..MAX_TRANSITIONS),
     ) {
         recover(Cluster::new(5, 0), run.1);
     }
--- a/crates/quorum/tests/regression/late_message_from_an_earlier_start.rs
+++ b/crates/quorum/tests/regression/late_message_from_an_earlier_start.rs
@@ -1,27 +1,27 @@
 //! A late message from an earlier start used up the number of the next registration.
 
 use base::{LogIndex, Term};
-use quorum::{Ballot, Body, StartCount};
+use quorum::{Body, StartCount, VoteKind};
 
 use crate::{
     cluster::host,
-    messages::{Bench, folder},
+    messages::{NodeHarness, folder},
 };
 
 #[test]
 fn message_from_an_earlier_start_does_not_use_up_a_registration() {
-    let mut bench = Bench::new(3, &[]);
+    let mut harness = NodeHarness::new(3, &[]);
     let register = Body::Register { starts: StartCount(2), last_index: LogIndex::new(1) };
     let term = Term::new(1);
-    bench.receive_in(term, StartCount(1), 1, folder(1), register.clone());
-    bench.wait(700);
+    harness.receive_in(term, StartCount(1), 1, folder(1), register.clone());
+    harness.wait(700);
     let (last_index, last_term) = (LogIndex::new(1), Term::new(1));
     let campaign = Term::new(1);
-    let (ballot, named) = (Ballot::Vote, folder(0));
-    let vote = Body::Vote { campaign, ballot, named, last_index, last_term };
-    bench.receive_in(term, StartCount(1), 1, folder(1), vote);
-    bench.receive_in(term, StartCount(1), 1, folder(1), register);
-    let replies: Vec<bool> = bench
+    let (vote_kind, voter_folder) = (VoteKind::Vote, folder(0));
+    let vote = Body::Vote { campaign, vote_kind, voter_folder, last_index, last_term };
+    harness.receive_in(term, StartCount(1), 1, folder(1), vote);
+    harness.receive_in(term, StartCount(1), 1, folder(1), register);
+    let replies: Vec<bool> = harness
         .sent(&host(1))
         .filter_map(|body| match body {
             Body::RegisterReply { accepted, .. } => Some(*accepted),
--- a/crates/quorum/tests/regression/leader_restarts_while_adding.rs
+++ b/crates/quorum/tests/regression/leader_restarts_while_adding.rs
@@ -2,13 +2,13 @@
 
 use crate::{
     cluster::Cluster,
-    voters::{follow, with},
+    voters::{add_learner, with},
 };
 
 #[test]
 fn leader_that_restarts_while_it_takes_in_a_second_voter_leads_again() {
-    let (mut cluster, leader) = Cluster::led(1, 1);
-    follow(&mut cluster, leader, 1);
+    let (mut cluster, leader) = Cluster::with_leader(1, 1);
+    add_learner(&mut cluster, leader, 1);
     cluster.propose_voters(leader, with(&cluster, leader, 1));
     cluster.drop_all();
     cluster.restart(leader);
--- a/crates/quorum/tests/regression/leader_restarts_while_leaving.rs
+++ b/crates/quorum/tests/regression/leader_restarts_while_leaving.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn leader_that_restarts_while_it_leaves_finishes_the_change() {
-    let (mut cluster, leader) = Cluster::led(2, 0);
+    let (mut cluster, leader) = Cluster::with_leader(2, 0);
     let other = cluster.other(&[leader]);
     cluster.propose_voters(leader, without(&cluster, leader, leader));
     cluster.drop_all();
--- a/crates/quorum/tests/regression/removed_voter_restarts.rs
+++ b/crates/quorum/tests/regression/removed_voter_restarts.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn last_but_one_voter_is_removed_though_it_restarts() {
-    let (mut cluster, leader) = Cluster::led(2, 0);
+    let (mut cluster, leader) = Cluster::with_leader(2, 0);
     let gone = cluster.other(&[leader]);
     cluster.propose_voters(leader, without(&cluster, leader, gone));
     cluster.drop_all();
--- a/crates/quorum/tests/regression/starter_unknown_to_voter_behind.rs
+++ b/crates/quorum/tests/regression/starter_unknown_to_voter_behind.rs
@@ -2,15 +2,15 @@
 
 use crate::{
     cluster::Cluster,
-    voters::{follow, with},
+    voters::{add_learner, with},
 };
 
 #[test]
 fn voter_behind_confirms_a_new_voter() {
-    let (mut cluster, leader) = Cluster::led(3, 1);
+    let (mut cluster, leader) = Cluster::with_leader(3, 1);
     let behind = cluster.other(&[leader]);
     let down = cluster.other(&[leader, behind]);
-    follow(&mut cluster, leader, 3);
+    add_learner(&mut cluster, leader, 3);
     cluster.isolate(behind);
     cluster.propose_voters(leader, with(&cluster, leader, 3));
     cluster.run(200);
--- a/crates/quorum/tests/regression/voter_behind_counts_removed_voters.rs
+++ b/crates/quorum/tests/regression/voter_behind_counts_removed_voters.rs
@@ -6,7 +6,7 @@
 ///
 /// Returns the cluster, the leader and the voter that is behind and down.
 fn two_lost_and_one_behind() -> (Cluster, usize, usize) {
-    let (mut cluster, leader) = Cluster::led(4, 0);
+    let (mut cluster, leader) = Cluster::with_leader(4, 0);
     let behind = cluster.other(&[leader]);
     let removed = cluster.other(&[leader, behind]);
     let last = cluster.other(&[leader, behind, removed]);
--- a/crates/quorum/tests/regression/voter_fails_after_repair.rs
+++ b/crates/quorum/tests/regression/voter_fails_after_repair.rs
@@ -2,13 +2,13 @@
 
 use crate::{
     cluster::Cluster,
-    voters::{follow, with},
+    voters::{add_learner, with},
 };
 
 #[test]
 fn second_disk_may_be_lost_right_after_a_third_voter_was_taken_in() {
-    let (mut cluster, leader) = Cluster::led(2, 1);
-    follow(&mut cluster, leader, 2);
+    let (mut cluster, leader) = Cluster::with_leader(2, 1);
+    add_learner(&mut cluster, leader, 2);
     cluster.propose_voters(leader, with(&cluster, leader, 2));
     while !cluster.status(leader).voters_committed {
         cluster.deliver(0, None);
--- a/crates/quorum/tests/replication.rs
+++ b/crates/quorum/tests/replication.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn command_reaches_every_host() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     cluster.propose(leader, "order 1");
     cluster.run(200);
     let commit = cluster.status(leader).commit;
@@ -16,7 +16,7 @@
 
 #[test]
 fn command_is_not_committed_without_a_majority() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     cluster.isolate(leader);
     cluster.propose(leader, "order 1");
     cluster.run(3000);
@@ -25,7 +25,7 @@
 
 #[test]
 fn uncommitted_tail_is_replaced() {
-    let (mut cluster, old) = Cluster::led(3, 0);
+    let (mut cluster, old) = Cluster::with_leader(3, 0);
     cluster.isolate(old);
     for n in 0..50 {
         cluster.propose(old, &format!("lost {n}"));
@@ -44,16 +44,16 @@
 
 #[test]
 fn refused_proposal_names_the_leader() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let follower = cluster.other(&[leader]);
     let id = cluster.propose(follower, "order 1");
     let refused = Action::Refused { id, leader: Some(host(leader)), refusal: Refusal::NotLeader };
-    assert!(cluster.machines[follower].answers.contains(&refused));
+    assert!(cluster.machines[follower].responses.contains(&refused));
 }
 
 #[test]
 fn batches_are_bounded_in_bytes_and_number() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let text = "x".repeat(40);
     for _ in 0..200 {
         cluster.propose(leader, &text);
@@ -74,7 +74,7 @@
 
 #[test]
 fn lost_messages_are_sent_again() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     cluster.propose(leader, "order 1");
     cluster.drop_all();
     cluster.run(300);
@@ -83,7 +83,7 @@
 
 #[test]
 fn entries_of_an_older_term_are_committed_with_one_of_the_present_term() {
-    let (mut cluster, old) = Cluster::led(3, 0);
+    let (mut cluster, old) = Cluster::with_leader(3, 0);
     cluster.propose(old, "order 1");
     (0..2).for_each(|_| cluster.deliver(0, None));
     cluster.crash(old);
--- a/crates/quorum/tests/slow_disks.rs
+++ b/crates/quorum/tests/slow_disks.rs
@@ -10,7 +10,7 @@
 const LONG_SYNC: Duration = Duration::from_millis(800);
 
 /// Time between proposals, in milliseconds.
-const PERIOD: u64 = 200;
+const PROPOSAL_INTERVAL_MS: u64 = 200;
 
 macro_rules! sync_times {
     ($($name:ident: $hosts:expr, $millis:expr,)*) => {$(
@@ -31,12 +31,12 @@
 
 /// Checks that slow disks on all hosts delay what is proposed, and cost nobody the lead.
 fn keeps_its_leader(hosts: usize, sync_time: Duration) {
-    let (mut cluster, leader) = Cluster::led(hosts, 0);
+    let (mut cluster, leader) = Cluster::with_leader(hosts, 0);
     let term = cluster.status(leader).term;
     cluster.slow_disks(sync_time);
     for i in 0..20 {
         cluster.propose(leader, &format!("order {i}"));
-        cluster.run(PERIOD);
+        cluster.run(PROPOSAL_INTERVAL_MS);
         assert_eq!(cluster.role(leader), Some(Role::Leader), "order {i}");
     }
     cluster.run(5 * u64::try_from(sync_time.as_millis()).unwrap());
@@ -56,14 +56,14 @@
 
 #[test]
 fn entry_is_committed_once_a_majority_has_synced_it_side_by_side() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     cluster.slow_disks(LONG_SYNC);
     check_waits_for_one_sync(cluster, leader);
 }
 
 #[test]
 fn entry_waits_for_the_leader_with_one_follower_away() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let away = cluster.other(&[leader]);
     cluster.crash(away);
     cluster.machines[leader].sync_time = LONG_SYNC;
@@ -72,7 +72,7 @@
 
 #[test]
 fn slow_snapshot_costs_nobody_the_lead() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let term = cluster.status(leader).term;
     cluster.propose(leader, "order");
     cluster.run(200);
@@ -85,7 +85,7 @@
 
 #[test]
 fn stuck_disk_gives_the_lead_away() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     cluster.machines[leader].sync_time = Duration::from_secs(3600);
     cluster.propose(leader, "order");
     cluster.run(3_000);
--- a/crates/quorum/tests/snapshot.rs
+++ b/crates/quorum/tests/snapshot.rs
@@ -3,10 +3,10 @@
 use crate::cluster::Cluster;
 
 /// Enough commands that a follower without them needs the snapshot.
-const MANY: usize = 1100;
+const COMMAND_COUNT: usize = 1100;
 
 fn fill(cluster: &mut Cluster, leader: usize) {
-    for n in 0..MANY {
+    for n in 0..COMMAND_COUNT {
         cluster.propose(leader, &format!("order {n}"));
         if n % 50 == 0 {
             cluster.deliver_all();
@@ -17,7 +17,7 @@
 
 /// Returns a cluster, its leader, and a follower that is back after the log was compacted.
 fn far_behind() -> (Cluster, usize, usize) {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let behind = cluster.other(&[leader]);
     cluster.isolate(behind);
     fill(&mut cluster, leader);
@@ -41,7 +41,7 @@
     for slot in 0..40 {
         cluster.tick_all();
         cluster.drop_packet(slot);
-        cluster.double_packet(slot);
+        cluster.duplicate_packet(slot);
         cluster.deliver_all();
     }
     assert_eq!(cluster.status(behind).applied, cluster.status(leader).applied);
@@ -49,7 +49,7 @@
 
 #[test]
 fn follower_a_little_behind_gets_entries() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let behind = cluster.other(&[leader]);
     cluster.isolate(behind);
     cluster.propose(leader, "order 1");
@@ -63,7 +63,7 @@
 
 #[test]
 fn all_restart_from_their_snapshots() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     cluster.propose(leader, "order 1");
     cluster.run(200);
     (0..3).for_each(|i| cluster.compact(i));
--- a/crates/quorum/tests/voters.rs
+++ b/crates/quorum/tests/voters.rs
@@ -17,13 +17,13 @@
 }
 
 /// Has the leader send its log to a host that is no voter.
-pub fn follow(cluster: &mut Cluster, leader: usize, i: usize) {
+pub fn add_learner(cluster: &mut Cluster, leader: usize, i: usize) {
     cluster.step(leader, Input::Learners(vec![host(i)]), None);
     cluster.run(500);
 }
 
 fn refusal(cluster: &Cluster, i: usize, wanted: ProposalId) -> Option<Refusal> {
-    cluster.machines[i].answers.iter().find_map(|answer| match answer {
+    cluster.machines[i].responses.iter().find_map(|answer| match answer {
         Action::Refused { id, refusal, .. } if *id == wanted => Some(*refusal),
         _ => None,
     })
@@ -31,12 +31,12 @@
 
 #[test]
 fn host_is_replaced_by_a_spare() {
-    let (mut cluster, leader) = Cluster::led(3, 1);
+    let (mut cluster, leader) = Cluster::with_leader(3, 1);
     let gone = cluster.other(&[leader]);
     cluster.crash(gone);
     cluster.propose_voters(leader, without(&cluster, leader, gone));
     cluster.run(200);
-    follow(&mut cluster, leader, 3);
+    add_learner(&mut cluster, leader, 3);
     cluster.propose_voters(leader, with(&cluster, leader, 3));
     cluster.run(200);
     assert!(cluster.status(leader).voters_committed);
@@ -47,7 +47,7 @@
 
 #[test]
 fn removed_leader_steps_down_after_the_commit() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     cluster.propose_voters(leader, without(&cluster, leader, leader));
     cluster.run(2000);
     let next = cluster.leader().expect("another leader");
@@ -58,7 +58,7 @@
 
 #[test]
 fn second_change_waits_for_the_first() {
-    let (mut cluster, leader) = Cluster::led(5, 0);
+    let (mut cluster, leader) = Cluster::with_leader(5, 0);
     let (a, b) = (cluster.other(&[leader]), 4 - usize::from(leader == 4));
     cluster.propose_voters(leader, without(&cluster, leader, a));
     let second = cluster.propose_voters(leader, without(&cluster, leader, b));
@@ -84,7 +84,7 @@
     ($($name:ident: $change:expr => $refusal:expr,)*) => {$(
         #[test]
         fn $name() {
-            let (mut cluster, leader) = Cluster::led(3, 2);
+            let (mut cluster, leader) = Cluster::with_leader(3, 2);
             let mut voters = cluster.status(leader).voters;
             let change: fn(&mut VoterSet) = $change;
             change(&mut voters);
@@ -111,7 +111,7 @@
 
 #[test]
 fn removed_voter_learns_of_it() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let gone = cluster.other(&[leader]);
     cluster.propose_voters(leader, without(&cluster, leader, gone));
     cluster.run(200);
