--- a/crates/quorum/src/hints.rs
+++ b/crates/quorum/src/hints.rs
@@ -62,7 +62,7 @@
         let leader = self.leader.iter();
         let others = self.voters.iter().filter(|voter| Some(*voter) != self.leader.as_ref());
         let mut order: Vec<HostId> = leader.chain(others).cloned().collect();
-        // The sort is stable: without timeouts the leader stays first.
+        // The sort is stable: the leader stays first among hosts with equal timeouts.
         order.sort_by_key(|host| self.recent_timeout(now, host));
         order
     }
--- a/crates/quorum/tests/checker.rs
+++ b/crates/quorum/tests/checker.rs
@@ -1,4 +1,4 @@
-//! What must hold in every run, whatever fails.
+//! Invariants that must hold in every run, under any failures.
 
 use std::{
     collections::{BTreeMap, BTreeSet, hash_map::DefaultHasher},
@@ -10,7 +10,7 @@
     Body, Entry, FolderId, HardState, Message, Payload, ReadId, Snapshot, VoteKind, VoterSet,
 };
 
-/// What a crash leaves of a node.
+/// The state of a node that survives a crash.
 #[derive(Clone, Debug, Default)]
 pub struct DiskImage {
     pub folder: FolderId,
@@ -40,7 +40,7 @@
     }
 }
 
-/// A promise that was broken.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
     TwoLeaders(Term),
@@ -54,7 +54,7 @@
     StaleRead(ReadId),
 }
 
-/// Watches a run.
+/// Checks the invariants during a run.
 #[derive(Debug, Default)]
 pub struct Checker {
     pub violations: Vec<Violation>,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Notes that a node applied an entry, and returns the state after it.
+    /// Records that a node applied an entry, and returns the state after it.
     pub fn record_applied(&mut self, entry: &Entry, state: u64) -> u64 {
         let index = entry.index;
         if *self.committed.entry(index).or_insert_with(|| entry.clone()) != *entry {
@@ -107,7 +107,7 @@
         state
     }
 
-    /// Notes that a folder holds an entry, also if its disk is lost later.
+    /// Records that a folder held entries, also if its disk is lost later.
     pub fn record_written(&mut self, folder: FolderId, entries: &[Entry]) {
         self.written.extend(entries.iter().map(|entry| (folder, entry.index, entry.term)));
         for entry in entries {
@@ -117,13 +117,13 @@
         }
     }
 
-    /// Notes that a folder holds a snapshot.
+    /// Records that a folder held a snapshot.
     pub fn record_snapshot(&mut self, folder: FolderId, through: LogIndex) {
         let covered = self.covered.entry(folder).or_default();
         *covered = through.max(*covered);
     }
 
-    /// Checks the first commit of an entry: a majority of its leader's voters must have held it.
+    /// Checks, at the first commit of an entry, that a majority of its leader's voters held it.
     pub fn check_commit(&mut self, entry: &Entry, voters: &VoterSet) {
         if self.committed.contains_key(&entry.index) {
             return;
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Checks that one host at most holds a lease at a time.
+    /// Checks that at most one host holds a lease at a time.
     pub fn check_leases(&mut self, holders: &[Term]) {
         if let [_, second, ..] = holders {
             self.violations.push(Violation::TwoLeases(*second));
@@ -149,7 +149,7 @@
         self.reads.insert(id, committed.copied().unwrap_or_default());
     }
 
-    /// Checks that a read sees all that was committed when it came.
+    /// Checks that a read includes all entries committed when it was requested.
     pub fn check_read(&mut self, id: ReadId, index: LogIndex) {
         if self.reads.get(&id).is_none_or(|needed| index < *needed) {
             self.violations.push(Violation::StaleRead(id));
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Checks that two logs are equal up to the last entry that they share.
+    /// Checks that two logs are equal up to their last entry of the same index and term.
     pub fn check_logs(&mut self, a: &DiskImage, b: &DiskImage) {
         let other: BTreeMap<LogIndex, &Entry> = b.entries.iter().map(|e| (e.index, e)).collect();
         let pairs = a.entries.iter().filter_map(|entry| Some((entry, *other.get(&entry.index)?)));
--- a/crates/quorum/tests/cluster.rs
+++ b/crates/quorum/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! Nodes on hosts that crash, lose their disks and talk over a network that fails.
+//! A simulated cluster: hosts that crash and lose their disks, on an unreliable network.
 
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -16,22 +16,22 @@
 
 use crate::checker::{Checker, DiskImage};
 
-/// Time between two ticks, in milliseconds.
+/// Time between two ticks.
 pub const TICK_MS: u64 = 20;
 
-/// A fault planted in the driver, which the checker must find.
+/// A fault injected into the driver, which the checker must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     None,
     /// The vote is not written.
-    ForgetVote,
-    /// A host whose disk was lost speaks for its old folder.
+    OmitVote,
+    /// A host whose disk was lost sends messages in the name of its old folder.
     ForgeFolder,
-    /// Answers don't wait for slow disks.
-    AnswerBeforeSync,
+    /// Replies don't wait for syncs.
+    ReplyBeforeSync,
 }
 
-/// Where in a step a host crashes.
+/// The point of a step at which a host crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Crash {
     BeforeSync,
@@ -45,12 +45,13 @@
     pub disk: DiskImage,
     pub node: Option<Node<Pcg64Mcg>>,
     pub responses: Vec<Action>,
-    /// How long a sync takes.
+    /// Duration of a sync.
     pub sync_time: Duration,
     gate: SyncGate,
-    /// Batches that are being written, each with when that began.
+    /// Batches that are being written, each with the start of its write.
     unwritten: VecDeque<(MonotonicTime, Batch)>,
-    /// The voters with which this host, as the leader, committed what it has not applied yet.
+    /// The voters with which this host, as the leader, committed the entries that it has not yet
+    /// applied.
     committed_with: VecDeque<(LogIndex, VoterSet)>,
     first_folder: FolderId,
     state: u64,
@@ -79,7 +80,7 @@
 }
 
 impl Cluster {
-    /// Starts `founders` hosts that found a log, and `spares` that don't.
+    /// Starts `founders` hosts that found a log, and `spares` hosts that don't.
     pub fn new(founders: usize, spares: usize) -> Self {
         let mut cluster = Self {
             machines: Vec::new(),
@@ -113,7 +114,7 @@
         cluster
     }
 
-    /// Starts a cluster and waits for its leader.
+    /// Starts a cluster and runs it until it has a leader.
     pub fn with_leader(founders: usize, spares: usize) -> (Self, usize) {
         let mut cluster = Self::new(founders, spares);
         cluster.run(2000);
@@ -145,14 +146,14 @@
         machine.node = Some(Node::new(cfg, restored, self.now, rng));
     }
 
-    /// Ends a host's process, with what it has not written.
+    /// Ends a host's process; unwritten batches are lost.
     pub fn crash(&mut self, i: usize) {
         self.machines[i].node = None;
         self.machines[i].unwritten.clear();
         self.machines[i].committed_with.clear();
     }
 
-    /// Makes every disk slow.
+    /// Sets the sync duration of every disk.
     pub fn slow_disks(&mut self, sync_time: Duration) {
         for machine in &mut self.machines {
             machine.sync_time = sync_time;
@@ -172,7 +173,7 @@
         self.start(i);
     }
 
-    /// Cuts `a` off from `b`, both ways.
+    /// Cuts the network between `a` and `b` in both directions.
     pub fn cut_between(&mut self, a: usize, b: usize) {
         self.cut.extend([(a, b), (b, a)]);
     }
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Delivers one message under way.
+    /// Delivers one message in flight.
     pub fn deliver(&mut self, slot: usize, crash: Option<Crash>) {
         if self.packets.is_empty() {
             return;
@@ -222,7 +223,7 @@
         self.step(to, Input::Message { from, message }, crash);
     }
 
-    /// Drops all messages under way.
+    /// Drops all messages in flight.
     pub fn drop_all(&mut self) {
         self.packets.clear();
     }
@@ -239,7 +240,7 @@
         }
     }
 
-    pub fn under_way(&self) -> impl Iterator<Item = &Message> {
+    pub fn in_flight(&self) -> impl Iterator<Item = &Message> {
         self.packets.iter().map(|packet| &packet.message)
     }
 
@@ -297,7 +298,7 @@
         })
     }
 
-    /// Checks that a leader is there and commits, and that no promise was broken.
+    /// Checks that there is a leader, that it commits, and that no invariant was violated.
     pub fn check_commits(&mut self, text: &str) {
         let leader = self.leader().expect("a leader");
         self.propose(leader, text);
@@ -311,7 +312,7 @@
         (0..self.machines.len()).find(|i| !taken.contains(i)).expect("another host")
     }
 
-    /// Hands an input to a host's node and carries out what follows.
+    /// Steps a host's node with an input and carries out the resulting actions.
     pub fn step(&mut self, i: usize, input: Input, crash: Option<Crash>) {
         let machine = &mut self.machines[i];
         let Some(node) = &mut machine.node else { return };
@@ -325,7 +326,7 @@
         }
         let mut ready = Vec::new();
         let batch = machine.gate.submit(self.now, actions, &mut ready);
-        if let (Fault::AnswerBeforeSync, Some(batch)) = (self.fault, &batch) {
+        if let (Fault::ReplyBeforeSync, Some(batch)) = (self.fault, &batch) {
             machine.gate.mark_synced(batch.number, &mut ready);
         }
         machine.unwritten.extend(batch.map(|batch| (self.now, batch)));
@@ -334,14 +335,14 @@
             return self.crash(i);
         }
         self.sync(i, &mut ready);
-        self.note_leader(i);
+        self.check_leader(i);
         for action in ready {
             self.carry_out(i, action);
         }
-        self.compare_logs(i);
+        self.check_logs(i);
     }
 
-    /// Writes what waits, once a sync would be done.
+    /// Writes the waiting batches, once a sync of the oldest would be done.
     fn sync(&mut self, i: usize, ready: &mut Vec<Action>) {
         let machine = &self.machines[i];
         let (Some((began, _)), Some((_, last))) =
@@ -362,7 +363,7 @@
         for write in machine.unwritten.drain(..).flat_map(|(_, batch)| batch.writes) {
             match write {
                 Write::Log { mut hard_state, entries } => {
-                    if let (Fault::ForgetVote, Some(hard_state)) = (self.fault, &mut hard_state) {
+                    if let (Fault::OmitVote, Some(hard_state)) = (self.fault, &mut hard_state) {
                         hard_state.voted_for = None;
                     }
                     self.checker.record_written(machine.disk.folder, &entries);
@@ -395,7 +396,7 @@
                 self.checker.check_read(id, index);
                 self.machines[i].responses.push(Action::ReadReady { id, index });
             }
-            answer => self.machines[i].responses.push(answer),
+            response => self.machines[i].responses.push(response),
         }
     }
 
@@ -421,9 +422,9 @@
         machine.applied = entry.index;
     }
 
-    fn note_leader(&mut self, i: usize) {
+    fn check_leader(&mut self, i: usize) {
         let machine = &self.machines[i];
-        // Nobody hears of a term that a crash would take back.
+        // A term that is not durable yet is not visible to other hosts.
         let is_known = |node: &&Node<_>| {
             node.role() == Role::Leader && node.term() <= machine.disk.hard_state.term
         };
@@ -435,7 +436,7 @@
         self.checker.check_leases(&holders.collect::<Vec<_>>());
     }
 
-    fn compare_logs(&mut self, i: usize) {
+    fn check_logs(&mut self, i: usize) {
         for (other, machine) in self.machines.iter().enumerate() {
             if other != i {
                 self.checker.check_logs(&self.machines[i].disk, &machine.disk);
--- a/crates/quorum/tests/election.rs
+++ b/crates/quorum/tests/election.rs
@@ -21,13 +21,13 @@
 }
 
 sizes! {
-    one_host_leads_itself: 1,
+    single_host_elects_itself: 1,
     three_hosts_agree_on_a_leader: 3,
     five_hosts_agree_on_a_leader: 5,
 }
 
 #[test]
-fn host_that_was_cut_off_deposes_nobody() {
+fn partitioned_host_does_not_depose_the_leader() {
     let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let term = cluster.status(leader).term;
     let cut_off = cluster.other(&[leader]);
@@ -57,7 +57,7 @@
     }
 }
 
-/// Has a host vote for itself, restart, and be asked again in the same term.
+/// Lets a host vote for itself and restart, and requests its vote again in the same term.
 fn request_votes_across_restart(fault: Fault) -> (Cluster, HostId, Term) {
     let (mut cluster, _) = Cluster::with_leader(3, 0);
     cluster.fault = fault;
@@ -75,25 +75,25 @@
     (cluster, host(first), term)
 }
 
-/// Goes on until a candidate asks for votes, which are not delivered.
+/// Runs until a candidate requests votes; the requests are not delivered.
 fn run_to_vote(cluster: &mut Cluster) -> (usize, Term) {
     for _ in 0..100_000 {
-        let asked = cluster.under_way().find_map(|message| match message.body {
+        let request = cluster.in_flight().find_map(|message| match message.body {
             Body::Vote { vote_kind: VoteKind::Vote, campaign, .. } => {
                 Some((message.folder, campaign))
             }
             _ => None,
         });
-        if let Some((folder, term)) = asked {
-            let asks = |i: &usize| cluster.machines[*i].disk.folder == folder;
-            return ((0..3).find(asks).expect("a known folder"), term);
+        if let Some((folder, term)) = request {
+            let is_candidate = |i: &usize| cluster.machines[*i].disk.folder == folder;
+            return ((0..3).find(is_candidate).expect("a known folder"), term);
         }
-        if cluster.under_way().next().is_none() {
+        if cluster.in_flight().next().is_none() {
             cluster.tick_all();
         }
         cluster.deliver(0, None);
     }
-    panic!("nobody asked for votes");
+    panic!("no candidate requested votes");
 }
 
 #[test]
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn checker_finds_a_forgotten_vote() {
-    let (cluster, voter, term) = request_votes_across_restart(Fault::ForgetVote);
+fn checker_detects_an_unwritten_vote() {
+    let (cluster, voter, term) = request_votes_across_restart(Fault::OmitVote);
     assert!(cluster.checker.violations.contains(&Violation::TwoVotes(term, voter)));
 }
--- a/crates/quorum/tests/healing.rs
+++ b/crates/quorum/tests/healing.rs
@@ -1,4 +1,4 @@
-//! Voters that change without an operator.
+//! Changes of voters without an operator.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,27 +7,27 @@
 
 use crate::cluster::{Cluster, host};
 
-/// Time between two looks at the voters, in milliseconds.
+/// Time between two checks of the voters.
 const HEALING_INTERVAL_MS: u64 = 100;
 
-/// A healing of five hosts with disks, two of which may lose theirs at once.
+/// A cluster that changes its voters by itself, with a target of five; two disks may be lost at once.
 struct HealingCluster {
     cluster: Cluster,
     led_since: BTreeMap<usize, MonotonicTime>,
-    fewest: usize,
+    min_voters_seen: usize,
 }
 
 impl HealingCluster {
     fn new(founders: usize, spares: usize) -> Self {
         let cluster = Cluster::new(founders, spares);
-        Self { cluster, led_since: BTreeMap::new(), fewest: usize::MAX }
+        Self { cluster, led_since: BTreeMap::new(), min_voters_seen: usize::MAX }
     }
 
     fn settings() -> HealingSettings {
         HealingSettings { lost_disks: 2, ..HealingSettings::default() }
     }
 
-    /// Lets time pass while the leader mends the voters.
+    /// Lets time pass while the leader changes the voters.
     fn run(&mut self, millis: u64) {
         for _ in 0..millis.div_ceil(HEALING_INTERVAL_MS) {
             self.cluster.run(HEALING_INTERVAL_MS);
@@ -49,7 +49,7 @@
         let view = LeaderView { status: &status, me: &me, now, led };
         if let Some(voters) = next_voters(&view, &Self::settings()) {
             if 5 <= status.voters.folders.len() {
-                self.fewest = self.fewest.min(voters.folders.len());
+                self.min_voters_seen = self.min_voters_seen.min(voters.folders.len());
             }
             self.cluster.propose_voters(leader, voters);
         }
@@ -59,8 +59,8 @@
         self.cluster.leader().expect("a leader")
     }
 
-    /// Returns the voters that vote from the folder that their host has.
-    fn sound_voters(&self) -> usize {
+    /// Returns the number of running voters with the folder from which they may vote.
+    fn valid_voters(&self) -> usize {
         let voters = self.cluster.status(self.leader()).voters;
         let machines = self.cluster.machines.iter().filter(|machine| machine.node.is_some());
         machines.filter(|machine| voters.admits(&machine.host, machine.disk.folder)).count()
@@ -78,8 +78,8 @@
         (0..5).filter(|i| *i != leader).take(count).collect()
     }
 
-    fn finish(&self) {
-        assert_eq!(self.sound_voters(), 5);
+    fn check_recovered(&self) {
+        assert_eq!(self.valid_voters(), 5);
         assert_eq!(self.cluster.checker.violations, []);
     }
 }
@@ -91,33 +91,33 @@
 }
 
 #[test]
-fn founders_take_the_other_hosts_in() {
+fn spare_hosts_become_voters() {
     let mut healing = five_voters();
     healing.commit("order 1");
-    healing.finish();
+    healing.check_recovered();
 }
 
 #[test]
-fn lost_disk_is_swapped_within_the_time_to_catch_up() {
+fn voter_with_a_lost_disk_is_added_again_after_catching_up() {
     let mut healing = five_voters();
     let lost = healing.others(1)[0];
     healing.cluster.lose_disk(lost);
     healing.run(2000);
-    healing.finish();
-    assert_eq!(healing.fewest, 4);
+    healing.check_recovered();
+    assert_eq!(healing.min_voters_seen, 4);
 }
 
 #[test]
-fn lost_leader_disk_is_swapped() {
+fn leader_with_a_lost_disk_is_added_again() {
     let mut healing = five_voters();
     let leader = healing.leader();
     healing.cluster.lose_disk(leader);
     healing.run(4000);
-    healing.finish();
+    healing.check_recovered();
 }
 
 #[test]
-fn two_lost_disks_while_all_others_restart_lose_nothing() {
+fn two_lost_disks_while_all_others_restart_lose_no_entry() {
     let mut healing = five_voters();
     healing.commit("order 1");
     let lost = healing.others(2);
@@ -133,12 +133,12 @@
     }
     healing.run(6000);
     healing.commit("order 2");
-    healing.finish();
-    assert_eq!(healing.fewest, 4);
+    healing.check_recovered();
+    assert_eq!(healing.min_voters_seen, 4);
 }
 
 #[test]
-fn replaced_host_is_left_out_for_the_new_one() {
+fn crashed_voter_is_replaced_once_a_spare_is_up() {
     let mut healing = HealingCluster::new(3, 3);
     healing.cluster.crash(5);
     healing.run(3000);
@@ -148,24 +148,24 @@
     assert_eq!(healing.cluster.status(healing.leader()).voters.folders.len(), 5);
     healing.cluster.start(5);
     healing.run(2500);
-    healing.finish();
+    healing.check_recovered();
 }
 
 #[test]
-fn silent_voters_stay_without_a_replacement() {
+fn unresponsive_voters_stay_without_a_spare() {
     let mut healing = five_voters();
-    let silent = healing.others(2);
-    silent.iter().for_each(|i| healing.cluster.crash(*i));
+    let crashed = healing.others(2);
+    crashed.iter().for_each(|i| healing.cluster.crash(*i));
     healing.run(8000);
     healing.commit("order 1");
     assert_eq!(healing.cluster.status(healing.leader()).voters.folders.len(), 5);
-    silent.iter().for_each(|i| healing.cluster.start(*i));
+    crashed.iter().for_each(|i| healing.cluster.start(*i));
     healing.run(2000);
-    healing.finish();
+    healing.check_recovered();
 }
 
 #[test]
-fn settings_keep_a_copy_more_than_disks_may_be_lost() {
+fn majority_exceeds_the_disks_that_may_be_lost() {
     for lost_disks in 0..4 {
         let settings = HealingSettings { lost_disks, ..HealingSettings::default() };
         for voters in settings.min_voters()..=settings.target_voters() {
--- a/crates/quorum/tests/hints.rs
+++ b/crates/quorum/tests/hints.rs
@@ -1,4 +1,4 @@
-//! Whom a host outside the quorum asks for the leader.
+//! The order in which a host outside the quorum tries the voters.
 
 use base::{HostId, MonotonicTime};
 use quorum::LeaderHints;
@@ -20,14 +20,14 @@
 }
 
 #[test]
-fn leader_is_asked_first() {
+fn leader_comes_first() {
     let mut hints = hints();
     hints.set_leader(Some(host(3)));
     assert_eq!(first(&hints, 0, 2), [host(3), host(0)]);
 }
 
 #[test]
-fn silent_hosts_are_asked_last_even_if_old_word_says_that_they_lead() {
+fn timed_out_hosts_come_last_even_if_an_outdated_hint_names_them() {
     let mut hints = hints();
     hints.set_leader(Some(host(0)));
     hints.timed_out(at(600), &host(0));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn slow_leader_that_a_voter_names_is_asked_first_again() {
+fn timed_out_leader_named_by_a_voter_comes_first_again() {
     let mut hints = hints();
     hints.set_leader(Some(host(0)));
     hints.timed_out(at(600), &host(0));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn host_that_answers_again_is_no_longer_silent() {
+fn response_clears_a_timeout() {
     let mut hints = hints();
     hints.timed_out(at(0), &host(0));
     hints.answered(&host(0));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn silence_is_forgotten() {
+fn timeout_expires() {
     let mut hints = hints();
     hints.timed_out(at(0), &host(0));
     hints.set_leader(Some(host(0)));
--- a/crates/quorum/tests/lease.rs
+++ b/crates/quorum/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Leases, reads and handing over.
+//! Leases, reads and leadership transfer.
 
 use std::time::Duration;
 
@@ -14,14 +14,14 @@
 }
 
 #[test]
-fn lease_of_a_frozen_leader_ends_by_itself() {
+fn lease_of_a_paused_leader_expires() {
     let (cluster, leader) = Cluster::with_leader(3, 0);
     let later = cluster.now + Duration::from_millis(300);
     assert!(!cluster.node(leader).holds_lease(later));
 }
 
 #[test]
-fn no_other_host_leads_before_the_lease_ends() {
+fn no_other_host_leads_before_the_lease_expires() {
     for hosts in [3, 5] {
         let (mut cluster, old) = Cluster::with_leader(hosts, 0);
         let until = cluster.node(old).lease_until(cluster.now).expect("a lease");
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn read_at_a_leader_that_was_cut_off_is_refused() {
+fn read_at_a_partitioned_leader_is_refused() {
     let (mut cluster, leader) = Cluster::with_leader(3, 0);
     cluster.isolate(leader);
     cluster.run(400);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn leader_hands_over_without_an_election_timeout() {
+fn leadership_transfer_needs_no_election_timeout() {
     let (mut cluster, old) = Cluster::with_leader(3, 0);
     cluster.step(old, Input::Transfer, None);
     assert!(!cluster.node(old).holds_lease(cluster.now));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn leader_that_hands_over_takes_no_proposals_and_goes_on_if_nobody_can() {
+fn transferring_leader_refuses_proposals_and_resumes_if_no_voter_takes_over() {
     let (mut cluster, leader) = Cluster::with_leader(3, 0);
     cluster.propose(leader, "order 1");
     cluster.step(leader, Input::Transfer, None);
--- a/crates/quorum/tests/lost_disk.rs
+++ b/crates/quorum/tests/lost_disk.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn voter_stays_silent_until_a_majority_confirmed_it() {
+fn voter_stays_inactive_until_a_majority_confirmed_it() {
     let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let alone = cluster.other(&[leader]);
     cluster.isolate(alone);
@@ -98,8 +98,8 @@
     assert_eq!(cluster.role(alone), Some(Role::Follower));
 }
 
-/// Commits an order, then puts back the disk that `i` had before it.
-fn put_back_older_copy(cluster: &mut Cluster, leader: usize, i: usize) {
+/// Commits a command, then restores the disk that `i` had before it.
+fn restore_older_copy(cluster: &mut Cluster, leader: usize, i: usize) {
     let copy = cluster.machines[i].disk.clone();
     cluster.propose(leader, "order 1");
     cluster.run(400);
@@ -112,16 +112,16 @@
 fn older_copy_is_refused() {
     let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let old = cluster.other(&[leader]);
-    put_back_older_copy(&mut cluster, leader, old);
+    restore_older_copy(&mut cluster, leader, old);
     cluster.run(2000);
     assert_eq!(cluster.registration(old), Registration::Refused);
 }
 
 #[test]
-fn older_copy_is_refused_without_the_leader_of_that_time() {
+fn older_copy_is_refused_without_the_former_leader() {
     let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let old = cluster.other(&[leader]);
-    put_back_older_copy(&mut cluster, leader, old);
+    restore_older_copy(&mut cluster, leader, old);
     cluster.crash(leader);
     cluster.run(2000);
     assert_eq!(cluster.registration(old), Registration::Refused);
@@ -132,7 +132,7 @@
 fn older_copy_is_refused_however_often_it_starts() {
     let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let old = cluster.other(&[leader]);
-    put_back_older_copy(&mut cluster, leader, old);
+    restore_older_copy(&mut cluster, leader, old);
     for _ in 0..10 {
         cluster.run(200);
         cluster.restart(old);
--- a/crates/quorum/tests/main.rs
+++ b/crates/quorum/tests/main.rs
@@ -1,4 +1,4 @@
-//! The replicated log, by theme.
+//! Tests of the replicated log.
 
 mod checker;
 mod cluster;
--- a/crates/quorum/tests/messages.rs
+++ b/crates/quorum/tests/messages.rs
@@ -1,4 +1,4 @@
-//! A node's answers to single messages.
+//! A node's replies to single messages.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,7 +12,7 @@
 
 use crate::cluster::host;
 
-/// Host 0 with its log, among voters that the test plays.
+/// The node of host 0, with the other voters played by the test.
 pub struct NodeHarness {
     node: Node<Pcg64Mcg>,
     now: MonotonicTime,
@@ -20,7 +20,8 @@
 }
 
 impl NodeHarness {
-    /// Starts host 0 among `voters` with one entry of each term after the first entry.
+    /// Starts host 0 as one of `voters` voters, with one entry of each of `terms` after the first
+    /// entry.
     pub fn new(voters: usize, terms: &[u64]) -> Self {
         let folders = (0..voters).map(|i| (host(i), folder(i))).collect();
         let mut entries = vec![entry(1, 1, Payload::Voters(VoterSet { folders }))];
@@ -40,7 +41,7 @@
         harness
     }
 
-    /// Starts host 0 and has it elected by all `voters`.
+    /// Starts host 0 and lets all `voters` elect it.
     fn leading(voters: usize, terms: &[u64]) -> Self {
         let mut harness = Self::new(voters, terms);
         harness.wait(700);
@@ -88,7 +89,7 @@
         self.node.status().commit.as_u64()
     }
 
-    /// Returns the term and vote that were written last.
+    /// Returns the hard state that was written last.
     fn written(&self) -> HardState {
         let written = self.actions.iter().rev().find_map(|action| match action {
             Action::Write(Write::Log { hard_state, .. }) => hard_state.clone(),
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn entry_of_an_older_term_is_not_committed_by_counting() {
+fn entry_of_an_older_term_is_not_committed_by_counting_replicas() {
     let mut harness = NodeHarness::leading(3, &[2]);
     harness.acknowledge(1, 2);
     assert_eq!(harness.commit(), 0);
@@ -146,14 +147,14 @@
 }
 
 #[test]
-fn commit_stops_where_the_logs_are_known_to_agree() {
+fn commit_is_limited_to_the_matched_entries() {
     let mut harness = NodeHarness::new(3, &[1, 1, 1]);
     harness.receive(1, folder(1), heartbeat(2, 1, 4));
     assert_eq!(harness.commit(), 2);
 }
 
 #[test]
-fn snapshot_of_another_history_replaces_the_log() {
+fn conflicting_snapshot_replaces_the_log() {
     let mut harness = NodeHarness::new(3, &[1, 1, 1]);
     let body = Body::Chunk {
         last_index: LogIndex::new(3),
@@ -170,7 +171,7 @@
 }
 
 #[test]
-fn new_voter_does_not_make_the_majority_that_takes_it_in() {
+fn new_voter_does_not_count_towards_its_own_addition() {
     let mut harness = NodeHarness::leading(2, &[]);
     harness.acknowledge(1, 2);
     harness.step(Input::Learners(vec![host(2)]));
--- a/crates/quorum/tests/model.rs
+++ b/crates/quorum/tests/model.rs
@@ -1,4 +1,4 @@
-//! Random runs with failures, checked after each step.
+//! Random runs with failures; the invariants are checked after each step.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 use crate::cluster::{Cluster, Crash, Fault, TICK_MS};
 
-/// Most transitions in a run.
+/// Maximum number of transitions in a run.
 const MAX_TRANSITIONS: usize = 120;
 
 #[derive(Clone, Debug)]
@@ -65,7 +65,7 @@
     .boxed()
 }
 
-/// Any transition may follow any other; what can't happen does nothing.
+/// A reference model that allows any transition after any other; impossible ones have no effect.
 #[derive(Debug)]
 struct AnyTransition<const HOSTS: usize>;
 
@@ -141,7 +141,7 @@
     }
 }
 
-/// Loses a disk, unless no other one holds anything.
+/// Loses a disk, unless all others are empty.
 fn lose_disk(cluster: &mut Cluster, i: usize) {
     let others = cluster.machines.iter().enumerate().filter(|(other, _)| *other != i);
     if others.clone().any(|(_, machine)| !machine.disk.is_fresh()) {
@@ -149,7 +149,7 @@
     }
 }
 
-/// Removes a voter, or takes in a host that is none.
+/// Removes a host that is a voter, or adds one that isn't.
 fn change_voters(cluster: &mut Cluster, i: usize) {
     let Some(leader) = cluster.leader() else { return };
     let machine = &cluster.machines[i];
@@ -177,17 +177,17 @@
     #![proptest_config(config(96))]
 
     #[test]
-    fn three_hosts_keep_their_promises(sequential 1..MAX_TRANSITIONS => ClusterTest<3>);
+    fn three_hosts_keep_all_invariants(sequential 1..MAX_TRANSITIONS => ClusterTest<3>);
 }
 
 prop_state_machine! {
     #![proptest_config(config(48))]
 
     #[test]
-    fn five_hosts_keep_their_promises(sequential 1..MAX_TRANSITIONS => ClusterTest<5>);
+    fn five_hosts_keep_all_invariants(sequential 1..MAX_TRANSITIONS => ClusterTest<5>);
 }
 
-/// Returns whether random runs with a planted fault break a promise.
+/// Returns whether random runs with an injected fault violate an invariant.
 fn is_detected(fault: Fault) -> bool {
     let strategy = <AnyTransition<3>>::sequential_strategy(MAX_TRANSITIONS / 2..MAX_TRANSITIONS);
     let run = |((), transitions, _): (_, Vec<Transition>, _)| {
@@ -204,7 +204,7 @@
     TestRunner::new(cfg).run(&strategy, run).is_err()
 }
 
-macro_rules! planted_faults {
+macro_rules! injected_faults {
     ($($name:ident: $fault:expr => $found:expr,)*) => {$(
         #[test]
         fn $name() {
@@ -213,10 +213,10 @@
     )*};
 }
 
-planted_faults! {
-    finds_no_fault_where_none_is: Fault::None => false,
-    finds_forged_folder: Fault::ForgeFolder => true,
-    finds_answers_before_sync: Fault::AnswerBeforeSync => true,
+injected_faults! {
+    no_fault_causes_no_violation: Fault::None => false,
+    forged_folder_is_detected: Fault::ForgeFolder => true,
+    replies_before_sync_are_detected: Fault::ReplyBeforeSync => true,
 }
 
 proptest! {
@@ -237,7 +237,7 @@
     }
 }
 
-/// Checks that a cluster commits again after any failures that left a majority of its disks.
+/// Checks that a cluster commits again after failures that left a majority of its disks.
 fn recover(mut cluster: Cluster, transitions: Vec<Transition>) {
     cluster.run(800);
     for transition in transitions {
@@ -256,7 +256,7 @@
     assert_eq!(cluster.checker.violations, []);
 }
 
-/// Returns the voters that were committed last, and those that any disk holds after them.
+/// Returns the latest committed voters, and later ones that any disk holds.
 fn voter_sets(cluster: &Cluster) -> Vec<VoterSet> {
     let committed = cluster.checker.committed.values().rev();
     let last = committed.into_iter().find(|entry| matches!(entry.payload, Payload::Voters(_)));
@@ -270,7 +270,7 @@
     sets.collect()
 }
 
-/// Returns whether most of `voters` still have the disk that they vote from.
+/// Returns whether a majority of `voters` still has the folder from which it may vote.
 fn has_majority(cluster: &Cluster, voters: &VoterSet) -> bool {
     let whole = cluster.machines.iter().filter(|m| voters.admits(&m.host, m.disk.folder));
     voters.folders.is_empty() || voters.majority() <= whole.count()
--- a/crates/quorum/tests/regression/late_message_from_an_earlier_start.rs
+++ b/crates/quorum/tests/regression/late_message_from_an_earlier_start.rs
@@ -1,4 +1,5 @@
-//! A late message from an earlier start used up the number of the next registration.
+//! A delayed message from an earlier start marked the next registration's number as used, so that
+//! the registration was refused.
 
 use base::{LogIndex, Term};
 use quorum::{Body, StartCount, VoteKind};
@@ -9,7 +10,7 @@
 };
 
 #[test]
-fn message_from_an_earlier_start_does_not_use_up_a_registration() {
+fn message_from_an_earlier_start_does_not_consume_a_registration() {
     let mut harness = NodeHarness::new(3, &[]);
     let register = Body::Register { starts: StartCount(2), last_index: LogIndex::new(1) };
     let term = Term::new(1);
--- a/crates/quorum/tests/regression/leader_restarts_while_adding.rs
+++ b/crates/quorum/tests/regression/leader_restarts_while_adding.rs
@@ -1,4 +1,4 @@
-//! A voter whose own log did not name it yet ignored the candidate that needed it.
+//! A voter whose own log did not name it yet ignored vote requests from the only candidate.
 
 use crate::{
     cluster::Cluster,
@@ -6,7 +6,7 @@
 };
 
 #[test]
-fn leader_that_restarts_while_it_takes_in_a_second_voter_leads_again() {
+fn leader_that_restarts_while_it_adds_a_second_voter_leads_again() {
     let (mut cluster, leader) = Cluster::with_leader(1, 1);
     add_learner(&mut cluster, leader, 1);
     cluster.propose_voters(leader, with(&cluster, leader, 1));
--- a/crates/quorum/tests/regression/leader_restarts_while_leaving.rs
+++ b/crates/quorum/tests/regression/leader_restarts_while_leaving.rs
@@ -1,9 +1,9 @@
-//! A leader that was leaving held the longest log and did not campaign.
+//! A restarted leader that was being removed held the longest log but did not campaign.
 
 use crate::{cluster::Cluster, voters::without};
 
 #[test]
-fn leader_that_restarts_while_it_leaves_finishes_the_change() {
+fn leader_that_restarts_while_it_removes_itself_finishes_the_change() {
     let (mut cluster, leader) = Cluster::with_leader(2, 0);
     let other = cluster.other(&[leader]);
     cluster.propose_voters(leader, without(&cluster, leader, leader));
--- a/crates/quorum/tests/regression/mod.rs
+++ b/crates/quorum/tests/regression/mod.rs
@@ -1,4 +1,4 @@
-//! Faults that were found.
+//! Regression tests for faults that were fixed or are known.
 
 mod late_message_from_an_earlier_start;
 mod leader_restarts_while_adding;
--- a/crates/quorum/tests/regression/removed_voter_restarts.rs
+++ b/crates/quorum/tests/regression/removed_voter_restarts.rs
@@ -1,9 +1,10 @@
-//! A smaller voter set needs the removed voter, which nobody sent the entry or confirmed.
+//! The removal of one of two voters needs that voter's acknowledgement, but nobody sent it the entry
+//! or confirmed its folder after it restarted.
 
 use crate::{cluster::Cluster, voters::without};
 
 #[test]
-fn last_but_one_voter_is_removed_though_it_restarts() {
+fn second_voter_is_removed_although_it_restarts() {
     let (mut cluster, leader) = Cluster::with_leader(2, 0);
     let gone = cluster.other(&[leader]);
     cluster.propose_voters(leader, without(&cluster, leader, gone));
--- a/crates/quorum/tests/regression/starter_unknown_to_voter_behind.rs
+++ b/crates/quorum/tests/regression/starter_unknown_to_voter_behind.rs
@@ -1,4 +1,5 @@
-//! A voter that was taken in and restarted found no majority, since one voter lagged behind.
+//! A newly added voter that restarted was not confirmed by a majority, because the log of a lagging
+//! voter did not name it yet.
 
 use crate::{
     cluster::Cluster,
--- a/crates/quorum/tests/regression/voter_behind_counts_removed_voters.rs
+++ b/crates/quorum/tests/regression/voter_behind_counts_removed_voters.rs
@@ -1,10 +1,11 @@
-//! A voter that was behind waited for removed voters, lost since, to confirm its folder.
+//! A lagging voter waited for removed voters, lost since, to confirm its folder.
 
 use crate::{cluster::Cluster, voters::without};
 
-/// Has a leader remove a voter that is lost with another one, while a third is behind.
+/// Lets a leader remove a voter while another one lags, then loses the disks of the removed voter
+/// and of a third.
 ///
-/// Returns the cluster, the leader and the voter that is behind and down.
+/// Returns the cluster, the leader and the lagging voter, which is down.
 fn two_lost_and_one_behind() -> (Cluster, usize, usize) {
     let (mut cluster, leader) = Cluster::with_leader(4, 0);
     let behind = cluster.other(&[leader]);
--- a/crates/quorum/tests/regression/voter_fails_after_repair.rs
+++ b/crates/quorum/tests/regression/voter_fails_after_repair.rs
@@ -1,4 +1,4 @@
-//! A new leader waited for an old voter, lost since, to commit a change that was committed before.
+//! A new leader needed a former voter, lost since, to commit a change that was committed already.
 
 use crate::{
     cluster::Cluster,
@@ -6,7 +6,7 @@
 };
 
 #[test]
-fn second_disk_may_be_lost_right_after_a_third_voter_was_taken_in() {
+fn leader_disk_may_be_lost_right_after_a_third_voter_was_added() {
     let (mut cluster, leader) = Cluster::with_leader(2, 1);
     add_learner(&mut cluster, leader, 2);
     cluster.propose_voters(leader, with(&cluster, leader, 2));
--- a/crates/quorum/tests/replication.rs
+++ b/crates/quorum/tests/replication.rs
@@ -59,7 +59,7 @@
         cluster.propose(leader, &text);
     }
     let sizes: Vec<usize> = cluster
-        .under_way()
+        .in_flight()
         .filter_map(|message| match &message.body {
             Body::Append { entries, .. } if !entries.is_empty() => Some(entries.len()),
             _ => None,
--- a/crates/quorum/tests/slow_disks.rs
+++ b/crates/quorum/tests/slow_disks.rs
@@ -1,4 +1,4 @@
-//! Disks whose syncs take long.
+//! Slow syncs.
 
 use std::time::Duration;
 
@@ -6,17 +6,17 @@
 
 use crate::cluster::Cluster;
 
-/// A sync that takes long, but less than it takes to lose the lead.
+/// A long sync, below the duration after which a leader steps down.
 const LONG_SYNC: Duration = Duration::from_millis(800);
 
-/// Time between proposals, in milliseconds.
+/// Time between proposals.
 const PROPOSAL_INTERVAL_MS: u64 = 200;
 
 macro_rules! sync_times {
     ($($name:ident: $hosts:expr, $millis:expr,)*) => {$(
         #[test]
         fn $name() {
-            keeps_its_leader($hosts, Duration::from_millis($millis));
+            check_leader_is_kept($hosts, Duration::from_millis($millis));
         }
     )*};
 }
@@ -29,8 +29,8 @@
     five_hosts_at_900_ms: 5, 900,
 }
 
-/// Checks that slow disks on all hosts delay what is proposed, and cost nobody the lead.
-fn keeps_its_leader(hosts: usize, sync_time: Duration) {
+/// Checks that slow disks on all hosts delay commits, but don't change the leader.
+fn check_leader_is_kept(hosts: usize, sync_time: Duration) {
     let (mut cluster, leader) = Cluster::with_leader(hosts, 0);
     let term = cluster.status(leader).term;
     cluster.slow_disks(sync_time);
@@ -45,7 +45,7 @@
     assert_eq!(cluster.checker.violations, []);
 }
 
-/// Checks that a proposal is committed when a long sync ends, and not before.
+/// Checks that a proposal is committed once a long sync ends, and not before.
 fn check_waits_for_one_sync(mut cluster: Cluster, leader: usize) {
     cluster.propose(leader, "order");
     cluster.run(780);
@@ -55,14 +55,14 @@
 }
 
 #[test]
-fn entry_is_committed_once_a_majority_has_synced_it_side_by_side() {
+fn entry_is_committed_after_parallel_syncs_of_a_majority() {
     let (mut cluster, leader) = Cluster::with_leader(3, 0);
     cluster.slow_disks(LONG_SYNC);
     check_waits_for_one_sync(cluster, leader);
 }
 
 #[test]
-fn entry_waits_for_the_leader_with_one_follower_away() {
+fn entry_waits_for_the_sync_of_the_leader_with_one_follower_down() {
     let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let away = cluster.other(&[leader]);
     cluster.crash(away);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn slow_snapshot_costs_nobody_the_lead() {
+fn slow_snapshot_does_not_depose_the_leader() {
     let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let term = cluster.status(leader).term;
     cluster.propose(leader, "order");
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn stuck_disk_gives_the_lead_away() {
+fn leader_with_a_stuck_disk_is_replaced() {
     let (mut cluster, leader) = Cluster::with_leader(3, 0);
     cluster.machines[leader].sync_time = Duration::from_secs(3600);
     cluster.propose(leader, "order");
--- a/crates/quorum/tests/snapshot.rs
+++ b/crates/quorum/tests/snapshot.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::Cluster;
 
-/// Enough commands that a follower without them needs the snapshot.
+/// More commands than a leader keeps behind a snapshot, so that a follower without them needs it.
 const COMMAND_COUNT: usize = 1100;
 
 fn fill(cluster: &mut Cluster, leader: usize) {
@@ -15,8 +15,8 @@
     cluster.run(200);
 }
 
-/// Returns a cluster, its leader, and a follower that is back after the log was compacted.
-fn far_behind() -> (Cluster, usize, usize) {
+/// Returns a cluster, its leader, and a follower reconnected after the log was compacted.
+fn with_follower_far_behind() -> (Cluster, usize, usize) {
     let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let behind = cluster.other(&[leader]);
     cluster.isolate(behind);
@@ -27,8 +27,8 @@
 }
 
 #[test]
-fn follower_far_behind_gets_the_snapshot_in_parts() {
-    let (mut cluster, leader, behind) = far_behind();
+fn follower_far_behind_receives_the_snapshot_in_chunks() {
+    let (mut cluster, leader, behind) = with_follower_far_behind();
     cluster.run(1000);
     assert_eq!(cluster.status(behind).applied, cluster.status(leader).applied);
     assert!(cluster.machines[behind].disk.snapshot.is_some());
@@ -36,8 +36,8 @@
 }
 
 #[test]
-fn lost_parts_are_sent_again() {
-    let (mut cluster, leader, behind) = far_behind();
+fn lost_chunks_are_sent_again() {
+    let (mut cluster, leader, behind) = with_follower_far_behind();
     for slot in 0..40 {
         cluster.tick_all();
         cluster.drop_packet(slot);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn follower_a_little_behind_gets_entries() {
+fn follower_slightly_behind_receives_entries() {
     let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let behind = cluster.other(&[leader]);
     cluster.isolate(behind);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn all_restart_from_their_snapshots() {
+fn all_hosts_restart_from_their_snapshots() {
     let (mut cluster, leader) = Cluster::with_leader(3, 0);
     cluster.propose(leader, "order 1");
     cluster.run(200);
--- a/crates/quorum/tests/voters.rs
+++ b/crates/quorum/tests/voters.rs
@@ -16,14 +16,14 @@
     voters
 }
 
-/// Has the leader send its log to a host that is no voter.
+/// Makes the leader replicate its log to a host that isn't a voter.
 pub fn add_learner(cluster: &mut Cluster, leader: usize, i: usize) {
     cluster.step(leader, Input::Learners(vec![host(i)]), None);
     cluster.run(500);
 }
 
 fn refusal(cluster: &Cluster, i: usize, wanted: ProposalId) -> Option<Refusal> {
-    cluster.machines[i].responses.iter().find_map(|answer| match answer {
+    cluster.machines[i].responses.iter().find_map(|response| match response {
         Action::Refused { id, refusal, .. } if *id == wanted => Some(*refusal),
         _ => None,
     })
@@ -66,11 +66,11 @@
 }
 
 #[test]
-fn change_waits_for_a_commit_in_the_term() {
+fn change_needs_a_commit_in_the_term() {
     let mut cluster = Cluster::new(3, 0);
     while cluster.leader().is_none() {
         cluster.tick_all();
-        while cluster.leader().is_none() && cluster.under_way().next().is_some() {
+        while cluster.leader().is_none() && cluster.in_flight().next().is_some() {
             cluster.deliver(0, None);
         }
     }
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn removed_voter_learns_of_it() {
+fn removed_voter_receives_its_removal() {
     let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let gone = cluster.other(&[leader]);
     cluster.propose_voters(leader, without(&cluster, leader, gone));
