--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -4,20 +4,20 @@
     path::Path,
 };
 
-/// The writes to a disk, each of which may fail.
+/// Write operations of a disk, each of which may fail.
 pub trait Disk {
     /// Writes `buf` at the end of `file`.
     ///
     /// # Errors
     ///
-    /// Returns an error if not all of it was written.
+    /// Returns an error if `buf` was not written completely.
     fn append(&self, file: &mut File, buf: &[u8]) -> io::Result<()>;
 
     /// Makes the content of `file` durable.
     ///
     /// # Errors
     ///
-    /// Returns an error if it may not be durable.
+    /// Returns an error if the content may not be durable.
     fn sync(&self, file: &File) -> io::Result<()>;
 
     /// Renames a file, replacing the target.
@@ -27,15 +27,15 @@
     /// Returns an error if the file was not renamed.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
 
-    /// Makes the names in a folder durable.
+    /// Makes the directory entries of a folder durable.
     ///
     /// # Errors
     ///
-    /// Returns an error if they may not be durable.
+    /// Returns an error if the entries may not be durable.
     fn sync_folder(&self, folder: &Path) -> io::Result<()>;
 }
 
-/// The disk as the operating system offers it.
+/// A disk accessed through the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RealDisk;
 
--- a/crates/store/src/document.rs
+++ b/crates/store/src/document.rs
@@ -6,18 +6,18 @@
     frame::{self, HEADER_BYTES, Kind},
 };
 
-const NAME: &str = "document";
+const FILE_NAME: &str = "document";
 
-/// A small file that is replaced as a whole, in a folder of its own.
+/// A small file that is replaced atomically, in a folder of its own.
 ///
-/// Whoever reads it finds the content before a replacement or the one after it, never a part.
+/// A reader finds either the content before a replacement or the one after it, never a mix.
 #[derive(Debug)]
 pub struct Document<D> {
     folder: Folder<D>,
 }
 
 impl<D: Disk> Document<D> {
-    /// Opens the folder, which is made if need be, and reads what was written last.
+    /// Opens the folder, which is created if missing, and reads the content.
     ///
     /// # Errors
     ///
@@ -33,17 +33,17 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if either content may be found from now on.
+    /// Returns an error if it is unknown which of the two contents a later read finds.
     pub fn write(&self, content: &[u8]) -> Result<()> {
         let mut body = Vec::new();
         frame::push(&mut body, content);
-        let path = self.folder.path.join(NAME);
+        let path = self.folder.path.join(FILE_NAME);
         self.folder.write_file(&path, &[&frame::header(Kind::Document), &body])?;
         Ok(())
     }
 
     fn read(&self) -> Result<Option<Vec<u8>>> {
-        let path = self.folder.path.join(NAME);
+        let path = self.folder.path.join(FILE_NAME);
         let bytes = match fs::read(&path) {
             Ok(bytes) => bytes,
             Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
@@ -51,7 +51,7 @@
         };
         frame::check_header(&path, &bytes, Kind::Document)?;
         let content = frame::read(&bytes[HEADER_BYTES..]);
-        let damage = || Error::damage(&path, HEADER_BYTES as u64, "the checksum is wrong");
+        let damage = || Error::damage(&path, HEADER_BYTES as u64, "checksum mismatch");
         content.map(|content| Some(content.to_vec())).ok_or_else(damage)
     }
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -4,23 +4,23 @@
     result,
 };
 
-/// The result of work on the data folder.
+/// The result of an operation on the data folder.
 pub type Result<T> = result::Result<T, Error>;
 
-/// A failure to use the data folder.
+/// A failed operation on the data folder.
 #[derive(Debug)]
 pub struct Error(Box<Failure>);
 
-/// What kind of failure an [`Error`] is.
+/// The category of an [`Error`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Category {
     /// The operating system refused to read or write.
     Io,
     /// The disk is full.
     Full,
-    /// What was written can't be read back.
+    /// Stored data can't be read back.
     Damage,
-    /// A file was written by a version of the program that this one doesn't know.
+    /// A file has a format version that is unknown to this version of the program.
     Version,
     /// Another process uses the folder.
     Locked,
@@ -30,15 +30,15 @@
 
 #[derive(Debug)]
 enum Failure {
-    Io { doing: &'static str, path: PathBuf, source: io::Error },
-    Damage { path: PathBuf, offset: u64, what: &'static str },
+    Io { operation: &'static str, path: PathBuf, source: io::Error },
+    Damage { path: PathBuf, offset: u64, reason: &'static str },
     Version { path: PathBuf, found: u32 },
     Locked { path: PathBuf },
     Poisoned,
 }
 
 impl Error {
-    /// Returns what kind of failure it is.
+    /// Returns the category of the failure.
     pub fn category(&self) -> Category {
         match &*self.0 {
             Failure::Io { source, .. } if is_full(source) => Category::Full,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Returns whether what was written can't be read back.
+    /// Returns whether stored data can't be read back.
     pub fn is_damage(&self) -> bool {
         self.category() == Category::Damage
     }
@@ -70,12 +70,12 @@
         self.category() == Category::Poisoned
     }
 
-    pub(crate) fn io(doing: &'static str, path: &Path) -> impl FnOnce(io::Error) -> Self {
-        move |source| Self(Box::new(Failure::Io { doing, path: path.into(), source }))
+    pub(crate) fn io(operation: &'static str, path: &Path) -> impl FnOnce(io::Error) -> Self {
+        move |source| Self(Box::new(Failure::Io { operation, path: path.into(), source }))
     }
 
-    pub(crate) fn damage(path: &Path, offset: u64, what: &'static str) -> Self {
-        Self(Box::new(Failure::Damage { path: path.into(), offset, what }))
+    pub(crate) fn damage(path: &Path, offset: u64, reason: &'static str) -> Self {
+        Self(Box::new(Failure::Damage { path: path.into(), offset, reason }))
     }
 
     pub(crate) fn version(path: &Path, found: u32) -> Self {
@@ -94,30 +94,30 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &*self.0 {
-            Failure::Io { doing, path, source } => {
-                write!(f, "cannot {doing} {}: {source}", path.display())
+            Failure::Io { operation, path, source } => {
+                write!(f, "cannot {operation} {}: {source}", path.display())
             }
-            Failure::Damage { path, offset, what } => write!(
+            Failure::Damage { path, offset, reason } => write!(
                 f,
-                "{} is damaged at byte {offset} ({what}); remove this host from the voters, \
+                "{} is damaged at byte {offset} ({reason}); remove this host from the voters, \
                  move the data folder away, start with an empty one and add the host again",
                 path.display()
             ),
             Failure::Version { path, found } => write!(
                 f,
-                "{} has format version {found}, which this version of the program doesn't know; \
+                "{} has format version {found}, which is unknown to this version of the program; \
                  start the version that wrote it",
                 path.display()
             ),
             Failure::Locked { path } => {
                 write!(
                     f,
-                    "another process holds {}; one process uses a data folder",
+                    "{} is locked by another process; only one process can use a data folder",
                     path.display()
                 )
             }
             Failure::Poisoned => f.write_str(
-                "an earlier write or sync of the data folder failed; mend the disk and restart",
+                "an earlier write or sync of the data folder failed; repair the disk and restart",
             ),
         }
     }
--- a/crates/store/src/folder.rs
+++ b/crates/store/src/folder.rs
@@ -11,12 +11,12 @@
     frame::{self, HEADER_BYTES, Kind},
 };
 
-const LOCK: &str = "lock";
-const IDENTITY: &str = "identity";
-/// End of the names of unfinished files.
-const TEMPORARY: &str = "tmp";
+const LOCK_FILE: &str = "lock";
+const IDENTITY_FILE: &str = "identity";
+/// Extension of files whose write is not complete.
+const TEMPORARY_EXTENSION: &str = "tmp";
 
-/// A data folder that no other process uses.
+/// A data folder, locked against use by other processes.
 #[derive(Debug)]
 pub(crate) struct Folder<D> {
     pub(crate) path: PathBuf,
@@ -25,10 +25,10 @@
 }
 
 impl<D: Disk> Folder<D> {
-    /// Makes the folder if need be and locks it.
+    /// Creates the folder if missing and locks it.
     pub(crate) fn lock(path: &Path, disk: D) -> Result<Self> {
         fs::create_dir_all(path).map_err(Error::io("create", path))?;
-        let name = path.join(LOCK);
+        let name = path.join(LOCK_FILE);
         let lock = File::create(&name).map_err(Error::io("create", &name))?;
         match lock.try_lock() {
             Ok(()) => {}
@@ -36,22 +36,22 @@
             Err(TryLockError::Error(source)) => return Err(Error::io("lock", &name)(source)),
         }
         let folder = Self { path: path.into(), disk, _lock: lock };
-        folder.remove_unfinished()?;
+        folder.remove_temporary_files()?;
         Ok(folder)
     }
 
     pub(crate) fn has_identity(&self) -> bool {
-        self.path.join(IDENTITY).exists()
+        self.path.join(IDENTITY_FILE).exists()
     }
 
-    /// Returns the folder's identity; an empty folder takes `fresh`.
-    pub(crate) fn identity(&self, fresh: FolderId, is_empty: bool) -> Result<FolderId> {
-        let path = self.path.join(IDENTITY);
+    /// Returns the folder's identity; an empty folder is given `new_id`.
+    pub(crate) fn identity(&self, new_id: FolderId, is_empty: bool) -> Result<FolderId> {
+        let path = self.path.join(IDENTITY_FILE);
         let bytes = match fs::read(&path) {
             Ok(bytes) => bytes,
             Err(source) if source.kind() == io::ErrorKind::NotFound && is_empty => {
-                self.write_identity(fresh)?;
-                return Ok(fresh);
+                self.write_identity(new_id)?;
+                return Ok(new_id);
             }
             Err(source) if source.kind() == io::ErrorKind::NotFound => {
                 return Err(Error::damage(&path, 0, "the file is missing"));
@@ -61,11 +61,11 @@
         frame::check_header(&path, &bytes, Kind::Identity)?;
         let payload = frame::read(&bytes[HEADER_BYTES..]);
         let number = payload.and_then(|payload| payload.try_into().ok()).map(u64::from_le_bytes);
-        let damage = || Error::damage(&path, HEADER_BYTES as u64, "the identity is wrong");
+        let damage = || Error::damage(&path, HEADER_BYTES as u64, "invalid identity");
         number.map(FolderId::new).ok_or_else(damage)
     }
 
-    /// Returns the files named `prefix-NUMBER`, by number.
+    /// Returns the files named `prefix-NUMBER`, sorted by number.
     pub(crate) fn numbered(&self, prefix: &str) -> Result<Vec<(u64, PathBuf)>> {
         let mut found: Vec<(u64, PathBuf)> = self
             .files()?
@@ -83,16 +83,16 @@
         self.path.join(format!("{prefix}-{number:020}"))
     }
 
-    /// Writes a file under a temporary name, syncs it and gives it its name.
+    /// Writes a file under a temporary name, syncs it and renames it.
     pub(crate) fn write_file(&self, path: &Path, parts: &[&[u8]]) -> Result<File> {
-        let unfinished = path.with_extension(TEMPORARY);
-        let mut file = File::create(&unfinished).map_err(Error::io("create", &unfinished))?;
+        let temporary = path.with_extension(TEMPORARY_EXTENSION);
+        let mut file = File::create(&temporary).map_err(Error::io("create", &temporary))?;
         for part in parts {
-            self.disk.append(&mut file, part).map_err(Error::io("write", &unfinished))?;
+            self.disk.append(&mut file, part).map_err(Error::io("write", &temporary))?;
         }
-        self.disk.sync(&file).map_err(Error::io("sync", &unfinished))?;
-        self.disk.rename(&unfinished, path).map_err(Error::io("rename", &unfinished))?;
-        self.sync_names()?;
+        self.disk.sync(&file).map_err(Error::io("sync", &temporary))?;
+        self.disk.rename(&temporary, path).map_err(Error::io("rename", &temporary))?;
+        self.sync_entries()?;
         Ok(file)
     }
 
@@ -100,7 +100,7 @@
         fs::remove_file(path).map_err(Error::io("remove", path))
     }
 
-    pub(crate) fn sync_names(&self) -> Result<()> {
+    pub(crate) fn sync_entries(&self) -> Result<()> {
         self.disk.sync_folder(&self.path).map_err(Error::io("sync", &self.path))
     }
 
@@ -108,13 +108,13 @@
         let mut body = Vec::new();
         frame::push(&mut body, &id.as_u64().to_le_bytes());
         let header = frame::header(Kind::Identity);
-        self.write_file(&self.path.join(IDENTITY), &[&header, &body])?;
+        self.write_file(&self.path.join(IDENTITY_FILE), &[&header, &body])?;
         Ok(())
     }
 
-    fn remove_unfinished(&self) -> Result<()> {
+    fn remove_temporary_files(&self) -> Result<()> {
         for path in self.files()? {
-            if path.extension().is_some_and(|extension| extension == TEMPORARY) {
+            if path.extension().is_some_and(|extension| extension == TEMPORARY_EXTENSION) {
                 self.remove(&path)?;
             }
         }
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -3,15 +3,15 @@
 use crate::{Error, Result};
 
 /// Format version of all files.
-const VERSION: u32 = 1;
+const FORMAT_VERSION: u32 = 1;
 /// Size of a file's header, in bytes.
 pub(crate) const HEADER_BYTES: usize = 16;
-/// Size of a frame besides its payload, in bytes.
-pub(crate) const FRAME_BYTES: usize = 12;
-/// First bytes of a frame.
-const FRAME_MARK: [u8; 4] = [0xd7, 0x0f, 0xe1, 0x9b];
+/// Size of a frame without its payload, in bytes.
+pub(crate) const FRAME_OVERHEAD_BYTES: usize = 12;
+/// Magic number at the start of a frame.
+const FRAME_MAGIC: [u8; 4] = [0xd7, 0x0f, 0xe1, 0x9b];
 
-/// What a file holds.
+/// The kind of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Kind {
     Identity,
@@ -21,7 +21,7 @@
 }
 
 impl Kind {
-    const fn mark(self) -> [u8; 8] {
+    const fn magic(self) -> [u8; 8] {
         match self {
             Self::Identity => *b"dotr-idy",
             Self::Segment => *b"dotr-log",
@@ -33,8 +33,8 @@
 
 pub(crate) fn header(kind: Kind) -> [u8; HEADER_BYTES] {
     let mut bytes = [0; HEADER_BYTES];
-    bytes[..8].copy_from_slice(&kind.mark());
-    bytes[8..12].copy_from_slice(&VERSION.to_le_bytes());
+    bytes[..8].copy_from_slice(&kind.magic());
+    bytes[8..12].copy_from_slice(&FORMAT_VERSION.to_le_bytes());
     let sum = crc32fast::hash(&bytes[..12]);
     bytes[12..].copy_from_slice(&sum.to_le_bytes());
     bytes
@@ -42,13 +42,13 @@
 
 pub(crate) fn check_header(path: &Path, bytes: &[u8], kind: Kind) -> Result<()> {
     let Some(found) = bytes.get(..HEADER_BYTES) else {
-        return Err(Error::damage(path, 0, "the header is cut short"));
+        return Err(Error::damage(path, 0, "truncated header"));
     };
-    if read_u32(&found[12..]) != crc32fast::hash(&found[..12]) || found[..8] != kind.mark() {
-        return Err(Error::damage(path, 0, "the header is wrong"));
+    if read_u32(&found[12..]) != crc32fast::hash(&found[..12]) || found[..8] != kind.magic() {
+        return Err(Error::damage(path, 0, "invalid header"));
     }
     match read_u32(&found[8..]) {
-        VERSION => Ok(()),
+        FORMAT_VERSION => Ok(()),
         other => Err(Error::version(path, other)),
     }
 }
@@ -60,23 +60,24 @@
 /// Panics if the payload has 4 GiB or more.
 pub(crate) fn push(buf: &mut Vec<u8>, payload: &[u8]) {
     let len = u32::try_from(payload.len()).expect("a frame is smaller than 4 GiB").to_le_bytes();
-    buf.extend(FRAME_MARK);
+    buf.extend(FRAME_MAGIC);
     buf.extend(len);
     buf.extend(checksum(len, payload).to_le_bytes());
     buf.extend(payload);
 }
 
-/// Returns the payload of the frame at the start of `bytes`, if it is whole.
+/// Returns the payload of the frame at the start of `bytes`, if it is complete and its checksum
+/// matches.
 pub(crate) fn read(bytes: &[u8]) -> Option<&[u8]> {
-    let rest = bytes.strip_prefix(&FRAME_MARK)?;
+    let rest = bytes.strip_prefix(&FRAME_MAGIC)?;
     let len: [u8; 4] = rest.get(..4)?.try_into().ok()?;
     let end = usize::try_from(u32::from_le_bytes(len)).ok()?.checked_add(8)?;
     let payload = rest.get(8..end)?;
     (read_u32(&rest[4..]) == checksum(len, payload)).then_some(payload)
 }
 
-/// Returns whether a whole frame starts anywhere in `bytes`.
-pub(crate) fn any(bytes: &[u8]) -> bool {
+/// Returns whether a complete frame starts anywhere in `bytes`.
+pub(crate) fn contains_frame(bytes: &[u8]) -> bool {
     (0..bytes.len()).any(|start| read(&bytes[start..]).is_some())
 }
 
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,13 +1,13 @@
-//! Files under the data folder: the log, the vote and snapshots.
+//! Storage in the data folder: the log, the vote and snapshots.
 //!
-//! [`Log`] keeps what a [`quorum::Node`] must find again after a crash. A driver stages what the
-//! node wants persisted and syncs once for the whole batch.
+//! [`Log`] stores what a [`quorum::Node`] needs after a crash. A driver stages the node's writes and
+//! syncs once for the whole batch.
 //!
 //! # Files
 //!
-//! | file | holds |
+//! | file | content |
 //! |---|---|
-//! | `lock` | nothing; held locked by the process that uses the folder |
+//! | `lock` | empty; locked by the process that uses the folder |
 //! | `identity` | the folder's random identity |
 //! | `snapshot-INDEX` | the replicated state up to an entry |
 //! | `log-NUMBER` | a segment of the log, in frames; one frame is one synced batch |
@@ -19,13 +19,14 @@
 //!
 //! # Damage
 //!
-//! An unfinished frame at the end of the newest segment was never synced and is dropped: opening
-//! the folder writes what is kept to a new segment. Anything else that can't be read is an error that names the file and the offset, and the folder stays as
-//! it is. A synced last frame that is damaged later looks like an unfinished one; the other voters
-//! notice that this folder holds less than it acknowledged, see [`quorum`].
+//! An incomplete frame at the end of the newest segment was never synced and is dropped: opening the
+//! folder writes the remaining state to a new segment. Anything else that can't be read is an error
+//! that names the file and the offset, and the folder is left unchanged. A synced last frame that is
+//! damaged later looks like an incomplete one; the other voters detect that this folder holds less
+//! than it acknowledged, see [`quorum`].
 //!
-//! A write or sync that failed poisons the log: what is on disk is unknown, so nothing may be
-//! acknowledged until the process has started anew and has written all that it keeps again.
+//! A failed write or sync poisons the log: the content of the disk is unknown, so nothing may be
+//! acknowledged until the process has restarted and has written the whole remaining state again.
 //!
 //! # Example
 //!
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -11,16 +11,16 @@
     Disk, Error, Result,
     folder::Folder,
     frame::{self, HEADER_BYTES, Kind},
-    segment::{self, PREFIX, Record, Replay},
+    segment::{self, Record, ReplayState, SEGMENT_PREFIX},
     snapshot,
 };
 
-/// Size from which a batch goes to a new segment, in bytes.
-const SEGMENT_BYTES: u64 = 64 << 20;
+/// Segment size from which the next batch is written to a new segment.
+const SEGMENT_ROTATION_BYTES: u64 = 64 << 20;
 
 /// The log, the vote and the newest snapshot in a data folder.
 ///
-/// A batch is staged and then synced. A failed write or sync poisons the log for good.
+/// A batch is staged and then synced. A failed write or sync poisons the log permanently.
 #[derive(Debug)]
 pub struct Log<D> {
     folder: Folder<D>,
@@ -28,59 +28,59 @@
     path: PathBuf,
     file: File,
     len: u64,
-    kept: Replay,
+    state: ReplayState,
     staged: Vec<Record>,
     poisoned: bool,
 }
 
 impl<D: Disk> Log<D> {
-    /// Opens the data folder at `path`, and makes it if need be with the identity `fresh`.
+    /// Opens the data folder at `path`; a missing one is created with the identity `new_id`.
     ///
     /// # Errors
     ///
     /// Returns an error if another process uses the folder, a file is damaged or of an unknown
-    /// version, or the operating system refuses.
-    pub fn open(path: &Path, disk: D, fresh: FolderId) -> Result<(Self, Restored)> {
+    /// version, or an operation of the file system fails.
+    pub fn open(path: &Path, disk: D, new_id: FolderId) -> Result<(Self, Restored)> {
         let folder = Folder::lock(path, disk)?;
         let snapshot = snapshot::read_newest(&folder)?;
         let segments = usable_segments(&folder)?;
         let Some(((number, newest), older)) = segments.split_last() else {
             let is_empty = snapshot.is_none() && !folder.has_identity();
             let missing = || Error::damage(path, 0, "the segments of the log are missing");
-            return if is_empty { Self::create(folder, fresh) } else { Err(missing()) };
+            return if is_empty { Self::create(folder, new_id) } else { Err(missing()) };
         };
-        let mut kept = Replay::default();
+        let mut state = ReplayState::default();
         for (_, older) in older {
-            segment::replay(older, &mut kept)?;
+            segment::replay(older, &mut state)?;
         }
-        segment::replay_newest(newest, &mut kept)?;
-        let is_empty = snapshot.is_none() && kept == Replay::default();
-        let id = folder.identity(fresh, is_empty)?;
+        segment::replay_newest(newest, &mut state)?;
+        let is_empty = snapshot.is_none() && state == ReplayState::default();
+        let id = folder.identity(new_id, is_empty)?;
         if let Some(snapshot) = &snapshot {
-            drop_covered(&mut kept.entries, snapshot.last_index, snapshot.last_term);
+            drop_covered(&mut state.entries, snapshot.last_index, snapshot.last_term);
         }
         let covered = snapshot.as_ref().map_or(LogIndex::ZERO, |snapshot| snapshot.last_index);
-        check_indexes(newest, covered, &kept.entries)?;
+        check_indexes(newest, covered, &state.entries)?;
         let restored = Restored {
             folder: id,
-            hard_state: kept.hard_state.clone(),
+            hard_state: state.hard_state.clone(),
             snapshot,
-            entries: kept.entries.clone(),
+            entries: state.entries.clone(),
         };
-        let log = Self::start(folder, number + 1, kept)?;
+        let log = Self::start(folder, number + 1, state)?;
         log.remove_older(covered)?;
         Ok((log, restored))
     }
 
-    /// Adds term, vote and entries to the batch; entries from the first one's index on that were
-    /// written before are dropped.
+    /// Adds a hard state and entries to the batch; entries written before from the first one's index
+    /// on are dropped.
     pub fn stage(&mut self, hard_state: Option<&HardState>, entries: &[Entry]) {
         if let Some(hard_state) = hard_state {
-            self.kept.hard_state = hard_state.clone();
+            self.state.hard_state = hard_state.clone();
             self.staged.push(Record::HardState(hard_state.clone()));
         }
         for entry in entries {
-            self.kept.write(entry.clone());
+            self.state.write(entry.clone());
             self.staged.push(Record::Entry(entry.clone()));
         }
     }
@@ -89,43 +89,44 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if it may not be durable, now and at each later call.
+    /// Returns an error if the batch may not be durable, and from then on at each call.
     pub fn sync(&mut self) -> Result<()> {
-        self.guarded(Self::write_staged)
+        self.run_unless_poisoned(Self::write_staged)
     }
 
-    /// Makes the staged batch and a snapshot durable, and drops the entries that it covers.
+    /// Makes the staged batch and a snapshot durable, and drops the entries that the snapshot covers.
     ///
-    /// Entries after it stay only if the log held the snapshot's last entry with its term.
+    /// Entries after it are kept only if the log held the snapshot's last entry with its term.
     ///
     /// # Errors
     ///
-    /// Returns an error if they may not be durable, now and at each later call.
+    /// Returns an error if they may not be durable, and from then on at each call.
     pub fn save_snapshot(&mut self, snapshot: &Snapshot) -> Result<()> {
-        self.guarded(|log| log.write_snapshot(snapshot))
+        self.run_unless_poisoned(|log| log.write_snapshot(snapshot))
     }
 
-    /// Returns whether a write or sync failed, so that nothing may be acknowledged.
+    /// Returns whether a write or sync failed; nothing may be acknowledged then.
     pub fn is_poisoned(&self) -> bool {
         self.poisoned
     }
 
-    fn create(folder: Folder<D>, fresh: FolderId) -> Result<(Self, Restored)> {
-        let log = Self::start(folder, 1, Replay::default())?;
-        let id = log.folder.identity(fresh, true)?;
+    fn create(folder: Folder<D>, new_id: FolderId) -> Result<(Self, Restored)> {
+        let log = Self::start(folder, 1, ReplayState::default())?;
+        let id = log.folder.identity(new_id, true)?;
         Ok((log, Restored { folder: id, ..Restored::default() }))
     }
 
-    /// Writes what is kept to a new segment.
+    /// Writes the whole state to a new segment.
     ///
-    /// What an earlier process failed to sync may be read back and still not be on the disk.
-    fn start(folder: Folder<D>, number: u64, kept: Replay) -> Result<Self> {
-        let (path, file, len) = write_segment(&folder, number, &kept)?;
+    /// Data that an earlier process failed to sync can be read back without being on the
+    /// disk.
+    fn start(folder: Folder<D>, number: u64, state: ReplayState) -> Result<Self> {
+        let (path, file, len) = write_segment(&folder, number, &state)?;
         let staged = Vec::new();
-        Ok(Self { folder, number, path, file, len, kept, staged, poisoned: false })
+        Ok(Self { folder, number, path, file, len, state, staged, poisoned: false })
     }
 
-    fn guarded(&mut self, work: impl FnOnce(&mut Self) -> Result<()>) -> Result<()> {
+    fn run_unless_poisoned(&mut self, work: impl FnOnce(&mut Self) -> Result<()>) -> Result<()> {
         if self.poisoned {
             return Err(Error::poisoned());
         }
@@ -138,7 +139,7 @@
         if self.staged.is_empty() {
             return Ok(());
         }
-        if SEGMENT_BYTES <= self.len {
+        if SEGMENT_ROTATION_BYTES <= self.len {
             self.start_segment()?;
         }
         let mut buf = Vec::new();
@@ -151,7 +152,7 @@
     }
 
     fn start_segment(&mut self) -> Result<()> {
-        let path = self.folder.path_of(PREFIX, self.number + 1);
+        let path = self.folder.path_of(SEGMENT_PREFIX, self.number + 1);
         let header = frame::header(Kind::Segment);
         self.file = self.folder.write_file(&path, &[&header])?;
         self.len = header.len() as u64;
@@ -163,8 +164,8 @@
     fn write_snapshot(&mut self, snapshot: &Snapshot) -> Result<()> {
         self.write_staged()?;
         snapshot::write(&self.folder, snapshot)?;
-        drop_covered(&mut self.kept.entries, snapshot.last_index, snapshot.last_term);
-        let (path, file, len) = write_segment(&self.folder, self.number + 1, &self.kept)?;
+        drop_covered(&mut self.state.entries, snapshot.last_index, snapshot.last_term);
+        let (path, file, len) = write_segment(&self.folder, self.number + 1, &self.state)?;
         (self.path, self.file, self.len) = (path, file, len);
         self.number += 1;
         self.remove_older(snapshot.last_index)
@@ -172,7 +173,7 @@
 
     /// Removes the segments before the newest and the snapshots before `covered`.
     fn remove_older(&self, covered: LogIndex) -> Result<()> {
-        for (number, path) in self.folder.numbered(PREFIX)? {
+        for (number, path) in self.folder.numbered(SEGMENT_PREFIX)? {
             if number < self.number {
                 self.folder.remove(&path)?;
             }
@@ -181,22 +182,22 @@
     }
 }
 
-/// Writes a segment that needs none before it.
+/// Writes a segment that starts with a checkpoint and can be replayed without earlier ones.
 fn write_segment<D: Disk>(
     folder: &Folder<D>,
     number: u64,
-    kept: &Replay,
+    state: &ReplayState,
 ) -> Result<(PathBuf, File, u64)> {
-    let mut records = vec![Record::Checkpoint, Record::HardState(kept.hard_state.clone())];
-    records.extend(kept.entries.iter().cloned().map(Record::Entry));
+    let mut records = vec![Record::Checkpoint, Record::HardState(state.hard_state.clone())];
+    records.extend(state.entries.iter().cloned().map(Record::Entry));
     let mut bytes = frame::header(Kind::Segment).to_vec();
     segment::push_batch(&mut bytes, &records);
-    let path = folder.path_of(PREFIX, number);
+    let path = folder.path_of(SEGMENT_PREFIX, number);
     let file = folder.write_file(&path, &[&bytes])?;
     Ok((path, file, bytes.len() as u64))
 }
 
-/// Drops the entries that a snapshot covers, and all others if they don't continue it.
+/// Drops the entries that a snapshot covers, and the entries after it if they don't continue it.
 fn drop_covered(entries: &mut Vec<Entry>, last_index: LogIndex, last_term: Term) {
     let continues = match entries.first() {
         Some(first) if first.index <= last_index => {
@@ -212,11 +213,11 @@
     }
 }
 
-/// Returns the segments from the newest one that needs none before it.
+/// Returns the segments from the newest one that starts with a checkpoint.
 fn usable_segments<D: Disk>(folder: &Folder<D>) -> Result<Vec<(u64, PathBuf)>> {
-    let mut segments = folder.numbered(PREFIX)?;
+    let mut segments = folder.numbered(SEGMENT_PREFIX)?;
     let mut first = segments.len();
-    while 0 < first && !segment::is_first(&segments[first - 1].1)? {
+    while 0 < first && !segment::starts_with_checkpoint(&segments[first - 1].1)? {
         first -= 1;
         let follows = 0 < first && segments[first - 1].0 + 1 == segments[first].0;
         if !follows {
--- a/crates/store/src/segment.rs
+++ b/crates/store/src/segment.rs
@@ -5,30 +5,30 @@
 
 use crate::{
     Error, Result,
-    frame::{self, FRAME_BYTES, HEADER_BYTES, Kind},
+    frame::{self, FRAME_OVERHEAD_BYTES, HEADER_BYTES, Kind},
 };
 
-pub(crate) const PREFIX: &str = "log";
+pub(crate) const SEGMENT_PREFIX: &str = "log";
 
-/// A part of a batch.
+/// A record in a batch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Record {
-    /// Nothing before this counts.
+    /// Discards all records before this one.
     Checkpoint,
-    /// Term, vote and what is known of the other voters.
+    /// The hard state: term, vote and records of the other voters' folders.
     HardState(HardState),
-    /// An entry; those from its index on that were written before are dropped.
+    /// An entry; entries written before from its index on are dropped.
     Entry(Entry),
 }
 
-/// What the segments hold.
+/// The state after the replay of segments.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub(crate) struct Replay {
+pub(crate) struct ReplayState {
     pub(crate) hard_state: HardState,
     pub(crate) entries: Vec<Entry>,
 }
 
-impl Replay {
+impl ReplayState {
     pub(crate) fn write(&mut self, entry: Entry) {
         while self.entries.last().is_some_and(|last| entry.index <= last.index) {
             self.entries.pop();
@@ -51,34 +51,34 @@
     frame::push(buf, &payload);
 }
 
-/// Returns whether a segment needs none before it.
-pub(crate) fn is_first(path: &Path) -> Result<bool> {
+/// Returns whether a segment starts with a checkpoint, and so needs no earlier segment.
+pub(crate) fn starts_with_checkpoint(path: &Path) -> Result<bool> {
     let bytes = read(path)?;
     let records = frame::read(&bytes[HEADER_BYTES..]).map(postcard::from_bytes::<Vec<Record>>);
     Ok(matches!(records, Some(Ok(records)) if records.first() == Some(&Record::Checkpoint)))
 }
 
-/// Replays a segment that others follow.
-pub(crate) fn replay(path: &Path, replay: &mut Replay) -> Result<()> {
+/// Replays a segment that is not the newest, all of whose frames must be complete.
+pub(crate) fn replay(path: &Path, state: &mut ReplayState) -> Result<()> {
     let bytes = read(path)?;
-    let end = replay_frames(path, &bytes, replay)?;
+    let end = replay_frames(path, &bytes, state)?;
     if end < bytes.len() {
-        return Err(Error::damage(path, end as u64, "the checksum is wrong"));
+        return Err(Error::damage(path, end as u64, "checksum mismatch"));
     }
     Ok(())
 }
 
-/// Replays the newest segment, without an unfinished batch at its end.
-pub(crate) fn replay_newest(path: &Path, replay: &mut Replay) -> Result<()> {
+/// Replays the newest segment; an incomplete batch at its end is dropped.
+pub(crate) fn replay_newest(path: &Path, state: &mut ReplayState) -> Result<()> {
     let bytes = read(path)?;
-    let end = replay_frames(path, &bytes, replay)?;
+    let end = replay_frames(path, &bytes, state)?;
     if end == bytes.len() {
         return Ok(());
     }
-    if frame::any(&bytes[end + 1..]) {
-        return Err(Error::damage(path, end as u64, "the checksum is wrong"));
+    if frame::contains_frame(&bytes[end + 1..]) {
+        return Err(Error::damage(path, end as u64, "checksum mismatch"));
     }
-    log::warn!("dropping an unfinished batch of {} at byte {end}", path.display());
+    log::warn!("dropping an incomplete batch: {} at byte {end}", path.display());
     Ok(())
 }
 
@@ -88,16 +88,16 @@
     Ok(bytes)
 }
 
-/// Replays whole frames and returns where they end.
-fn replay_frames(path: &Path, bytes: &[u8], replay: &mut Replay) -> Result<usize> {
+/// Replays complete frames and returns the offset of their end.
+fn replay_frames(path: &Path, bytes: &[u8], state: &mut ReplayState) -> Result<usize> {
     let mut offset = HEADER_BYTES;
     while let Some(payload) = frame::read(&bytes[offset..]) {
         let records: Vec<Record> = postcard::from_bytes(payload)
-            .map_err(|_| Error::damage(path, offset as u64, "the content is wrong"))?;
+            .map_err(|_| Error::damage(path, offset as u64, "records can't be decoded"))?;
         for record in records {
-            replay.apply(record);
+            state.apply(record);
         }
-        offset += FRAME_BYTES + payload.len();
+        offset += FRAME_OVERHEAD_BYTES + payload.len();
     }
     Ok(offset)
 }
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -1,4 +1,4 @@
-//! Torn tails and damage.
+//! Torn tails and damaged files.
 
 use std::{fs, path::Path};
 
@@ -9,20 +9,20 @@
 
 use crate::samples::{entry, files, open, snapshot, vote, write_entries};
 
-/// Size of a file's header, in bytes.
-const HEADER: usize = 16;
+/// Size of a file's header.
+const HEADER_BYTES: usize = 16;
 
 fn segment(path: &Path) -> std::path::PathBuf {
     files(path, "log").pop().expect("a segment")
 }
 
-/// Opens the folder and returns why that is refused.
+/// Opens a damaged folder and returns the error.
 fn refusal(path: &Path) -> Error {
     open(path).expect_err("the folder is damaged")
 }
 
 #[test]
-fn torn_tail_is_cut_at_every_offset() {
+fn torn_tail_is_dropped_at_every_offset() {
     let folder = tempdir().unwrap();
     write_entries(folder.path(), 2);
     let (mut opened, _) = open(folder.path()).unwrap();
@@ -46,12 +46,12 @@
 }
 
 #[test]
-fn damage_before_the_tail_names_file_and_offset_and_changes_nothing() {
+fn damage_before_the_tail_is_reported_with_its_file_and_changes_nothing() {
     let folder = tempdir().unwrap();
     write_entries(folder.path(), 3);
     let log = segment(folder.path());
     let last = fs::read(&log).unwrap().len() - 60;
-    for offset in [HEADER, HEADER + 5, HEADER + 14, last] {
+    for offset in [HEADER_BYTES, HEADER_BYTES + 5, HEADER_BYTES + 14, last] {
         let mut bytes = fs::read(&log).unwrap();
         bytes[offset] ^= 1;
         fs::write(&log, &bytes).unwrap();
@@ -87,7 +87,7 @@
     fs::write(path, bytes).unwrap();
 }
 
-fn cut_last(path: &Path) {
+fn truncate_last_byte(path: &Path) {
     let bytes = fs::read(path).unwrap();
     fs::write(path, &bytes[..bytes.len() - 1]).unwrap();
 }
@@ -108,10 +108,10 @@
 damaged_files! {
     damaged_identity_is_refused: "identity" |path| flip(path, 20) => Category::Damage,
     missing_identity_is_refused: "identity" remove => Category::Damage,
-    cut_identity_is_refused: "identity" cut_last => Category::Damage,
+    truncated_identity_is_refused: "identity" truncate_last_byte => Category::Damage,
     newer_identity_is_refused: "identity" raise_version => Category::Version,
     damaged_snapshot_is_refused: "snapshot" |path| flip(path, 40) => Category::Damage,
-    cut_snapshot_is_refused: "snapshot" cut_last => Category::Damage,
+    truncated_snapshot_is_refused: "snapshot" truncate_last_byte => Category::Damage,
     missing_snapshot_is_refused: "snapshot" remove => Category::Damage,
     newer_snapshot_is_refused: "snapshot" raise_version => Category::Version,
     damaged_header_is_refused: "log" |path| flip(path, 2) => Category::Damage,
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn error_says_what_to_do() {
+fn damage_error_names_the_remedy() {
     let folder = tempdir().unwrap();
     write_entries(folder.path(), 3);
     flip(&segment(folder.path()), 30);
--- a/crates/store/tests/document.rs
+++ b/crates/store/tests/document.rs
@@ -1,4 +1,4 @@
-//! A file that is replaced as a whole.
+//! Atomic replacement of a file.
 
 use std::fs;
 
@@ -6,7 +6,7 @@
 use tempfile::tempdir;
 
 #[test]
-fn last_content_is_found_again() {
+fn last_content_is_read_back() {
     let folder = tempdir().unwrap();
     let (document, none) = Document::open(folder.path(), RealDisk).unwrap();
     assert_eq!(none, None);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn unfinished_replacement_leaves_the_content() {
+fn incomplete_replacement_keeps_the_content() {
     let folder = tempdir().unwrap();
     let (document, _) = Document::open(folder.path(), RealDisk).unwrap();
     document.write(b"first").unwrap();
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn damaged_content_is_told() {
+fn damaged_content_is_reported() {
     let folder = tempdir().unwrap();
     let (document, _) = Document::open(folder.path(), RealDisk).unwrap();
     document.write(b"first").unwrap();
--- a/crates/store/tests/failing_disk.rs
+++ b/crates/store/tests/failing_disk.rs
@@ -1,4 +1,4 @@
-//! Writes and syncs that fail.
+//! Failing writes and syncs.
 
 use std::{cell::Cell, fs::File, io, io::Write, path::Path, rc::Rc};
 
@@ -8,7 +8,7 @@
 
 use crate::samples::{FOLDER, entry, open, snapshot, vote};
 
-/// Which call of the disk fails, and how.
+/// The disk operation that fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Failure {
     None,
@@ -23,7 +23,7 @@
 
 impl FailingDisk {
     fn fail(&self, failure: Failure) -> io::Result<()> {
-        if self.0.get() == failure { Err(io::Error::other("planted")) } else { Ok(()) }
+        if self.0.get() == failure { Err(io::Error::other("injected")) } else { Ok(()) }
     }
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// Opens a folder that holds entry 1, on a disk that fails from then on.
+/// Opens a folder with entry 1, on a disk that fails from then on.
 fn failing(failure: Failure) -> (TempDir, Rc<Cell<Failure>>, Log<FailingDisk>) {
     let folder = tempdir().unwrap();
     let switch = Rc::new(Cell::new(Failure::None));
@@ -74,12 +74,12 @@
 }
 
 macro_rules! failures {
-    ($($name:ident: $failure:expr, $work:expr => $question:expr,)*) => {$(
+    ($($name:ident: $failure:expr, $work:expr => $is_expected:expr,)*) => {$(
         #[test]
         fn $name() {
             let (folder, switch, mut log) = failing($failure);
-            let question: fn(&Error) -> bool = $question;
-            assert!(question(&$work(&mut log).unwrap_err()));
+            let is_expected: fn(&Error) -> bool = $is_expected;
+            assert!(is_expected(&$work(&mut log).unwrap_err()));
             switch.set(Failure::None);
             assert!(log.is_poisoned());
             assert!(append(&mut log).unwrap_err().is_poisoned());
@@ -94,15 +94,15 @@
 }
 
 failures! {
-    full_disk_poisons: Failure::Full, append => Error::is_full,
-    failed_sync_poisons: Failure::Sync, append => |e| !e.is_full() && !e.is_damage(),
+    full_disk_poisons_the_log: Failure::Full, append => Error::is_full,
+    failed_sync_poisons_the_log: Failure::Sync, append => |e| !e.is_full() && !e.is_damage(),
     full_disk_poisons_at_a_snapshot: Failure::Full, save => Error::is_full,
     failed_sync_poisons_at_a_snapshot: Failure::Sync, save => |e| !e.is_poisoned(),
     failed_rename_poisons_at_a_snapshot: Failure::Rename, save => |e| !e.is_poisoned(),
     failed_folder_sync_poisons_at_a_snapshot: Failure::SyncFolder, save => |e| !e.is_poisoned(),
 }
 
-macro_rules! crashes_while_made {
+macro_rules! failures_at_creation {
     ($($name:ident: $failure:expr,)*) => {$(
         #[test]
         fn $name() {
@@ -115,9 +115,9 @@
     )*};
 }
 
-crashes_while_made! {
-    folder_is_made_again_after_a_full_disk: Failure::Full,
-    folder_is_made_again_after_a_failed_sync: Failure::Sync,
-    folder_is_made_again_after_a_failed_rename: Failure::Rename,
-    folder_is_made_again_after_a_failed_folder_sync: Failure::SyncFolder,
+failures_at_creation! {
+    folder_is_created_after_a_full_disk: Failure::Full,
+    folder_is_created_after_a_failed_sync: Failure::Sync,
+    folder_is_created_after_a_failed_rename: Failure::Rename,
+    folder_is_created_after_a_failed_folder_sync: Failure::SyncFolder,
 }
--- a/crates/store/tests/main.rs
+++ b/crates/store/tests/main.rs
@@ -1,4 +1,4 @@
-//! Files under the data folder, by theme.
+//! Tests of the storage in the data folder.
 
 mod damage;
 mod document;
--- a/crates/store/tests/reopen.rs
+++ b/crates/store/tests/reopen.rs
@@ -1,4 +1,4 @@
-//! What a folder holds when it is opened again.
+//! State of a folder after it is opened again.
 
 use quorum::{FolderId, Restored};
 use store::{Log, RealDisk};
@@ -7,14 +7,14 @@
 use crate::samples::{FOLDER, entry, files, open, snapshot, vote, write_entries};
 
 #[test]
-fn empty_folder_takes_the_fresh_identity() {
+fn empty_folder_is_given_the_new_identity() {
     let folder = tempdir().unwrap();
     let (_, restored) = open(folder.path()).unwrap();
     assert_eq!(restored, Restored { folder: FOLDER, ..Restored::default() });
 }
 
 #[test]
-fn identity_stays() {
+fn identity_is_kept() {
     let folder = tempdir().unwrap();
     drop(open(folder.path()).unwrap());
     let (_, restored) = Log::open(folder.path(), RealDisk, FolderId::new(8)).unwrap();
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn entries_and_vote_come_back() {
+fn entries_and_vote_are_restored() {
     let folder = tempdir().unwrap();
     write_entries(folder.path(), 3);
     let (_, restored) = open(folder.path()).unwrap();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn rewritten_entries_drop_those_after_them() {
+fn rewritten_entries_replace_later_ones() {
     let folder = tempdir().unwrap();
     write_entries(folder.path(), 3);
     let (mut log, _) = open(folder.path()).unwrap();
@@ -69,13 +69,13 @@
 
 snapshots! {
     snapshot_keeps_the_entries_after_it: (2, 1) => [entry(3, 1)],
-    snapshot_of_the_last_entry_keeps_none: (3, 1) => [],
-    snapshot_of_another_history_drops_all_entries: (2, 2) => [],
+    snapshot_of_the_last_entry_keeps_no_entry: (3, 1) => [],
+    conflicting_snapshot_drops_all_entries: (2, 2) => [],
     snapshot_beyond_the_log_drops_all_entries: (9, 1) => [],
 }
 
 #[test]
-fn entries_written_after_a_snapshot_of_another_history_come_back() {
+fn entries_written_after_a_conflicting_snapshot_are_restored() {
     let folder = tempdir().unwrap();
     write_entries(folder.path(), 3);
     let (mut log, _) = open(folder.path()).unwrap();
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn older_snapshot_and_segments_are_cleaned_up() {
+fn older_snapshots_and_segments_are_removed() {
     let folder = tempdir().unwrap();
     write_entries(folder.path(), 3);
     let (mut log, _) = open(folder.path()).unwrap();
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn long_log_goes_over_several_segments() {
+fn long_log_spans_several_segments() {
     let folder = tempdir().unwrap();
     let (mut log, _) = open(folder.path()).unwrap();
     let mut large = entry(1, 1);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn unfinished_files_are_removed() {
+fn temporary_files_are_removed() {
     let folder = tempdir().unwrap();
     write_entries(folder.path(), 1);
     std::fs::write(folder.path().join("snapshot-00000000000000000009.tmp"), b"half").unwrap();
--- a/crates/store/tests/samples.rs
+++ b/crates/store/tests/samples.rs
@@ -1,4 +1,4 @@
-//! Entries, votes and folders to write.
+//! Sample entries, votes and folders.
 
 use std::{fs, path::Path, path::PathBuf};
 
