--- a/crates/daemon/src/replica/driver.rs
+++ b/crates/daemon/src/replica/driver.rs
@@ -5,7 +5,7 @@
 use base::{HostId, LogIndex, MonotonicTime, Term, UnixMillis};
 use fleet::{Command, Fleet};
 use quorum::{
-    Action, Config, Entry, Input, Message, Node, Payload, Restored, Role, Snapshot, SyncGate,
+    Action, Config, Entry, Input, Message, Node, Payload, RestoredState, Role, Snapshot, SyncGate,
     VoterSet,
 };
 use rand_pcg::Pcg64Mcg;
@@ -92,7 +92,7 @@
         clock: Clock,
         rng: Pcg64Mcg,
         log: Log<D>,
-        restored: Restored,
+        restored: RestoredState,
         rings: ReplicaRings,
     ) -> eyre::Result<Self> {
         let fleet = match &restored.snapshot {
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -56,12 +56,12 @@
 //!
 //! ```
 //! use base::MonotonicTime;
-//! use quorum::{Action, Config, FolderId, Input, Node, ProposalId, Restored, Role};
+//! use quorum::{Action, Config, FolderId, Input, Node, ProposalId, RestoredState, Role};
 //! use rand::SeedableRng;
 //!
 //! let mut cfg = Config::new("tas-a1".parse()?);
 //! cfg.founders = vec![cfg.host.clone()];
-//! let restored = Restored { folder: FolderId::new(7), ..Restored::default() };
+//! let restored = RestoredState { folder: FolderId::new(7), ..RestoredState::default() };
 //! let rng = rand_pcg::Pcg64Mcg::seed_from_u64(1);
 //! let mut node = Node::new(cfg, restored, MonotonicTime::ZERO, rng);
 //!
@@ -108,7 +108,7 @@
     status::{Role, Status},
     sync_gate::{Batch, BatchNumber, SyncGate},
     types::{
-        Entry, FolderId, FolderRecord, HardState, Payload, ProposalId, ReadId, Restored, Snapshot,
-        StartCount, VoterSet,
+        Entry, FolderId, FolderRecord, HardState, Payload, ProposalId, ReadId, RestoredState,
+        Snapshot, StartCount, VoterSet,
     },
 };
--- a/crates/quorum/src/node.rs
+++ b/crates/quorum/src/node.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     Action, Body, CommittedVoters, Config, Entry, FolderId, HardState, Input, Message, Refusal,
-    Registration, Restored, Role, Status, VoterSet, Write,
+    Registration, RestoredState, Role, Status, VoterSet, Write,
     election::Campaign,
     follower::{IncomingSnapshot, SnapshotChunk},
     leader::LeaderState,
@@ -47,7 +47,7 @@
 
 impl<R: Rng> Node<R> {
     /// Creates a node from what its data folder held.
-    pub fn new(cfg: Config, restored: Restored, now: MonotonicTime, rng: R) -> Self {
+    pub fn new(cfg: Config, restored: RestoredState, now: MonotonicTime, rng: R) -> Self {
         let log = Log::new(restored.snapshot, restored.entries);
         let covered = log.snapshot_index();
         let registration = registration::initial(&cfg.host, restored.folder, log.voters());
--- a/crates/quorum/src/sync_gate.rs
+++ b/crates/quorum/src/sync_gate.rs
@@ -2,7 +2,7 @@
 
 use base::{LogIndex, MonotonicTime, Term};
 
-use crate::{Action, AppendOutcome, Body, HardState, Message, Restored, StartCount, Write};
+use crate::{Action, AppendOutcome, Body, HardState, Message, RestoredState, StartCount, Write};
 
 /// Sync duration after which a follower's replies no longer wait; most syncs are done earlier.
 const EARLY_REPLY_AFTER: Duration = Duration::from_millis(100);
@@ -70,7 +70,7 @@
 
 impl SyncGate {
     /// Creates a gate for a restored data folder.
-    pub fn new(restored: &Restored) -> Self {
+    pub fn new(restored: &RestoredState) -> Self {
         let covered = restored.snapshot.as_ref().map(|snapshot| snapshot.last_index);
         let written = restored.entries.last().map(|entry| entry.index);
         let last = covered.max(written).unwrap_or_default();
--- a/crates/quorum/src/types.rs
+++ b/crates/quorum/src/types.rs
@@ -165,7 +165,7 @@
 
 /// The content of a data folder at the start of a node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Restored {
+pub struct RestoredState {
     /// The folder's identity.
     pub folder: FolderId,
     /// Term and vote.
--- a/crates/quorum/tests/cluster.rs
+++ b/crates/quorum/tests/cluster.rs
@@ -9,7 +9,7 @@
 use base::{HostId, LogIndex, MonotonicTime};
 use quorum::{
     Action, Batch, Config, FolderId, Input, Message, Node, ProposalId, ReadId, Registration,
-    Restored, Role, Status, SyncGate, VoterSet, Write,
+    RestoredState, Role, Status, SyncGate, VoterSet, Write,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -102,7 +102,7 @@
                 node: None,
                 responses: Vec::new(),
                 sync_time: Duration::ZERO,
-                gate: SyncGate::new(&Restored::default()),
+                gate: SyncGate::new(&RestoredState::default()),
                 unwritten: VecDeque::new(),
                 committed_with: VecDeque::new(),
                 first_folder: folder,
@@ -141,7 +141,7 @@
         machine.state = disk.snapshot.as_ref().map_or(0, |s| state_in(&s.data));
         machine.applied = disk.snapshot.as_ref().map_or(LogIndex::ZERO, |s| s.last_index);
         let DiskImage { folder, hard_state, snapshot, entries } = disk;
-        let restored = Restored { folder, hard_state, snapshot, entries };
+        let restored = RestoredState { folder, hard_state, snapshot, entries };
         machine.gate = SyncGate::new(&restored);
         machine.node = Some(Node::new(cfg, restored, self.now, rng));
     }
--- a/crates/quorum/tests/messages.rs
+++ b/crates/quorum/tests/messages.rs
@@ -5,7 +5,7 @@
 use base::{HostId, LogIndex, MonotonicTime, Term};
 use quorum::{
     Action, AppendOutcome, Body, Config, Entry, FolderId, HardState, Input, Message, Node, Payload,
-    ProposalId, Restored, Role, StartCount, VoteKind, VoterSet, Write,
+    ProposalId, RestoredState, Role, StartCount, VoteKind, VoterSet, Write,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -30,7 +30,7 @@
         }
         let term = entries.last().map_or(Term::ZERO, |entry| entry.term);
         let hard_state = HardState { term, ..HardState::default() };
-        let restored = Restored { folder: folder(0), hard_state, entries, snapshot: None };
+        let restored = RestoredState { folder: folder(0), hard_state, entries, snapshot: None };
         let rng = Pcg64Mcg::seed_from_u64(1);
         let node = Node::new(Config::new(host(0)), restored, MonotonicTime::ZERO, rng);
         let mut harness = Self { node, now: MonotonicTime::ZERO, actions: Vec::new() };
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -5,7 +5,7 @@
 };
 
 use base::{LogIndex, Term};
-use quorum::{Entry, FolderId, HardState, Restored, Snapshot};
+use quorum::{Entry, FolderId, HardState, RestoredState, Snapshot};
 
 use crate::{
     Disk, Error, Result,
@@ -40,7 +40,7 @@
     ///
     /// Returns an error if another process uses the folder, a file is damaged or of an unknown
     /// version, or an operation of the file system fails.
-    pub fn open(path: &Path, disk: D, new_id: FolderId) -> Result<(Self, Restored)> {
+    pub fn open(path: &Path, disk: D, new_id: FolderId) -> Result<(Self, RestoredState)> {
         let folder = Folder::lock(path, disk)?;
         let snapshot = snapshot::read_newest(&folder)?;
         let segments = usable_segments(&folder)?;
@@ -61,7 +61,7 @@
         }
         let covered = snapshot.as_ref().map_or(LogIndex::ZERO, |snapshot| snapshot.last_index);
         check_indexes(newest, covered, &state.entries)?;
-        let restored = Restored {
+        let restored = RestoredState {
             folder: id,
             hard_state: state.hard_state.clone(),
             snapshot,
@@ -110,10 +110,10 @@
         self.poisoned
     }
 
-    fn create(folder: Folder<D>, new_id: FolderId) -> Result<(Self, Restored)> {
+    fn create(folder: Folder<D>, new_id: FolderId) -> Result<(Self, RestoredState)> {
         let log = Self::start(folder, 1, ReplayState::default())?;
         let id = log.folder.identity(new_id, true)?;
-        Ok((log, Restored { folder: id, ..Restored::default() }))
+        Ok((log, RestoredState { folder: id, ..RestoredState::default() }))
     }
 
     /// Writes the whole state to a new segment.
--- a/crates/store/tests/reopen.rs
+++ b/crates/store/tests/reopen.rs
@@ -1,6 +1,6 @@
 //! State of a folder after it is opened again.
 
-use quorum::{FolderId, Restored};
+use quorum::{FolderId, RestoredState};
 use store::{Log, RealDisk};
 use tempfile::tempdir;
 
@@ -10,7 +10,7 @@
 fn empty_folder_is_given_the_new_identity() {
     let folder = tempdir().unwrap();
     let (_, restored) = open(folder.path()).unwrap();
-    assert_eq!(restored, Restored { folder: FOLDER, ..Restored::default() });
+    assert_eq!(restored, RestoredState { folder: FOLDER, ..RestoredState::default() });
 }
 
 #[test]
--- a/crates/store/tests/samples.rs
+++ b/crates/store/tests/samples.rs
@@ -3,7 +3,7 @@
 use std::{fs, path::Path, path::PathBuf};
 
 use base::{LogIndex, Term};
-use quorum::{Entry, FolderId, HardState, Payload, Restored, Snapshot, VoterSet};
+use quorum::{Entry, FolderId, HardState, Payload, RestoredState, Snapshot, VoterSet};
 use store::{Log, RealDisk, Result};
 
 pub const FOLDER: FolderId = FolderId::new(7);
@@ -27,7 +27,7 @@
     }
 }
 
-pub fn open(path: &Path) -> Result<(Log<RealDisk>, Restored)> {
+pub fn open(path: &Path) -> Result<(Log<RealDisk>, RestoredState)> {
     Log::open(path, RealDisk, FOLDER)
 }
 
