--- a/crates/quorum/src/action.rs
+++ b/crates/quorum/src/action.rs
@@ -68,7 +68,7 @@
     Accepted {
         /// The driver's identifier of the proposal.
         id: ProposalId,
-        /// The entry's position.
+        /// The entry's index.
         index: LogIndex,
         /// The entry's term.
         term: Term,
--- a/crates/quorum/src/config.rs
+++ b/crates/quorum/src/config.rs
@@ -9,8 +9,8 @@
     pub host: HostId,
     /// The hosts that found the log, the same list on each; the first writes the first entry.
     pub founders: Vec<HostId>,
-    /// Minimum time without a leader before an election; each timeout is drawn between this and twice
-    /// this.
+    /// Minimum time without a leader before an election; each timeout is drawn between this and
+    /// twice this.
     pub election_timeout: Duration,
     /// Time between a leader's heartbeats.
     pub heartbeat_interval: Duration,
--- a/crates/quorum/src/election.rs
+++ b/crates/quorum/src/election.rs
@@ -86,8 +86,8 @@
 
     /// Returns whether this node may campaign from its folder.
     ///
-    /// So may a voter whose removal may not be committed, since its log may be the only one that can
-    /// win.
+    /// A voter that is being removed may campaign until the removal is known to be committed, since
+    /// its log may be the only one that can win.
     fn may_campaign(&self) -> bool {
         let leaving = || {
             let voters = self.voters_before_change();
--- a/crates/quorum/src/follower.rs
+++ b/crates/quorum/src/follower.rs
@@ -20,7 +20,7 @@
     pub(crate) offset: u64,
     pub(crate) data: &'a [u8],
     pub(crate) done: bool,
-    pub(crate) sent: Duration,
+    pub(crate) sent_at: Duration,
 }
 
 impl IncomingSnapshot {
@@ -82,13 +82,13 @@
         body: &Body,
         actions: &mut Vec<Action>,
     ) {
-        let (prev_index, sent) = match body {
-            Body::Append { prev_index, sent, .. } => (*prev_index, *sent),
-            Body::Chunk { last_index, sent, .. } => (*last_index, *sent),
+        let (prev_index, sent_at) = match body {
+            Body::Append { prev_index, sent_at, .. } => (*prev_index, *sent_at),
+            Body::Chunk { last_index, sent_at, .. } => (*last_index, *sent_at),
             _ => return,
         };
         let outcome = AppendOutcome::Conflict { prev_index, next: self.log.last_index().next() };
-        self.send(from, Body::AppendReply { outcome, sent }, actions);
+        self.send(from, Body::AppendReply { outcome, sent_at }, actions);
     }
 
     /// Adds a chunk to the incoming snapshot and returns the reply.
@@ -98,10 +98,10 @@
         chunk: SnapshotChunk<'_>,
         actions: &mut Vec<Action>,
     ) -> Body {
-        let (last_index, sent) = (target.last_index, chunk.sent);
+        let (last_index, sent_at) = (target.last_index, chunk.sent_at);
         let matched = AppendOutcome::Matched(last_index);
         if last_index <= self.commit {
-            return Body::AppendReply { outcome: matched, sent };
+            return Body::AppendReply { outcome: matched, sent_at };
         }
         let mut incoming = match self.incoming.take() {
             Some(incoming) if incoming.is_same_snapshot(&target) => incoming,
@@ -113,11 +113,11 @@
         }
         if fits && chunk.done {
             self.install(incoming, actions);
-            return Body::AppendReply { outcome: matched, sent };
+            return Body::AppendReply { outcome: matched, sent_at };
         }
         let received = incoming.data.len() as u64;
         self.incoming = Some(incoming);
-        Body::ChunkReply { last_index, received, sent }
+        Body::ChunkReply { last_index, received, sent_at }
     }
 
     /// Replaces the log up to `through`, which was applied, by a snapshot with `data`.
--- a/crates/quorum/src/founding.rs
+++ b/crates/quorum/src/founding.rs
@@ -2,7 +2,7 @@
 use rand::Rng;
 
 use crate::{
-    Action, Body, Entry, FolderId, Founding, Node, Payload, VoterSet, Write, message::Sender,
+    Action, Body, Entry, FolderId, FoundingState, Node, Payload, VoterSet, Write, message::Sender,
     registration,
 };
 
@@ -32,9 +32,9 @@
         actions: &mut Vec<Action>,
     ) {
         let founding = match self.log.entry(FOUNDING_INDEX).map(|entry| &entry.payload) {
-            Some(Payload::Voters(voters)) => Founding::Founded(voters.clone()),
-            _ if !self.is_fresh() => Founding::Compacted,
-            _ if self.cfg.founders.first() == Some(from) => Founding::Fresh,
+            Some(Payload::Voters(voters)) => FoundingState::Founded(voters.clone()),
+            _ if !self.is_fresh() => FoundingState::Compacted,
+            _ if self.cfg.founders.first() == Some(from) => FoundingState::Fresh,
             _ => return,
         };
         self.send(from, Body::FoundingReply { requester, founding }, actions);
@@ -44,7 +44,7 @@
         &mut self,
         from: Sender<'_>,
         requester: FolderId,
-        founding: Founding,
+        founding: FoundingState,
         actions: &mut Vec<Action>,
     ) {
         let is_founder = self.cfg.founders.contains(from.host);
@@ -52,14 +52,14 @@
             return;
         }
         match founding {
-            Founding::Fresh => {
+            FoundingState::Fresh => {
                 self.fresh_founders.insert(from.host.clone(), from.folder);
                 self.found_if_all_fresh(actions);
             }
-            Founding::Founded(voters) if voters.admits(&self.cfg.host, self.folder) => {
+            FoundingState::Founded(voters) if voters.admits(&self.cfg.host, self.folder) => {
                 self.write_founding_entry(voters, actions);
             }
-            Founding::Founded(_) | Founding::Compacted => self.founding_denied = true,
+            FoundingState::Founded(_) | FoundingState::Compacted => self.founding_denied = true,
         }
     }
 
--- a/crates/quorum/src/leader.rs
+++ b/crates/quorum/src/leader.rs
@@ -8,7 +8,7 @@
     log::before,
 };
 
-/// Maximum entries that a new voter may lack of the committed ones.
+/// Maximum number of committed entries that a new voter may lack.
 const MAX_NEW_VOTER_LAG: u64 = 64;
 
 /// The state of a node while it leads.
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub(crate) struct PendingRead {
     pub(crate) id: ReadId,
-    at: MonotonicTime,
+    received_at: MonotonicTime,
 }
 
 impl<R: Rng> Node<R> {
@@ -90,7 +90,7 @@
             let leader = self.leader.clone();
             return actions.push(Action::ReadRefused { id, leader });
         };
-        leader_state.reads.push(PendingRead { id, at: self.now });
+        leader_state.reads.push(PendingRead { id, received_at: self.now });
         if !self.holds_lease(self.now) {
             self.heartbeat(actions);
         }
@@ -126,7 +126,7 @@
         self.become_follower(self.hard.term, None, actions);
     }
 
-    /// Answers the reads since whose arrival this node is known to have led.
+    /// Answers the reads after whose arrival this node was confirmed to lead.
     pub(crate) fn answer_reads(&mut self, actions: &mut Vec<Action>) {
         let leased = self.holds_lease(self.now);
         let contact = self.majority_contact(self.now);
@@ -136,7 +136,7 @@
         }
         let index = self.commit;
         leader_state.reads.retain(|read| {
-            let ready = leased || contact.is_some_and(|contact| read.at <= contact);
+            let ready = leased || contact.is_some_and(|contact| read.received_at <= contact);
             if ready {
                 actions.push(Action::ReadReady { id: read.id, index });
             }
@@ -163,7 +163,8 @@
         }
     }
 
-    /// Returns the latest time such that a majority of the voters answered messages sent since then.
+    /// Returns the latest time such that a majority of the voters answered messages sent then or
+    /// later.
     pub(crate) fn majority_contact(&self, now: MonotonicTime) -> Option<MonotonicTime> {
         let leader_state = self.leader_state.as_ref()?;
         self.log.voters().agreed(|host, folder| {
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -37,11 +37,11 @@
 //! remove the host, then add it with the new folder. To commit the addition of a voter, the leader
 //! also needs a majority of the voters before it.
 //!
-//! An outdated copy of the right folder is detected by registration. After a start, a voter neither
-//! votes nor acknowledges until a majority, itself included, has confirmed that its folder holds at
-//! least what they have recorded of it: its start count, the highest term in which it voted or
-//! acknowledged, and the highest entry that it acknowledged in that term. They record this from
-//! votes, from the leader's heartbeats and from earlier registrations, and store it with their
+//! An outdated copy of the right folder is detected by registration. After a start, a voter doesn't
+//! campaign, vote or acknowledge until a majority, itself included, has confirmed that its folder
+//! holds at least what they have recorded of it: its start count, the highest term in which it
+//! voted or acknowledged, and the highest entry that it acknowledged in that term. They record this
+//! from votes, from the leader's heartbeats and from earlier registrations, and store it with their
 //! vote. Three cases are not detected:
 //!
 //! - a copy made since the last start that lacks only what the confirming voters had not received
@@ -101,7 +101,7 @@
     config::Config,
     healing::{HealingSettings, LeaderView, next_voters},
     hints::LeaderHints,
-    message::{AppendOutcome, Body, CommittedVoters, Founding, Message, VoteKind},
+    message::{AppendOutcome, Body, CommittedVoters, FoundingState, Message, VoteKind},
     node::Node,
     progress::Progress,
     registration::Registration,
--- a/crates/quorum/src/log.rs
+++ b/crates/quorum/src/log.rs
@@ -120,7 +120,8 @@
         known.map(|(_, voters)| voters.clone()).unwrap_or_default()
     }
 
-    /// Replaces the log up to the snapshot's last entry, which is in the log, except trailing entries.
+    /// Replaces the log up to the snapshot's last entry, which is in the log, except trailing
+    /// entries.
     pub(crate) fn compact(&mut self, snapshot: Snapshot) {
         let kept = snapshot.last_index.as_u64().saturating_sub(TRAILING_ENTRIES);
         while self.base_index.as_u64() < kept {
--- a/crates/quorum/src/message.rs
+++ b/crates/quorum/src/message.rs
@@ -62,7 +62,7 @@
         /// The leader's last committed entry.
         commit: LogIndex,
         /// The leader's clock, echoed in the reply without being interpreted.
-        sent: Duration,
+        sent_at: Duration,
         /// The leader's records of the voters' folders.
         folder_records: Vec<(HostId, FolderRecord)>,
     },
@@ -71,7 +71,7 @@
         /// Whether the entries were written.
         outcome: AppendOutcome,
         /// The leader's clock, echoed from the request.
-        sent: Duration,
+        sent_at: Duration,
     },
     /// Transfers a chunk of a snapshot.
     Chunk {
@@ -88,7 +88,7 @@
         /// Whether it is the last chunk.
         done: bool,
         /// The leader's clock, echoed in the reply without being interpreted.
-        sent: Duration,
+        sent_at: Duration,
     },
     /// Answers [`Body::Chunk`].
     ChunkReply {
@@ -97,7 +97,7 @@
         /// The number of contiguous bytes received.
         received: u64,
         /// The leader's clock, echoed from the request.
-        sent: Duration,
+        sent_at: Duration,
     },
     /// Registers a start of the sender's folder; the message's term is the one found at the start.
     Register {
@@ -117,14 +117,14 @@
     },
     /// Makes the receiver campaign at once; the sender no longer leads.
     Campaign,
-    /// Queries a founder for a log that was founded already.
+    /// Asks a founder for the state of the log in its folder.
     FoundingQuery,
     /// Answers [`Body::FoundingQuery`].
     FoundingReply {
         /// The folder that sent the query.
         requester: FolderId,
         /// The state of the log in the replying folder.
-        founding: Founding,
+        founding: FoundingState,
     },
 }
 
@@ -164,7 +164,7 @@
 
 /// The state of the log in a folder, for founding.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Founding {
+pub enum FoundingState {
     /// Nothing was ever written.
     Fresh,
     /// The log's first entry names these voters.
--- a/crates/quorum/src/node.rs
+++ b/crates/quorum/src/node.rs
@@ -202,25 +202,25 @@
             Body::VoteReply { campaign, vote_kind, granted } => {
                 self.handle_vote_reply(from, campaign, vote_kind, granted, actions);
             }
-            Body::Append { prev_index, prev_term, entries, commit, sent, folder_records } => {
+            Body::Append { prev_index, prev_term, entries, commit, sent_at, folder_records } => {
                 self.note_leader_contact(from.host, actions);
                 self.merge_folder_records(&folder_records);
                 let outcome = self.append(prev_index, prev_term, entries, actions);
-                self.send(from.host, Body::AppendReply { outcome, sent }, actions);
+                self.send(from.host, Body::AppendReply { outcome, sent_at }, actions);
                 self.advance_follower_commit(outcome, commit, actions);
             }
-            Body::AppendReply { outcome, sent } => {
-                self.handle_append_reply(from, outcome, sent, actions);
+            Body::AppendReply { outcome, sent_at } => {
+                self.handle_append_reply(from, outcome, sent_at, actions);
             }
-            Body::Chunk { last_index, last_term, voters, offset, data, done, sent } => {
+            Body::Chunk { last_index, last_term, voters, offset, data, done, sent_at } => {
                 self.note_leader_contact(from.host, actions);
                 let target = IncomingSnapshot::new(last_index, last_term, voters);
-                let chunk = SnapshotChunk { offset, data: &data, done, sent };
+                let chunk = SnapshotChunk { offset, data: &data, done, sent_at };
                 let reply = self.receive_chunk(target, chunk, actions);
                 self.send(from.host, reply, actions);
             }
-            Body::ChunkReply { last_index, received, sent } => {
-                self.handle_chunk_reply(from, last_index, received, sent, actions);
+            Body::ChunkReply { last_index, received, sent_at } => {
+                self.handle_chunk_reply(from, last_index, received, sent_at, actions);
             }
             Body::Campaign => self.campaign_at_once(actions),
             _ => {}
--- a/crates/quorum/src/progress.rs
+++ b/crates/quorum/src/progress.rs
@@ -10,7 +10,7 @@
 /// A leader's replication progress for one follower.
 #[derive(Clone, Debug)]
 pub struct Progress {
-    /// The folder in the follower's last reply.
+    /// The sender's folder in the follower's last reply.
     pub folder: Option<FolderId>,
     /// The last entry known to match the leader's log.
     pub matched: LogIndex,
@@ -44,14 +44,14 @@
         }
     }
 
-    /// Records a reply from `folder` to a message sent at `sent`.
+    /// Records a reply from `folder` to a message sent at `sent_at`.
     ///
     /// If the folder changed, the progress of the previous folder is discarded.
-    pub(crate) fn record_reply(&mut self, folder: FolderId, sent: MonotonicTime) {
+    pub(crate) fn record_reply(&mut self, folder: FolderId, sent_at: MonotonicTime) {
         if self.folder != Some(folder) {
             *self = Self { folder: Some(folder), ..Self::new(self.next) };
         }
-        self.last_contact = self.last_contact.max(Some(sent));
+        self.last_contact = self.last_contact.max(Some(sent_at));
     }
 
     pub(crate) fn is_full(&self) -> bool {
--- a/crates/quorum/src/replication.rs
+++ b/crates/quorum/src/replication.rs
@@ -31,12 +31,12 @@
         &mut self,
         from: Sender<'_>,
         outcome: AppendOutcome,
-        sent: Duration,
+        sent_at: Duration,
         actions: &mut Vec<Action>,
     ) {
         let Some(leader_state) = &mut self.leader_state else { return };
         let Some(progress) = leader_state.progress.get_mut(from.host) else { return };
-        progress.record_reply(from.folder, MonotonicTime::new(sent));
+        progress.record_reply(from.folder, MonotonicTime::new(sent_at));
         match outcome {
             AppendOutcome::Matched(index) => {
                 progress.mark_matched(index);
@@ -57,12 +57,12 @@
         from: Sender<'_>,
         last_index: LogIndex,
         received: u64,
-        sent: Duration,
+        sent_at: Duration,
         actions: &mut Vec<Action>,
     ) {
         let Some(leader_state) = &mut self.leader_state else { return };
         let Some(progress) = leader_state.progress.get_mut(from.host) else { return };
-        progress.record_reply(from.folder, MonotonicTime::new(sent));
+        progress.record_reply(from.folder, MonotonicTime::new(sent_at));
         if let Some(chunk) = &mut progress.chunk
             && chunk.last_index == last_index
         {
@@ -114,8 +114,8 @@
         let Some(prev_term) = self.log.term_at(prev_index) else { return };
         let known = self.hard.folder_records.iter().filter(|_| is_heartbeat);
         let folder_records = known.map(|(host, record)| (host.clone(), *record)).collect();
-        let (commit, sent) = (self.commit, self.now.since_origin());
-        let body = Body::Append { prev_index, prev_term, entries, commit, sent, folder_records };
+        let (commit, sent_at) = (self.commit, self.now.since_origin());
+        let body = Body::Append { prev_index, prev_term, entries, commit, sent_at, folder_records };
         self.send(to, body, actions);
     }
 
@@ -148,7 +148,7 @@
             offset: start as u64,
             data,
             done: end == snapshot.data.len(),
-            sent: self.now.since_origin(),
+            sent_at: self.now.since_origin(),
         };
         chunk.waiting = true;
         progress.chunk = Some(chunk);
--- a/crates/quorum/src/status.rs
+++ b/crates/quorum/src/status.rs
@@ -36,7 +36,7 @@
     pub voters: VoterSet,
     /// Whether the last change of voters is committed.
     pub voters_committed: bool,
-    /// Whether this node may vote from its folder.
+    /// The registration of this node's folder.
     pub registration: Registration,
     /// A leader's replication progress for each voter and learner.
     pub progress: BTreeMap<HostId, Progress>,
--- a/crates/quorum/src/sync_gate.rs
+++ b/crates/quorum/src/sync_gate.rs
@@ -15,7 +15,7 @@
 /// The driver submits all actions of its node, writes the batches that the gate returns, and
 /// carries out the actions that it releases. A leader's entries and heartbeats don't wait for its
 /// own disk, nor do a follower's replies during a long sync. Messages released early depend on
-/// nothing that is not durable: they name no commit index that counts it, and don't acknowledge it.
+/// nothing that is not durable: they neither include it in a commit index nor acknowledge it.
 /// So a slow disk neither deposes a leader nor makes a follower lose its leader. Once a sync takes
 /// so long that the disk seems stuck, nothing is released early.
 #[derive(Debug)]
@@ -119,7 +119,7 @@
         batch
     }
 
-    /// Marks the batches up to `through` as durable, and adds the actions that waited for them to
+    /// Marks the batches up to `through` as durable, and adds the actions held back for them to
     /// `ready`.
     pub fn mark_synced(&mut self, through: BatchNumber, ready: &mut Vec<Action>) {
         while let Some(done) = self.unsynced.pop_front_if(|batch| batch.number <= through) {
@@ -184,8 +184,8 @@
         let body = match &message.body {
             Body::Append { commit, .. } if *commit <= kept => return Release::Now(action),
             body @ Body::Append { .. } => with_commit(body.clone(), kept),
-            Body::AppendReply { outcome, sent } if EARLY_REPLY_AFTER <= waited => {
-                Body::AppendReply { outcome: durable_outcome(*outcome, kept), sent: *sent }
+            Body::AppendReply { outcome, sent_at } if EARLY_REPLY_AFTER <= waited => {
+                Body::AppendReply { outcome: durable_outcome(*outcome, kept), sent_at: *sent_at }
             }
             _ => return Release::Later(action),
         };
--- a/crates/quorum/src/types.rs
+++ b/crates/quorum/src/types.rs
@@ -55,7 +55,7 @@
         self.folders.get(host) == Some(&folder)
     }
 
-    /// Returns whether `other` has one voter more or one less.
+    /// Returns whether the sets differ by exactly one added or removed voter.
     pub fn differs_by_one(&self, other: &Self) -> bool {
         let (small, large) =
             if self.folders.len() < other.folders.len() { (self, other) } else { (other, self) };
@@ -72,12 +72,12 @@
     }
 }
 
-/// An entry of the log.
+/// A log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The entry's position.
+    /// The entry's index.
     pub index: LogIndex,
-    /// The term of the leader that wrote it.
+    /// The term of the leader that created it.
     pub term: Term,
     /// The entry's content.
     pub payload: Payload,
@@ -103,7 +103,7 @@
     pub voted_for: Option<HostId>,
     /// The number of process starts registered with the other voters for this folder.
     pub starts: StartCount,
-    /// What is recorded of the other voters' folders.
+    /// The minimum that each other voter's folder must hold.
     pub folder_records: BTreeMap<HostId, FolderRecord>,
 }
 
@@ -113,14 +113,15 @@
 )]
 pub struct StartCount(pub u64);
 
-/// The minimum that a voter's folder must hold, from its votes, acknowledgements and registrations.
+/// The minimum that a voter's folder must hold, derived from its votes, acknowledgements and
+/// registrations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FolderRecord {
     /// The folder.
     pub folder: FolderId,
     /// The highest registered start.
     pub starts: StartCount,
-    /// Whether it voted or acknowledged since that start; its number can then not be registered again.
+    /// Whether it voted or acknowledged since that start, whose number then can't register again.
     pub active: bool,
     /// The highest term in which it voted or acknowledged.
     pub term: Term,
--- a/crates/quorum/tests/healing.rs
+++ b/crates/quorum/tests/healing.rs
@@ -10,7 +10,8 @@
 /// Time between two checks of the voters.
 const HEALING_INTERVAL_MS: u64 = 100;
 
-/// A cluster that changes its voters by itself, with a target of five; two disks may be lost at once.
+/// A cluster that changes its voters by itself, with a target of five; two disks may be lost at
+/// once.
 struct HealingCluster {
     cluster: Cluster,
     led_since: BTreeMap<usize, MonotonicTime>,
--- a/crates/quorum/tests/messages.rs
+++ b/crates/quorum/tests/messages.rs
@@ -81,7 +81,7 @@
 
     fn acknowledge(&mut self, from: usize, index: u64) {
         let outcome = AppendOutcome::Matched(LogIndex::new(index));
-        let body = Body::AppendReply { outcome, sent: self.now.since_origin() };
+        let body = Body::AppendReply { outcome, sent_at: self.now.since_origin() };
         self.receive(from, folder(from), body);
     }
 
@@ -120,7 +120,7 @@
         prev_term: Term::new(prev_term),
         entries: Vec::new(),
         commit: LogIndex::new(commit),
-        sent: Duration::ZERO,
+        sent_at: Duration::ZERO,
         folder_records: Vec::new(),
     }
 }
@@ -163,7 +163,7 @@
         offset: 0,
         data: Arc::from([]),
         done: true,
-        sent: Duration::ZERO,
+        sent_at: Duration::ZERO,
     };
     harness.receive_in(Term::new(3), StartCount(1), 1, folder(1), body);
     let status = harness.node.status();
--- a/crates/quorum/tests/regression/removed_voter_restarts.rs
+++ b/crates/quorum/tests/regression/removed_voter_restarts.rs
@@ -1,5 +1,5 @@
-//! The removal of one of two voters needs that voter's acknowledgement, but nobody sent it the entry
-//! or confirmed its folder after it restarted.
+//! The removal of one of two voters needs that voter's acknowledgement, but nobody sent it the
+//! entry or confirmed its folder after it restarted.
 
 use crate::{cluster::Cluster, voters::without};
 
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,7 +1,7 @@
 //! Storage in the data folder: the log, the vote and snapshots.
 //!
-//! [`Log`] stores what a [`quorum::Node`] needs after a crash. A driver stages the node's writes and
-//! syncs once for the whole batch.
+//! [`Log`] stores what a [`quorum::Node`] needs after a crash. A driver stages the node's writes
+//! and syncs once for the whole batch.
 //!
 //! # Files
 //!
@@ -19,11 +19,11 @@
 //!
 //! # Damage
 //!
-//! An incomplete frame at the end of the newest segment was never synced and is dropped: opening the
-//! folder writes the remaining state to a new segment. Anything else that can't be read is an error
-//! that names the file and the offset, and the folder is left unchanged. A synced last frame that is
-//! damaged later looks like an incomplete one; the other voters detect that this folder holds less
-//! than it acknowledged, see [`quorum`].
+//! An incomplete frame at the end of the newest segment was never synced and is dropped: opening
+//! the folder writes the remaining state to a new segment. Anything else that can't be read is an
+//! error that names the file and the offset, and the folder is left unchanged. A synced last frame
+//! that is damaged later looks like an incomplete one; the other voters detect that this folder
+//! holds less than it acknowledged, see [`quorum`].
 //!
 //! A failed write or sync poisons the log: the content of the disk is unknown, so nothing may be
 //! acknowledged until the process has restarted and has written the whole remaining state again.
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -72,8 +72,8 @@
         Ok((log, restored))
     }
 
-    /// Adds a hard state and entries to the batch; entries written before from the first one's index
-    /// on are dropped.
+    /// Adds a hard state and entries to the batch; entries written before from the first one's
+    /// index on are dropped.
     pub fn stage(&mut self, hard_state: Option<&HardState>, entries: &[Entry]) {
         if let Some(hard_state) = hard_state {
             self.state.hard_state = hard_state.clone();
@@ -94,7 +94,8 @@
         self.run_unless_poisoned(Self::write_staged)
     }
 
-    /// Makes the staged batch and a snapshot durable, and drops the entries that the snapshot covers.
+    /// Makes the staged batch and a snapshot durable, and drops the entries that the snapshot
+    /// covers.
     ///
     /// Entries after it are kept only if the log held the snapshot's last entry with its term.
     ///
@@ -118,8 +119,7 @@
 
     /// Writes the whole state to a new segment.
     ///
-    /// Data that an earlier process failed to sync can be read back without being on the
-    /// disk.
+    /// Data that an earlier process failed to sync can be read back without being on the disk.
     fn start(folder: Folder<D>, number: u64, state: ReplayState) -> Result<Self> {
         let (path, file, len) = write_segment(&folder, number, &state)?;
         let staged = Vec::new();
