--- a/crates/quorum/src/node.rs
+++ b/crates/quorum/src/node.rs
@@ -46,7 +46,7 @@
 }
 
 impl<R: Rng> Node<R> {
-    /// Creates a node from what its data folder held.
+    /// Creates a node from the restored state of its data folder.
     pub fn new(cfg: Config, restored: RestoredState, now: MonotonicTime, rng: R) -> Self {
         let log = Log::new(restored.snapshot, restored.entries);
         let covered = log.snapshot_index();
--- a/crates/quorum/tests/healing.rs
+++ b/crates/quorum/tests/healing.rs
@@ -143,8 +143,8 @@
     let mut healing = HealingCluster::new(3, 3);
     healing.cluster.crash(5);
     healing.run(3000);
-    let gone = healing.others(1)[0];
-    healing.cluster.crash(gone);
+    let crashed = healing.others(1)[0];
+    healing.cluster.crash(crashed);
     healing.run(2500);
     assert_eq!(healing.cluster.status(healing.leader()).voters.folders.len(), 5);
     healing.cluster.start(5);
--- a/crates/quorum/tests/regression/removed_voter_restarts.rs
+++ b/crates/quorum/tests/regression/removed_voter_restarts.rs
@@ -6,10 +6,10 @@
 #[test]
 fn second_voter_is_removed_although_it_restarts() {
     let (mut cluster, leader) = Cluster::with_leader(2, 0);
-    let gone = cluster.other(&[leader]);
-    cluster.propose_voters(leader, without(&cluster, leader, gone));
+    let removed = cluster.other(&[leader]);
+    cluster.propose_voters(leader, without(&cluster, leader, removed));
     cluster.drop_all();
-    cluster.restart(gone);
+    cluster.restart(removed);
     cluster.run(1000);
     assert_eq!(cluster.leader(), Some(leader));
     assert!(cluster.status(leader).voters_committed);
--- a/crates/quorum/tests/slow_disks.rs
+++ b/crates/quorum/tests/slow_disks.rs
@@ -64,8 +64,8 @@
 #[test]
 fn entry_waits_for_the_sync_of_the_leader_with_one_follower_down() {
     let (mut cluster, leader) = Cluster::with_leader(3, 0);
-    let away = cluster.other(&[leader]);
-    cluster.crash(away);
+    let down = cluster.other(&[leader]);
+    cluster.crash(down);
     cluster.machines[leader].sync_time = LONG_SYNC;
     check_waits_for_one_sync(cluster, leader);
 }
--- a/crates/quorum/tests/voters.rs
+++ b/crates/quorum/tests/voters.rs
@@ -32,9 +32,9 @@
 #[test]
 fn host_is_replaced_by_a_spare() {
     let (mut cluster, leader) = Cluster::with_leader(3, 1);
-    let gone = cluster.other(&[leader]);
-    cluster.crash(gone);
-    cluster.propose_voters(leader, without(&cluster, leader, gone));
+    let removed = cluster.other(&[leader]);
+    cluster.crash(removed);
+    cluster.propose_voters(leader, without(&cluster, leader, removed));
     cluster.run(200);
     add_learner(&mut cluster, leader, 3);
     cluster.propose_voters(leader, with(&cluster, leader, 3));
@@ -75,8 +75,8 @@
         }
     }
     let leader = cluster.leader().expect("a leader");
-    let gone = cluster.other(&[leader]);
-    let id = cluster.propose_voters(leader, without(&cluster, leader, gone));
+    let removed = cluster.other(&[leader]);
+    let id = cluster.propose_voters(leader, without(&cluster, leader, removed));
     assert_eq!(refusal(&cluster, leader, id), Some(Refusal::TermNotCommitted));
 }
 
@@ -112,10 +112,10 @@
 #[test]
 fn removed_voter_receives_its_removal() {
     let (mut cluster, leader) = Cluster::with_leader(3, 0);
-    let gone = cluster.other(&[leader]);
-    cluster.propose_voters(leader, without(&cluster, leader, gone));
+    let removed = cluster.other(&[leader]);
+    cluster.propose_voters(leader, without(&cluster, leader, removed));
     cluster.run(200);
-    assert_eq!(cluster.status(gone).voters, cluster.status(leader).voters);
-    cluster.restart(gone);
-    assert_eq!(cluster.registration(gone), quorum::Registration::Done);
+    assert_eq!(cluster.status(removed).voters, cluster.status(leader).voters);
+    cluster.restart(removed);
+    assert_eq!(cluster.registration(removed), quorum::Registration::Done);
 }
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -221,8 +221,8 @@
         first -= 1;
         let follows = 0 < first && segments[first - 1].0 + 1 == segments[first].0;
         if !follows {
-            let what = "its first batch is damaged or the segment before it is missing";
-            return Err(Error::damage(&segments[first].1, HEADER_BYTES as u64, what));
+            let reason = "its first batch is damaged or the segment before it is missing";
+            return Err(Error::damage(&segments[first].1, HEADER_BYTES as u64, reason));
         }
     }
     Ok(segments.split_off(first.saturating_sub(1)))
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -59,7 +59,7 @@
 fn decode(path: &Path, bytes: &[u8]) -> Result<Snapshot> {
     frame::check_header(path, bytes, Kind::Snapshot)?;
     let body = &bytes[HEADER_BYTES..];
-    let damaged = |offset: usize, what| Error::damage(path, offset as u64, what);
+    let damaged = |offset: usize, reason| Error::damage(path, offset as u64, reason);
     let payload = frame::read(body);
     let payload = payload.ok_or_else(|| damaged(HEADER_BYTES, "checksum mismatch"))?;
     let meta: Meta = postcard::from_bytes(payload)
