--- a/crates/quorum/tests/cluster.rs
+++ b/crates/quorum/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! Nodes on hosts that crash, lose their disks and talk over a network that fails.
+//! A simulated cluster: hosts that crash and lose their disks, on an unreliable network.
 
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -9,29 +9,29 @@
 use base::{HostId, LogIndex, MonotonicTime};
 use quorum::{
     Action, Batch, Config, FolderId, Input, Message, Node, ProposalId, ReadId, Registration,
-    Restored, Role, Status, SyncGate, VoterSet, Write,
+    RestoredState, Role, Status, SyncGate, VoterSet, Write,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 use crate::checker::{Checker, DiskImage};
 
-/// Time between two ticks, in milliseconds.
-pub const TICK: u64 = 20;
+/// Time between two ticks.
+pub const TICK_MS: u64 = 20;
 
-/// A fault planted in the driver, which the checker must find.
+/// A fault injected into the driver, which the checker must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     None,
     /// The vote is not written.
-    ForgetVote,
-    /// A host whose disk was lost speaks for its old folder.
+    OmitVote,
+    /// A host whose disk was lost sends messages in the name of its old folder.
     ForgeFolder,
-    /// Answers don't wait for slow disks.
-    AnswerBeforeSync,
+    /// Replies don't wait for syncs.
+    ReplyBeforeSync,
 }
 
-/// Where in a step a host crashes.
+/// The point of a step at which a host crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Crash {
     BeforeSync,
@@ -44,13 +44,14 @@
     pub host: HostId,
     pub disk: DiskImage,
     pub node: Option<Node<Pcg64Mcg>>,
-    pub answers: Vec<Action>,
-    /// How long a sync takes.
+    pub responses: Vec<Action>,
+    /// Duration of a sync.
     pub sync_time: Duration,
     gate: SyncGate,
-    /// Batches that are being written, each with when that began.
+    /// Batches that are being written, each with the start of its write.
     unwritten: VecDeque<(MonotonicTime, Batch)>,
-    /// The voters with which this host, as the leader, committed what it has not applied yet.
+    /// The voters with which this host, as the leader, committed the entries that it has not yet
+    /// applied.
     committed_with: VecDeque<(LogIndex, VoterSet)>,
     first_folder: FolderId,
     state: u64,
@@ -79,7 +80,7 @@
 }
 
 impl Cluster {
-    /// Starts `founders` hosts that found a log, and `spares` that don't.
+    /// Starts `founders` hosts that found a log, and `spares` hosts that don't.
     pub fn new(founders: usize, spares: usize) -> Self {
         let mut cluster = Self {
             machines: Vec::new(),
@@ -99,9 +100,9 @@
                 host: host(i),
                 disk,
                 node: None,
-                answers: Vec::new(),
+                responses: Vec::new(),
                 sync_time: Duration::ZERO,
-                gate: SyncGate::new(&Restored::default()),
+                gate: SyncGate::new(&RestoredState::default()),
                 unwritten: VecDeque::new(),
                 committed_with: VecDeque::new(),
                 first_folder: folder,
@@ -113,8 +114,8 @@
         cluster
     }
 
-    /// Starts a cluster and waits for its leader.
-    pub fn led(founders: usize, spares: usize) -> (Self, usize) {
+    /// Starts a cluster and runs it until it has a leader.
+    pub fn with_leader(founders: usize, spares: usize) -> (Self, usize) {
         let mut cluster = Self::new(founders, spares);
         cluster.run(2000);
         let leader = cluster.leader().expect("a leader within 2 s");
@@ -124,8 +125,8 @@
     pub fn config(&self, i: usize) -> Config {
         let mut cfg = Config::new(host(i));
         cfg.founders = (0..self.founders).map(host).collect();
-        cfg.max_batch = 256;
-        cfg.max_chunk = 3;
+        cfg.max_batch_bytes = 256;
+        cfg.max_chunk_bytes = 3;
         cfg
     }
 
@@ -140,19 +141,19 @@
         machine.state = disk.snapshot.as_ref().map_or(0, |s| state_in(&s.data));
         machine.applied = disk.snapshot.as_ref().map_or(LogIndex::ZERO, |s| s.last_index);
         let DiskImage { folder, hard_state, snapshot, entries } = disk;
-        let restored = Restored { folder, hard_state, snapshot, entries };
+        let restored = RestoredState { folder, hard_state, snapshot, entries };
         machine.gate = SyncGate::new(&restored);
         machine.node = Some(Node::new(cfg, restored, self.now, rng));
     }
 
-    /// Ends a host's process, with what it has not written.
+    /// Ends a host's process; unwritten batches are lost.
     pub fn crash(&mut self, i: usize) {
         self.machines[i].node = None;
         self.machines[i].unwritten.clear();
         self.machines[i].committed_with.clear();
     }
 
-    /// Makes every disk slow.
+    /// Sets the sync duration of every disk.
     pub fn slow_disks(&mut self, sync_time: Duration) {
         for machine in &mut self.machines {
             machine.sync_time = sync_time;
@@ -172,7 +173,7 @@
         self.start(i);
     }
 
-    /// Cuts `a` off from `b`, both ways.
+    /// Cuts the network between `a` and `b` in both directions.
     pub fn cut_between(&mut self, a: usize, b: usize) {
         self.cut.extend([(a, b), (b, a)]);
     }
@@ -185,14 +186,14 @@
 
     /// Lets time pass, with every message delivered within a tick, in random order.
     pub fn run(&mut self, millis: u64) {
-        for _ in 0..millis.div_ceil(TICK) {
+        for _ in 0..millis.div_ceil(TICK_MS) {
             self.tick_all();
             self.deliver_all();
         }
     }
 
     pub fn tick_all(&mut self) {
-        self.now += Duration::from_millis(TICK);
+        self.now += Duration::from_millis(TICK_MS);
         for i in 0..self.machines.len() {
             self.step(i, Input::Tick, None);
         }
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Delivers one message under way.
+    /// Delivers one message in flight.
     pub fn deliver(&mut self, slot: usize, crash: Option<Crash>) {
         if self.packets.is_empty() {
             return;
@@ -222,7 +223,7 @@
         self.step(to, Input::Message { from, message }, crash);
     }
 
-    /// Drops all messages under way.
+    /// Drops all messages in flight.
     pub fn drop_all(&mut self) {
         self.packets.clear();
     }
@@ -233,13 +234,13 @@
         }
     }
 
-    pub fn double_packet(&mut self, slot: usize) {
+    pub fn duplicate_packet(&mut self, slot: usize) {
         if !self.packets.is_empty() {
             self.packets.push(self.packets[slot % self.packets.len()].clone());
         }
     }
 
-    pub fn under_way(&self) -> impl Iterator<Item = &Message> {
+    pub fn in_flight(&self) -> impl Iterator<Item = &Message> {
         self.packets.iter().map(|packet| &packet.message)
     }
 
@@ -258,7 +259,7 @@
 
     pub fn read(&mut self, i: usize) -> ReadId {
         let id = ReadId(self.fresh_id());
-        self.checker.reads(id);
+        self.checker.record_read(id);
         self.step(i, Input::Read { id }, None);
         id
     }
@@ -297,7 +298,7 @@
         })
     }
 
-    /// Checks that a leader is there and commits, and that no promise was broken.
+    /// Checks that there is a leader, that it commits, and that no invariant was violated.
     pub fn check_commits(&mut self, text: &str) {
         let leader = self.leader().expect("a leader");
         self.propose(leader, text);
@@ -311,7 +312,7 @@
         (0..self.machines.len()).find(|i| !taken.contains(i)).expect("another host")
     }
 
-    /// Hands an input to a host's node and carries out what follows.
+    /// Steps a host's node with an input and carries out the resulting actions.
     pub fn step(&mut self, i: usize, input: Input, crash: Option<Crash>) {
         let machine = &mut self.machines[i];
         let Some(node) = &mut machine.node else { return };
@@ -324,9 +325,9 @@
             machine.committed_with.extend(committed(&actions, &node.status().voters));
         }
         let mut ready = Vec::new();
-        let batch = machine.gate.take(self.now, actions, &mut ready);
-        if let (Fault::AnswerBeforeSync, Some(batch)) = (self.fault, &batch) {
-            machine.gate.synced(batch.number, &mut ready);
+        let batch = machine.gate.submit(self.now, actions, &mut ready);
+        if let (Fault::ReplyBeforeSync, Some(batch)) = (self.fault, &batch) {
+            machine.gate.mark_synced(batch.number, &mut ready);
         }
         machine.unwritten.extend(batch.map(|batch| (self.now, batch)));
         if crash == Some(Crash::AfterSync) {
@@ -334,14 +335,14 @@
             return self.crash(i);
         }
         self.sync(i, &mut ready);
-        self.note_leader(i);
+        self.check_leader(i);
         for action in ready {
             self.carry_out(i, action);
         }
-        self.compare_logs(i);
+        self.check_logs(i);
     }
 
-    /// Writes what waits, once a sync would be done.
+    /// Writes the waiting batches, once a sync of the oldest would be done.
     fn sync(&mut self, i: usize, ready: &mut Vec<Action>) {
         let machine = &self.machines[i];
         let (Some((began, _)), Some((_, last))) =
@@ -354,7 +355,7 @@
         }
         let last = last.number;
         self.write(i);
-        self.machines[i].gate.synced(last, ready);
+        self.machines[i].gate.mark_synced(last, ready);
     }
 
     fn write(&mut self, i: usize) {
@@ -362,14 +363,14 @@
         for write in machine.unwritten.drain(..).flat_map(|(_, batch)| batch.writes) {
             match write {
                 Write::Log { mut hard_state, entries } => {
-                    if let (Fault::ForgetVote, Some(hard_state)) = (self.fault, &mut hard_state) {
+                    if let (Fault::OmitVote, Some(hard_state)) = (self.fault, &mut hard_state) {
                         hard_state.voted_for = None;
                     }
-                    self.checker.writes(machine.disk.folder, &entries);
+                    self.checker.record_written(machine.disk.folder, &entries);
                     machine.disk.write(hard_state, entries);
                 }
                 Write::Snapshot(snapshot) => {
-                    self.checker.saves(machine.disk.folder, snapshot.last_index);
+                    self.checker.record_snapshot(machine.disk.folder, snapshot.last_index);
                     machine.disk.save(snapshot);
                 }
             }
@@ -387,21 +388,21 @@
             }
             Action::Restore(snapshot) => {
                 let state = state_in(&snapshot.data);
-                self.checker.restores(snapshot.last_index, state);
+                self.checker.check_restored(snapshot.last_index, state);
                 let machine = &mut self.machines[i];
                 (machine.state, machine.applied) = (state, snapshot.last_index);
             }
             Action::ReadReady { id, index } => {
-                self.checker.answers_read(id, index);
-                self.machines[i].answers.push(Action::ReadReady { id, index });
+                self.checker.check_read(id, index);
+                self.machines[i].responses.push(Action::ReadReady { id, index });
             }
-            answer => self.machines[i].answers.push(answer),
+            response => self.machines[i].responses.push(response),
         }
     }
 
     fn send(&mut self, i: usize, to: &HostId, mut message: Message) {
         let machine = &self.machines[i];
-        self.checker.sends(&machine.host, to, &message, &machine.disk);
+        self.checker.record_message(&machine.host, to, &message, &machine.disk);
         if self.fault == Fault::ForgeFolder {
             message.folder = machine.first_folder;
         }
@@ -415,30 +416,30 @@
         let machine = &mut self.machines[i];
         let own = machine.committed_with.pop_front_if(|(index, _)| *index == entry.index);
         if let Some((_, voters)) = own {
-            self.checker.commits(entry, &voters);
+            self.checker.check_commit(entry, &voters);
         }
-        machine.state = self.checker.applies(entry, machine.state);
+        machine.state = self.checker.record_applied(entry, machine.state);
         machine.applied = entry.index;
     }
 
-    fn note_leader(&mut self, i: usize) {
+    fn check_leader(&mut self, i: usize) {
         let machine = &self.machines[i];
-        // Nobody hears of a term that a crash would take back.
+        // A term that is not durable yet is not visible to other hosts.
         let is_known = |node: &&Node<_>| {
             node.role() == Role::Leader && node.term() <= machine.disk.hard_state.term
         };
         if let Some(node) = machine.node.as_ref().filter(is_known) {
-            self.checker.leads(node.term(), &machine.host, node.folder());
+            self.checker.record_leader(node.term(), &machine.host, node.folder());
         }
         let nodes = self.machines.iter().filter_map(|machine| machine.node.as_ref());
         let holders = nodes.filter(|node| node.holds_lease(self.now)).map(Node::term);
-        self.checker.holds_leases(&holders.collect::<Vec<_>>());
+        self.checker.check_leases(&holders.collect::<Vec<_>>());
     }
 
-    fn compare_logs(&mut self, i: usize) {
+    fn check_logs(&mut self, i: usize) {
         for (other, machine) in self.machines.iter().enumerate() {
             if other != i {
-                self.checker.compare(&self.machines[i].disk, &machine.disk);
+                self.checker.check_logs(&self.machines[i].disk, &machine.disk);
             }
         }
     }
--- a/crates/quorum/tests/healing.rs
+++ b/crates/quorum/tests/healing.rs
@@ -1,4 +1,4 @@
-//! Voters that change without an operator.
+//! Changes of voters without an operator.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,30 +7,31 @@
 
 use crate::cluster::{Cluster, host};
 
-/// Time between two looks at the voters, in milliseconds.
-const PERIOD: u64 = 100;
+/// Time between two checks of the voters.
+const HEALING_INTERVAL_MS: u64 = 100;
 
-/// A site of five hosts with disks, two of which may lose theirs at once.
-struct Site {
+/// A cluster that changes its voters by itself, with a target of five; two disks may be lost at
+/// once.
+struct HealingCluster {
     cluster: Cluster,
     led_since: BTreeMap<usize, MonotonicTime>,
-    fewest: usize,
+    min_voters_seen: usize,
 }
 
-impl Site {
+impl HealingCluster {
     fn new(founders: usize, spares: usize) -> Self {
         let cluster = Cluster::new(founders, spares);
-        Self { cluster, led_since: BTreeMap::new(), fewest: usize::MAX }
+        Self { cluster, led_since: BTreeMap::new(), min_voters_seen: usize::MAX }
     }
 
     fn settings() -> HealingSettings {
         HealingSettings { lost_disks: 2, ..HealingSettings::default() }
     }
 
-    /// Lets time pass while the leader mends the voters.
+    /// Lets time pass while the leader changes the voters.
     fn run(&mut self, millis: u64) {
-        for _ in 0..millis.div_ceil(PERIOD) {
-            self.cluster.run(PERIOD);
+        for _ in 0..millis.div_ceil(HEALING_INTERVAL_MS) {
+            self.cluster.run(HEALING_INTERVAL_MS);
             self.heal();
         }
     }
@@ -49,7 +50,7 @@
         let view = LeaderView { status: &status, me: &me, now, led };
         if let Some(voters) = next_voters(&view, &Self::settings()) {
             if 5 <= status.voters.folders.len() {
-                self.fewest = self.fewest.min(voters.folders.len());
+                self.min_voters_seen = self.min_voters_seen.min(voters.folders.len());
             }
             self.cluster.propose_voters(leader, voters);
         }
@@ -59,8 +60,8 @@
         self.cluster.leader().expect("a leader")
     }
 
-    /// Returns the voters that vote from the folder that their host has.
-    fn sound_voters(&self) -> usize {
+    /// Returns the number of running voters with the folder from which they may vote.
+    fn valid_voters(&self) -> usize {
         let voters = self.cluster.status(self.leader()).voters;
         let machines = self.cluster.machines.iter().filter(|machine| machine.node.is_some());
         machines.filter(|machine| voters.admits(&machine.host, machine.disk.folder)).count()
@@ -78,99 +79,99 @@
         (0..5).filter(|i| *i != leader).take(count).collect()
     }
 
-    fn finish(&self) {
-        assert_eq!(self.sound_voters(), 5);
+    fn check_recovered(&self) {
+        assert_eq!(self.valid_voters(), 5);
         assert_eq!(self.cluster.checker.violations, []);
     }
 }
 
-fn grown() -> Site {
-    let mut site = Site::new(3, 2);
-    site.run(3000);
-    site
+fn five_voters() -> HealingCluster {
+    let mut healing = HealingCluster::new(3, 2);
+    healing.run(3000);
+    healing
 }
 
 #[test]
-fn founders_take_the_other_hosts_in() {
-    let mut site = grown();
-    site.commit("order 1");
-    site.finish();
+fn spare_hosts_become_voters() {
+    let mut healing = five_voters();
+    healing.commit("order 1");
+    healing.check_recovered();
 }
 
 #[test]
-fn lost_disk_is_swapped_within_the_time_to_catch_up() {
-    let mut site = grown();
-    let lost = site.others(1)[0];
-    site.cluster.lose_disk(lost);
-    site.run(2000);
-    site.finish();
-    assert_eq!(site.fewest, 4);
+fn voter_with_a_lost_disk_is_added_again_after_catching_up() {
+    let mut healing = five_voters();
+    let lost = healing.others(1)[0];
+    healing.cluster.lose_disk(lost);
+    healing.run(2000);
+    healing.check_recovered();
+    assert_eq!(healing.min_voters_seen, 4);
 }
 
 #[test]
-fn lost_leader_disk_is_swapped() {
-    let mut site = grown();
-    let leader = site.leader();
-    site.cluster.lose_disk(leader);
-    site.run(4000);
-    site.finish();
+fn leader_with_a_lost_disk_is_added_again() {
+    let mut healing = five_voters();
+    let leader = healing.leader();
+    healing.cluster.lose_disk(leader);
+    healing.run(4000);
+    healing.check_recovered();
 }
 
 #[test]
-fn two_lost_disks_while_all_others_restart_lose_nothing() {
-    let mut site = grown();
-    site.commit("order 1");
-    let lost = site.others(2);
+fn two_lost_disks_while_all_others_restart_lose_no_entry() {
+    let mut healing = five_voters();
+    healing.commit("order 1");
+    let lost = healing.others(2);
     for i in 0..5 {
-        site.cluster.crash(i);
+        healing.cluster.crash(i);
     }
     for i in 0..5 {
         if lost.contains(&i) {
-            site.cluster.lose_disk(i);
+            healing.cluster.lose_disk(i);
         } else {
-            site.cluster.start(i);
+            healing.cluster.start(i);
         }
     }
-    site.run(6000);
-    site.commit("order 2");
-    site.finish();
-    assert_eq!(site.fewest, 4);
+    healing.run(6000);
+    healing.commit("order 2");
+    healing.check_recovered();
+    assert_eq!(healing.min_voters_seen, 4);
 }
 
 #[test]
-fn replaced_host_is_left_out_for_the_new_one() {
-    let mut site = Site::new(3, 3);
-    site.cluster.crash(5);
-    site.run(3000);
-    let gone = site.others(1)[0];
-    site.cluster.crash(gone);
-    site.run(2500);
-    assert_eq!(site.cluster.status(site.leader()).voters.folders.len(), 5);
-    site.cluster.start(5);
-    site.run(2500);
-    site.finish();
+fn crashed_voter_is_replaced_once_a_spare_is_up() {
+    let mut healing = HealingCluster::new(3, 3);
+    healing.cluster.crash(5);
+    healing.run(3000);
+    let crashed = healing.others(1)[0];
+    healing.cluster.crash(crashed);
+    healing.run(2500);
+    assert_eq!(healing.cluster.status(healing.leader()).voters.folders.len(), 5);
+    healing.cluster.start(5);
+    healing.run(2500);
+    healing.check_recovered();
 }
 
 #[test]
-fn silent_voters_stay_without_a_replacement() {
-    let mut site = grown();
-    let silent = site.others(2);
-    silent.iter().for_each(|i| site.cluster.crash(*i));
-    site.run(8000);
-    site.commit("order 1");
-    assert_eq!(site.cluster.status(site.leader()).voters.folders.len(), 5);
-    silent.iter().for_each(|i| site.cluster.start(*i));
-    site.run(2000);
-    site.finish();
+fn unresponsive_voters_stay_without_a_spare() {
+    let mut healing = five_voters();
+    let crashed = healing.others(2);
+    crashed.iter().for_each(|i| healing.cluster.crash(*i));
+    healing.run(8000);
+    healing.commit("order 1");
+    assert_eq!(healing.cluster.status(healing.leader()).voters.folders.len(), 5);
+    crashed.iter().for_each(|i| healing.cluster.start(*i));
+    healing.run(2000);
+    healing.check_recovered();
 }
 
 #[test]
-fn settings_keep_a_copy_more_than_disks_may_be_lost() {
+fn majority_exceeds_the_disks_that_may_be_lost() {
     for lost_disks in 0..4 {
         let settings = HealingSettings { lost_disks, ..HealingSettings::default() };
-        for voters in settings.fewest()..=settings.target() {
+        for voters in settings.min_voters()..=settings.target_voters() {
             assert!(lost_disks < voters / 2 + 1);
         }
     }
-    assert!(Duration::ZERO < HealingSettings::default().silence);
+    assert!(Duration::ZERO < HealingSettings::default().replace_after);
 }
--- a/crates/quorum/tests/messages.rs
+++ b/crates/quorum/tests/messages.rs
@@ -1,26 +1,27 @@
-//! A node's answers to single messages.
+//! A node's replies to single messages.
 
 use std::{sync::Arc, time::Duration};
 
 use base::{HostId, LogIndex, MonotonicTime, Term};
 use quorum::{
-    Action, AppendOutcome, Ballot, Body, Config, Entry, FolderId, HardState, Input, Message, Node,
-    Payload, ProposalId, Restored, Role, StartCount, VoterSet, Write,
+    Action, AppendOutcome, Body, Config, Entry, FolderId, HardState, Input, Message, Node, Payload,
+    ProposalId, RestoredState, Role, StartCount, VoteKind, VoterSet, Write,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
 use crate::cluster::host;
 
-/// Host 0 with its log, among voters that the test plays.
-pub struct Bench {
+/// The node of host 0, with the other voters played by the test.
+pub struct NodeHarness {
     node: Node<Pcg64Mcg>,
     now: MonotonicTime,
     actions: Vec<Action>,
 }
 
-impl Bench {
-    /// Starts host 0 among `voters` with one entry of each term after the first entry.
+impl NodeHarness {
+    /// Starts host 0 as one of `voters` voters, with one entry of each of `terms` after the first
+    /// entry.
     pub fn new(voters: usize, terms: &[u64]) -> Self {
         let folders = (0..voters).map(|i| (host(i), folder(i))).collect();
         let mut entries = vec![entry(1, 1, Payload::Voters(VoterSet { folders }))];
@@ -29,28 +30,28 @@
         }
         let term = entries.last().map_or(Term::ZERO, |entry| entry.term);
         let hard_state = HardState { term, ..HardState::default() };
-        let restored = Restored { folder: folder(0), hard_state, entries, snapshot: None };
+        let restored = RestoredState { folder: folder(0), hard_state, entries, snapshot: None };
         let rng = Pcg64Mcg::seed_from_u64(1);
         let node = Node::new(Config::new(host(0)), restored, MonotonicTime::ZERO, rng);
-        let mut bench = Self { node, now: MonotonicTime::ZERO, actions: Vec::new() };
-        bench.wait(0);
+        let mut harness = Self { node, now: MonotonicTime::ZERO, actions: Vec::new() };
+        harness.wait(0);
         let starts = StartCount(1);
         let reply = Body::RegisterReply { starts, accepted: true, committed: None };
-        (1..voters).for_each(|i| bench.receive(i, folder(i), reply.clone()));
-        bench
+        (1..voters).for_each(|i| harness.receive(i, folder(i), reply.clone()));
+        harness
     }
 
-    /// Starts host 0 and has it elected by all `voters`.
+    /// Starts host 0 and lets all `voters` elect it.
     fn leading(voters: usize, terms: &[u64]) -> Self {
-        let mut bench = Self::new(voters, terms);
-        bench.wait(700);
-        let campaign = bench.node.term().next();
-        for ballot in [Ballot::PreVote, Ballot::Vote] {
-            let body = Body::VoteReply { campaign, ballot, granted: true };
-            (1..voters).for_each(|i| bench.receive(i, folder(i), body.clone()));
+        let mut harness = Self::new(voters, terms);
+        harness.wait(700);
+        let campaign = harness.node.term().next();
+        for vote_kind in [VoteKind::PreVote, VoteKind::Vote] {
+            let body = Body::VoteReply { campaign, vote_kind, granted: true };
+            (1..voters).for_each(|i| harness.receive(i, folder(i), body.clone()));
         }
-        assert_eq!(bench.node.role(), Role::Leader);
-        bench
+        assert_eq!(harness.node.role(), Role::Leader);
+        harness
     }
 
     pub fn wait(&mut self, millis: u64) {
@@ -80,7 +81,7 @@
 
     fn acknowledge(&mut self, from: usize, index: u64) {
         let outcome = AppendOutcome::Matched(LogIndex::new(index));
-        let body = Body::AppendReply { outcome, sent: self.now.since_origin() };
+        let body = Body::AppendReply { outcome, sent_at: self.now.since_origin() };
         self.receive(from, folder(from), body);
     }
 
@@ -88,7 +89,7 @@
         self.node.status().commit.as_u64()
     }
 
-    /// Returns the term and vote that were written last.
+    /// Returns the hard state that was written last.
     fn written(&self) -> HardState {
         let written = self.actions.iter().rev().find_map(|action| match action {
             Action::Write(Write::Log { hard_state, .. }) => hard_state.clone(),
@@ -119,42 +120,42 @@
         prev_term: Term::new(prev_term),
         entries: Vec::new(),
         commit: LogIndex::new(commit),
-        sent: Duration::ZERO,
-        standings: Vec::new(),
+        sent_at: Duration::ZERO,
+        folder_records: Vec::new(),
     }
 }
 
 #[test]
-fn entry_of_an_older_term_is_not_committed_by_counting() {
-    let mut bench = Bench::leading(3, &[2]);
-    bench.acknowledge(1, 2);
-    assert_eq!(bench.commit(), 0);
-    bench.acknowledge(1, 3);
-    assert_eq!(bench.commit(), 3);
+fn entry_of_an_older_term_is_not_committed_by_counting_replicas() {
+    let mut harness = NodeHarness::leading(3, &[2]);
+    harness.acknowledge(1, 2);
+    assert_eq!(harness.commit(), 0);
+    harness.acknowledge(1, 3);
+    assert_eq!(harness.commit(), 3);
 }
 
 #[test]
 fn vote_from_another_folder_does_not_count() {
-    let mut bench = Bench::new(3, &[]);
-    bench.wait(700);
-    let campaign = bench.node.term().next();
-    let body = Body::VoteReply { campaign, ballot: Ballot::PreVote, granted: true };
-    bench.receive(1, folder(9), body.clone());
-    assert_eq!(bench.node.term().next(), campaign);
-    bench.receive(1, folder(1), body);
-    assert_eq!(bench.node.term(), campaign);
+    let mut harness = NodeHarness::new(3, &[]);
+    harness.wait(700);
+    let campaign = harness.node.term().next();
+    let body = Body::VoteReply { campaign, vote_kind: VoteKind::PreVote, granted: true };
+    harness.receive(1, folder(9), body.clone());
+    assert_eq!(harness.node.term().next(), campaign);
+    harness.receive(1, folder(1), body);
+    assert_eq!(harness.node.term(), campaign);
 }
 
 #[test]
-fn commit_stops_where_the_logs_are_known_to_agree() {
-    let mut bench = Bench::new(3, &[1, 1, 1]);
-    bench.receive(1, folder(1), heartbeat(2, 1, 4));
-    assert_eq!(bench.commit(), 2);
+fn commit_is_limited_to_the_matched_entries() {
+    let mut harness = NodeHarness::new(3, &[1, 1, 1]);
+    harness.receive(1, folder(1), heartbeat(2, 1, 4));
+    assert_eq!(harness.commit(), 2);
 }
 
 #[test]
-fn snapshot_of_another_history_replaces_the_log() {
-    let mut bench = Bench::new(3, &[1, 1, 1]);
+fn conflicting_snapshot_replaces_the_log() {
+    let mut harness = NodeHarness::new(3, &[1, 1, 1]);
     let body = Body::Chunk {
         last_index: LogIndex::new(3),
         last_term: Term::new(2),
@@ -162,39 +163,39 @@
         offset: 0,
         data: Arc::from([]),
         done: true,
-        sent: Duration::ZERO,
+        sent_at: Duration::ZERO,
     };
-    bench.receive_in(Term::new(3), StartCount(1), 1, folder(1), body);
-    let status = bench.node.status();
+    harness.receive_in(Term::new(3), StartCount(1), 1, folder(1), body);
+    let status = harness.node.status();
     assert_eq!((status.last, status.commit), (LogIndex::new(3), LogIndex::new(3)));
 }
 
 #[test]
-fn new_voter_does_not_make_the_majority_that_takes_it_in() {
-    let mut bench = Bench::leading(2, &[]);
-    bench.acknowledge(1, 2);
-    bench.step(Input::Learners(vec![host(2)]));
-    bench.acknowledge(2, 2);
-    let mut voters = bench.node.status().voters;
+fn new_voter_does_not_count_towards_its_own_addition() {
+    let mut harness = NodeHarness::leading(2, &[]);
+    harness.acknowledge(1, 2);
+    harness.step(Input::Learners(vec![host(2)]));
+    harness.acknowledge(2, 2);
+    let mut voters = harness.node.status().voters;
     voters.folders.insert(host(2), folder(2));
-    bench.step(Input::ProposeVoters { id: ProposalId(1), voters });
-    bench.acknowledge(2, 3);
-    assert_eq!(bench.commit(), 2);
-    bench.acknowledge(1, 3);
-    assert_eq!(bench.commit(), 3);
+    harness.step(Input::ProposeVoters { id: ProposalId(1), voters });
+    harness.acknowledge(2, 3);
+    assert_eq!(harness.commit(), 2);
+    harness.acknowledge(1, 3);
+    assert_eq!(harness.commit(), 3);
 }
 
 #[test]
 fn vote_and_term_are_written() {
-    let mut bench = Bench::new(3, &[]);
-    bench.wait(700);
-    let (campaign, ballot, named) = (Term::new(5), Ballot::Vote, folder(0));
+    let mut harness = NodeHarness::new(3, &[]);
+    harness.wait(700);
+    let (campaign, vote_kind, voter_folder) = (Term::new(5), VoteKind::Vote, folder(0));
     let (last_index, last_term) = (LogIndex::new(1), Term::new(1));
-    let vote = Body::Vote { campaign, ballot, named, last_index, last_term };
-    bench.receive(1, folder(1), vote);
-    let written = bench.written();
+    let vote = Body::Vote { campaign, vote_kind, voter_folder, last_index, last_term };
+    harness.receive(1, folder(1), vote);
+    let written = harness.written();
     assert_eq!((written.term, written.voted_for), (campaign, Some(host(1))));
-    bench.receive_in(Term::new(7), StartCount(1), 2, folder(2), heartbeat(1, 1, 0));
-    let written = bench.written();
+    harness.receive_in(Term::new(7), StartCount(1), 2, folder(2), heartbeat(1, 1, 0));
+    let written = harness.written();
     assert_eq!((written.term, written.voted_for), (Term::new(7), None));
 }
--- a/crates/quorum/tests/model.rs
+++ b/crates/quorum/tests/model.rs
@@ -1,4 +1,4 @@
-//! Random runs with failures, checked after each step.
+//! Random runs with failures; the invariants are checked after each step.
 
 use std::time::Duration;
 
@@ -10,9 +10,9 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use quorum::{Input, Payload, VoterSet};
 
-use crate::cluster::{Cluster, Crash, Fault, TICK};
+use crate::cluster::{Cluster, Crash, Fault, TICK_MS};
 
-/// Most transitions in a run.
+/// Maximum number of transitions in a run.
 const MAX_TRANSITIONS: usize = 120;
 
 #[derive(Clone, Debug)]
@@ -23,7 +23,7 @@
     Deliver(u16),
     DeliverAndCrash(u16, Crash),
     Drop(u16),
-    Double(u16),
+    Duplicate(u16),
     Crash(usize),
     Start(usize),
     LoseDisk(usize),
@@ -48,7 +48,7 @@
         40 => any::<u16>().prop_map(Transition::Deliver),
         4 => (any::<u16>(), crash).prop_map(|(slot, crash)| Transition::DeliverAndCrash(slot, crash)),
         6 => any::<u16>().prop_map(Transition::Drop),
-        6 => any::<u16>().prop_map(Transition::Double),
+        6 => any::<u16>().prop_map(Transition::Duplicate),
         3 => host().prop_map(Transition::Crash),
         8 => host().prop_map(Transition::Start),
         1 => host().prop_map(Transition::LoseDisk),
@@ -65,11 +65,11 @@
     .boxed()
 }
 
-/// Any transition may follow any other; what can't happen does nothing.
+/// A reference model that allows any transition after any other; impossible ones have no effect.
 #[derive(Debug)]
-struct Anything<const HOSTS: usize>;
+struct AnyTransition<const HOSTS: usize>;
 
-impl<const HOSTS: usize> ReferenceStateMachine for Anything<HOSTS> {
+impl<const HOSTS: usize> ReferenceStateMachine for AnyTransition<HOSTS> {
     type State = ();
     type Transition = Transition;
 
@@ -84,11 +84,11 @@
     fn apply(_state: (), _transition: &Transition) {}
 }
 
-struct Checked<const HOSTS: usize>;
+struct ClusterTest<const HOSTS: usize>;
 
-impl<const HOSTS: usize> StateMachineTest for Checked<HOSTS> {
+impl<const HOSTS: usize> StateMachineTest for ClusterTest<HOSTS> {
     type SystemUnderTest = Cluster;
-    type Reference = Anything<HOSTS>;
+    type Reference = AnyTransition<HOSTS>;
 
     fn init_test(_state: &()) -> Cluster {
         let mut cluster = Cluster::new(HOSTS, 0);
@@ -108,18 +108,18 @@
 
 fn carry_out(cluster: &mut Cluster, transition: Transition) {
     match transition {
-        Transition::Run(ticks) => cluster.run(u64::from(ticks) * TICK),
+        Transition::Run(ticks) => cluster.run(u64::from(ticks) * TICK_MS),
         Transition::Wait(ticks) => (0..ticks).for_each(|_| cluster.tick_all()),
         Transition::Restart(i) => cluster.restart(i),
         Transition::Deliver(slot) => cluster.deliver(slot.into(), None),
         Transition::DeliverAndCrash(slot, crash) => cluster.deliver(slot.into(), Some(crash)),
         Transition::Drop(slot) => cluster.drop_packet(slot.into()),
-        Transition::Double(slot) => cluster.double_packet(slot.into()),
+        Transition::Duplicate(slot) => cluster.duplicate_packet(slot.into()),
         Transition::Crash(i) => cluster.crash(i),
         Transition::Start(i) => cluster.start(i),
         Transition::LoseDisk(i) => lose_disk(cluster, i),
         Transition::SlowDisk(i, ticks) => {
-            let sync_time = Duration::from_millis(u64::from(ticks) * TICK);
+            let sync_time = Duration::from_millis(u64::from(ticks) * TICK_MS);
             cluster.machines[i].sync_time = sync_time;
         }
         Transition::Isolate(i) => cluster.isolate(i),
@@ -141,7 +141,7 @@
     }
 }
 
-/// Loses a disk, unless no other one holds anything.
+/// Loses a disk, unless all others are empty.
 fn lose_disk(cluster: &mut Cluster, i: usize) {
     let others = cluster.machines.iter().enumerate().filter(|(other, _)| *other != i);
     if others.clone().any(|(_, machine)| !machine.disk.is_fresh()) {
@@ -149,7 +149,7 @@
     }
 }
 
-/// Removes a voter, or takes in a host that is none.
+/// Removes a host that is a voter, or adds one that isn't.
 fn change_voters(cluster: &mut Cluster, i: usize) {
     let Some(leader) = cluster.leader() else { return };
     let machine = &cluster.machines[i];
@@ -177,19 +177,19 @@
     #![proptest_config(config(96))]
 
     #[test]
-    fn three_hosts_keep_their_promises(sequential 1..MAX_TRANSITIONS => Checked<3>);
+    fn three_hosts_keep_all_invariants(sequential 1..MAX_TRANSITIONS => ClusterTest<3>);
 }
 
 prop_state_machine! {
     #![proptest_config(config(48))]
 
     #[test]
-    fn five_hosts_keep_their_promises(sequential 1..MAX_TRANSITIONS => Checked<5>);
+    fn five_hosts_keep_all_invariants(sequential 1..MAX_TRANSITIONS => ClusterTest<5>);
 }
 
-/// Returns whether random runs with a planted fault break a promise.
-fn is_found(fault: Fault) -> bool {
-    let strategy = <Anything<3>>::sequential_strategy(MAX_TRANSITIONS / 2..MAX_TRANSITIONS);
+/// Returns whether random runs with an injected fault violate an invariant.
+fn is_detected(fault: Fault) -> bool {
+    let strategy = <AnyTransition<3>>::sequential_strategy(MAX_TRANSITIONS / 2..MAX_TRANSITIONS);
     let run = |((), transitions, _): (_, Vec<Transition>, _)| {
         let mut cluster = Cluster::new(3, 0);
         cluster.fault = fault;
@@ -204,19 +204,19 @@
     TestRunner::new(cfg).run(&strategy, run).is_err()
 }
 
-macro_rules! planted_faults {
+macro_rules! injected_faults {
     ($($name:ident: $fault:expr => $found:expr,)*) => {$(
         #[test]
         fn $name() {
-            assert_eq!(is_found($fault), $found);
+            assert_eq!(is_detected($fault), $found);
         }
     )*};
 }
 
-planted_faults! {
-    finds_no_fault_where_none_is: Fault::None => false,
-    finds_forged_folder: Fault::ForgeFolder => true,
-    finds_answers_before_sync: Fault::AnswerBeforeSync => true,
+injected_faults! {
+    no_fault_causes_no_violation: Fault::None => false,
+    forged_folder_is_detected: Fault::ForgeFolder => true,
+    replies_before_sync_are_detected: Fault::ReplyBeforeSync => true,
 }
 
 proptest! {
@@ -224,20 +224,20 @@
 
     #[test]
     fn three_hosts_recover_once_all_is_mended(
-        run in <Anything<3>>::sequential_strategy(MAX_TRANSITIONS / 2..MAX_TRANSITIONS),
+        run in <AnyTransition<3>>::sequential_strategy(MAX_TRANSITIONS / 2..MAX_TRANSITIONS),
     ) {
         recover(Cluster::new(3, 0), run.1);
     }
 
     #[test]
     fn five_hosts_recover_once_all_is_mended(
-        run in <Anything<5>>::sequential_strategy(MAX_TRANSITIONS / 2..MAX_TRANSITIONS),
+        run in <AnyTransition<5>>::sequential_strategy(MAX_TRANSITIONS / 2..MAX_TRANSITIONS),
     ) {
         recover(Cluster::new(5, 0), run.1);
     }
 }
 
-/// Checks that a cluster commits again after any failures that left a majority of its disks.
+/// Checks that a cluster commits again after failures that left a majority of its disks.
 fn recover(mut cluster: Cluster, transitions: Vec<Transition>) {
     cluster.run(800);
     for transition in transitions {
@@ -256,7 +256,7 @@
     assert_eq!(cluster.checker.violations, []);
 }
 
-/// Returns the voters that were committed last, and those that any disk holds after them.
+/// Returns the latest committed voters, and later ones that any disk holds.
 fn voter_sets(cluster: &Cluster) -> Vec<VoterSet> {
     let committed = cluster.checker.committed.values().rev();
     let last = committed.into_iter().find(|entry| matches!(entry.payload, Payload::Voters(_)));
@@ -270,7 +270,7 @@
     sets.collect()
 }
 
-/// Returns whether most of `voters` still have the disk that they vote from.
+/// Returns whether a majority of `voters` still has the folder from which it may vote.
 fn has_majority(cluster: &Cluster, voters: &VoterSet) -> bool {
     let whole = cluster.machines.iter().filter(|m| voters.admits(&m.host, m.disk.folder));
     voters.folders.is_empty() || voters.majority() <= whole.count()
--- a/crates/quorum/tests/snapshot.rs
+++ b/crates/quorum/tests/snapshot.rs
@@ -2,11 +2,11 @@
 
 use crate::cluster::Cluster;
 
-/// Enough commands that a follower without them needs the snapshot.
-const MANY: usize = 1100;
+/// More commands than a leader keeps behind a snapshot, so that a follower without them needs it.
+const COMMAND_COUNT: usize = 1100;
 
 fn fill(cluster: &mut Cluster, leader: usize) {
-    for n in 0..MANY {
+    for n in 0..COMMAND_COUNT {
         cluster.propose(leader, &format!("order {n}"));
         if n % 50 == 0 {
             cluster.deliver_all();
@@ -15,9 +15,9 @@
     cluster.run(200);
 }
 
-/// Returns a cluster, its leader, and a follower that is back after the log was compacted.
-fn far_behind() -> (Cluster, usize, usize) {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+/// Returns a cluster, its leader, and a follower reconnected after the log was compacted.
+fn with_follower_far_behind() -> (Cluster, usize, usize) {
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let behind = cluster.other(&[leader]);
     cluster.isolate(behind);
     fill(&mut cluster, leader);
@@ -27,8 +27,8 @@
 }
 
 #[test]
-fn follower_far_behind_gets_the_snapshot_in_parts() {
-    let (mut cluster, leader, behind) = far_behind();
+fn follower_far_behind_receives_the_snapshot_in_chunks() {
+    let (mut cluster, leader, behind) = with_follower_far_behind();
     cluster.run(1000);
     assert_eq!(cluster.status(behind).applied, cluster.status(leader).applied);
     assert!(cluster.machines[behind].disk.snapshot.is_some());
@@ -36,20 +36,20 @@
 }
 
 #[test]
-fn lost_parts_are_sent_again() {
-    let (mut cluster, leader, behind) = far_behind();
+fn lost_chunks_are_sent_again() {
+    let (mut cluster, leader, behind) = with_follower_far_behind();
     for slot in 0..40 {
         cluster.tick_all();
         cluster.drop_packet(slot);
-        cluster.double_packet(slot);
+        cluster.duplicate_packet(slot);
         cluster.deliver_all();
     }
     assert_eq!(cluster.status(behind).applied, cluster.status(leader).applied);
 }
 
 #[test]
-fn follower_a_little_behind_gets_entries() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+fn follower_slightly_behind_receives_entries() {
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let behind = cluster.other(&[leader]);
     cluster.isolate(behind);
     cluster.propose(leader, "order 1");
@@ -62,8 +62,8 @@
 }
 
 #[test]
-fn all_restart_from_their_snapshots() {
-    let (mut cluster, leader) = Cluster::led(3, 0);
+fn all_hosts_restart_from_their_snapshots() {
+    let (mut cluster, leader) = Cluster::with_leader(3, 0);
     cluster.propose(leader, "order 1");
     cluster.run(200);
     (0..3).for_each(|i| cluster.compact(i));
