--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -30,7 +30,7 @@
 
 use base::{DataCentreId, HostId, MonotonicTime, OrganisationId, ServiceId};
 use member::Roster;
-use prefix::{PartChain, Sent, Untold};
+use prefix::{PartChain, SentPrompt, UnreportedPrompts};
 use rand::SeedableRng as _;
 use rand_pcg::Pcg64Mcg;
 use route::{BudgetSettings, EngineSpeed, RetryBudget, Warm, WarmSettings};
@@ -133,7 +133,7 @@
     published: RefCell<Option<Rc<InForce>>>,
     targets: RefCell<Targets>,
     /// Prompts sent that other hosts don't know of yet.
-    untold: RefCell<Untold>,
+    untold: RefCell<UnreportedPrompts>,
     /// When the view of the endpoints was made.
     roster_at: Cell<MonotonicTime>,
     /// Hosts that share the fleet's retries.
@@ -218,7 +218,7 @@
         if let Some(store) = self.targets.borrow().store_of(chain).filter(|_| saved) {
             store.holds(now, weights, chain);
         }
-        let sent = Sent { engine: target.key.as_u32(), weights, chain: chain.clone(), saved };
+        let sent = SentPrompt { engine: target.key.as_u32(), weights, chain: chain.clone(), saved };
         self.untold.borrow_mut().push(sent);
     }
 
--- a/crates/daemon/src/gateway/targets.rs
+++ b/crates/daemon/src/gateway/targets.rs
@@ -9,7 +9,7 @@
 use base::{DataCentreId, EndpointId, Incarnation, ModelId, MonotonicTime, ServiceId, TokenCount};
 use fleet::EngineNews;
 use member::{Announcement, EndpointKind, EndpointState, Known, Leavers, LifeKey, Roster};
-use prefix::{PartChain, PartMemory, Sent, rank_by_name};
+use prefix::{PartChain, PartMemory, SentPrompt, rank_by_name};
 use route::{EndpointKey, SentLoad, UnderWay};
 use routes::KvStore;
 use wire::leader::PublishedView;
@@ -304,7 +304,7 @@
     }
 
     /// Takes which prompts other hosts have sent.
-    fn note_sent(&self, now: MonotonicTime, sent: &[Sent]) {
+    fn note_sent(&self, now: MonotonicTime, sent: &[SentPrompt]) {
         for sent in sent {
             let key = EndpointKey::new(sent.engine);
             let target = self.by_id.values().find(|target| target.key == key);
--- a/crates/daemon/src/replica/followers.rs
+++ b/crates/daemon/src/replica/followers.rs
@@ -5,7 +5,7 @@
 use base::{HostId, ModelId, MonotonicTime, Term};
 use fleet::{EngineNews, Published, WeightsAge, WeightsHistory};
 use member::Leavers;
-use prefix::SentLog;
+use prefix::SentPromptLog;
 use route::{LoadBoard, SentLoad};
 use wire::leader::{Follow, PublishedView, Seen, ViewVersion};
 
@@ -27,7 +27,7 @@
     held: Vec<Held>,
     engines: Vec<EngineNews>,
     loads: LoadBoard,
-    sent: SentLog,
+    sent: SentPromptLog,
     leavers: Leavers,
     /// When weights were named, as far as this host was there or was told.
     weights: BTreeMap<ModelId, WeightsHistory>,
@@ -48,7 +48,7 @@
             held: Vec::new(),
             engines: Vec::new(),
             loads: LoadBoard::new(LOAD_LIFETIME),
-            sent: SentLog::new(MAX_SENT),
+            sent: SentPromptLog::new(MAX_SENT),
             leavers: Leavers::default(),
             weights: BTreeMap::new(),
             changes: 0,
--- a/crates/prefix/src/lib.rs
+++ b/crates/prefix/src/lib.rs
@@ -38,6 +38,6 @@
     index::{IndexSettings, WarmIndex, Warmth},
     parts::{Part, PartChain, PartMemory},
     placement::{Replication, homes, rank, rank_by_name},
-    shared::{Sent, SentLog, Untold},
+    shared::{SentPrompt, SentPromptLog, UnreportedPrompts},
     slot::Slot,
 };
--- a/crates/prefix/src/shared.rs
+++ b/crates/prefix/src/shared.rs
@@ -7,7 +7,7 @@
 
 /// A prompt that a router has sent to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sent {
+pub struct SentPrompt {
     /// The engine, by the short name under which routers report on it.
     pub engine: u32,
     /// The version of the weights that read it.
@@ -22,7 +22,7 @@
 ///
 /// So each router knows where a prompt is warm although it sees only its own part of the requests.
 #[derive(Clone, Debug)]
-pub struct SentLog {
+pub struct SentPromptLog {
     capacity: usize,
     next: u64,
     entries: VecDeque<Entry>,
@@ -32,17 +32,17 @@
 struct Entry {
     number: u64,
     from: HostId,
-    sent: Sent,
+    sent: SentPrompt,
 }
 
-impl SentLog {
+impl SentPromptLog {
     /// Creates a log that keeps `capacity` entries; the oldest go first.
     pub fn new(capacity: usize) -> Self {
         Self { capacity, next: 0, entries: VecDeque::new() }
     }
 
     /// Adds what a router has sent.
-    pub fn extend(&mut self, from: &HostId, sent: Vec<Sent>) {
+    pub fn extend(&mut self, from: &HostId, sent: Vec<SentPrompt>) {
         for sent in sent {
             self.entries.push_back(Entry { number: self.next, from: from.clone(), sent });
             self.next += 1;
@@ -52,7 +52,11 @@
     }
 
     /// Returns what others than `host` have sent from number `first` on.
-    pub fn since<'a>(&'a self, first: u64, host: &'a HostId) -> impl Iterator<Item = &'a Sent> {
+    pub fn since<'a>(
+        &'a self,
+        first: u64,
+        host: &'a HostId,
+    ) -> impl Iterator<Item = &'a SentPrompt> {
         let news = self.entries.iter().filter(move |entry| first <= entry.number);
         news.filter(move |entry| entry.from != *host).map(|entry| &entry.sent)
     }
@@ -65,16 +69,16 @@
 
 /// Prompts that this router has sent and not told yet.
 #[derive(Clone, Debug, Default)]
-pub struct Untold {
-    sent: Vec<Sent>,
+pub struct UnreportedPrompts {
+    sent: Vec<SentPrompt>,
 }
 
 /// Most prompts that are kept to be told; a router that can't tell them drops the oldest.
 const MAX_UNTOLD: usize = 512;
 
-impl Untold {
+impl UnreportedPrompts {
     /// Notes a prompt.
-    pub fn push(&mut self, sent: Sent) {
+    pub fn push(&mut self, sent: SentPrompt) {
         if MAX_UNTOLD <= self.sent.len() {
             self.sent.remove(0);
         }
@@ -82,12 +86,12 @@
     }
 
     /// Takes all that is to be told.
-    pub fn take(&mut self) -> Vec<Sent> {
+    pub fn take(&mut self) -> Vec<SentPrompt> {
         std::mem::take(&mut self.sent)
     }
 
     /// Takes back what could not be told.
-    pub fn restore(&mut self, mut sent: Vec<Sent>) {
+    pub fn restore(&mut self, mut sent: Vec<SentPrompt>) {
         sent.append(&mut self.sent);
         let excess = sent.len().saturating_sub(MAX_UNTOLD);
         self.sent = sent.split_off(excess);
--- a/crates/prefix/tests/shared.rs
+++ b/crates/prefix/tests/shared.rs
@@ -1,20 +1,20 @@
 //! What routers tell each other of the prompts that they have sent.
 
 use base::{HostId, TokenCount};
-use prefix::{Part, PartChain, Sent, SentLog, Untold};
+use prefix::{Part, PartChain, SentPrompt, SentPromptLog, UnreportedPrompts};
 
 fn host(i: u32) -> HostId {
     format!("host-{i}").parse().unwrap()
 }
 
-fn sent(id: u64) -> Sent {
+fn sent(id: u64) -> SentPrompt {
     let chain = PartChain::new(1, &[Part { id, tokens: TokenCount::new(10) }]);
-    Sent { engine: 7, weights: 1, chain, saved: false }
+    SentPrompt { engine: 7, weights: 1, chain, saved: false }
 }
 
 #[test]
 fn others_learn_what_a_router_has_sent_once() {
-    let mut log = SentLog::new(10);
+    let mut log = SentPromptLog::new(10);
     log.extend(&host(1), vec![sent(1), sent(2)]);
     assert_eq!(log.since(0, &host(2)).cloned().collect::<Vec<_>>(), [sent(1), sent(2)]);
     let seen = log.next();
@@ -25,14 +25,14 @@
 
 #[test]
 fn oldest_entries_go_first() {
-    let mut log = SentLog::new(2);
+    let mut log = SentPromptLog::new(2);
     log.extend(&host(1), vec![sent(1), sent(2), sent(3)]);
     assert_eq!(log.since(0, &host(2)).cloned().collect::<Vec<_>>(), [sent(2), sent(3)]);
 }
 
 #[test]
 fn what_could_not_be_told_is_told_later() {
-    let mut untold = Untold::default();
+    let mut untold = UnreportedPrompts::default();
     untold.push(sent(1));
     let lost = untold.take();
     untold.push(sent(2));
--- a/crates/wire/src/leader.rs
+++ b/crates/wire/src/leader.rs
@@ -7,7 +7,7 @@
     Call, CallKey, ChangeRecord, Command, ConfigurationNumber, EngineNews, Reply, WeightsAge,
 };
 use member::LifeKey;
-use prefix::Sent;
+use prefix::SentPrompt;
 use quorum::{FolderId, VoterSet};
 use route::SentLoad;
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
@@ -59,7 +59,7 @@
     /// What it has under way at endpoints.
     pub loads: Vec<SentLoad>,
     /// The prompts that it has sent since the last question.
-    pub sent: Vec<Sent>,
+    pub sent: Vec<SentPrompt>,
     /// Lives of endpoints that it has heard to leave.
     pub leaving: Vec<LifeKey>,
 }
@@ -102,7 +102,7 @@
     /// Lives of endpoints that any router has heard to leave.
     pub leaving: Vec<LifeKey>,
     /// Prompts that other routers have sent since the last answer.
-    pub sent: Vec<Sent>,
+    pub sent: Vec<SentPrompt>,
     /// The position after those.
     pub next_sent: u64,
 }
