--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use base::{EndpointId, Incarnation, MonotonicTime, TokenCount};
-use prefix::{BlockBytes, Chain, IndexSettings, Salt, WarmIndex, Warmth};
+use prefix::{BlockBytes, Chain, IndexSettings, PrefixMatches, Salt, WarmIndex};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use route::{Candidate, Policy as _, Request, Warm};
@@ -62,18 +62,18 @@
     for prompt in &prompts {
         let chain = Chain::of(salt, BLOCK_BYTES, prompt);
         for _ in 0..3 {
-            index.learn_sent(now, slots[rng.random_range(0..endpoints)], &chain);
+            index.record_sent(now, slots[rng.random_range(0..endpoints)], &chain);
         }
     }
     let candidates = endpoints.div_ceil(MODELS);
     let mut policy = Warm::default();
-    let mut warmth = Warmth::default();
+    let mut warmth = PrefixMatches::default();
     let mut spent = [Duration::ZERO; 3];
     for i in 0..DECISIONS {
         let begun = Instant::now();
         let chain = Chain::of(salt, BLOCK_BYTES, &prompts[i % PROMPTS]);
         let hashed = Instant::now();
-        index.warm_blocks(now, &chain, &mut warmth);
+        index.match_prefix(now, &chain, &mut warmth);
         let looked_up = Instant::now();
         let rank = |level, id| chain.at_level(level).map_or(0, |home| prefix::rank(home, id));
         let among: Vec<_> = (0..candidates)
--- a/crates/bench/src/slopes/cache.rs
+++ b/crates/bench/src/slopes/cache.rs
@@ -4,7 +4,7 @@
 
 use base::{ByteCount, Incarnation, MonotonicTime, Sequence};
 use prefix::{
-    BlockBytes, BlockHash, CacheEvent, Chain, IndexSettings, Salt, Slot, WarmIndex, Warmth,
+    BlockBytes, BlockHash, CacheEvent, Chain, IndexSettings, PrefixMatches, Salt, Slot, WarmIndex,
 };
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
@@ -81,7 +81,7 @@
 
 impl Filled {
     fn new(holdings: usize) -> Self {
-        let memory = ByteCount::new((holdings * WarmIndex::HOLDING_BYTES) as u64);
+        let memory = ByteCount::new((holdings * WarmIndex::ENTRY_BYTES) as u64);
         let mut index = WarmIndex::new(IndexSettings { memory, ..IndexSettings::default() });
         let bind = |engine| {
             let id = format!("engine-{engine}").parse().expect("a valid id");
@@ -93,7 +93,7 @@
         let mut filled = Self { index, slots, prompts, sequence: 0, rng };
         filled.apply(holdings);
         for (chain, slot) in filled.prompts.iter().zip(&filled.slots) {
-            filled.index.learn_sent(now(), *slot, chain);
+            filled.index.record_sent(now(), *slot, chain);
         }
         filled
     }
@@ -117,10 +117,10 @@
 
     /// Returns the mean time to find the believed prefix of a prompt at all engines.
     fn lookup_micros(&self) -> f64 {
-        let mut warmth = Warmth::default();
+        let mut warmth = PrefixMatches::default();
         let begun = Instant::now();
         for lookup in 0..LOOKUPS {
-            self.index.warm_blocks(now(), &self.prompts[lookup % PROMPTS], &mut warmth);
+            self.index.match_prefix(now(), &self.prompts[lookup % PROMPTS], &mut warmth);
         }
         begun.elapsed().as_secs_f64() * 1e6 / LOOKUPS as f64
     }
--- a/crates/bench/src/slopes/routing.rs
+++ b/crates/bench/src/slopes/routing.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use base::{EndpointId, Incarnation, MonotonicTime, TokenCount};
-use prefix::{Chain, IndexSettings, Slot, WarmIndex, Warmth, rank};
+use prefix::{Chain, IndexSettings, PrefixMatches, Slot, WarmIndex, rank};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use route::{Candidate, Policy as _, Request, Warm};
@@ -44,16 +44,16 @@
     let prompts: Vec<Chain> = (0..PROMPTS).map(prompt).collect();
     for chain in &prompts {
         for _ in 0..HOLDERS {
-            index.learn_sent(now, serving[rng.random_range(0..serving.len())].1, chain);
+            index.record_sent(now, serving[rng.random_range(0..serving.len())].1, chain);
         }
     }
     let mut policy = Warm::default();
-    let mut warmth = Warmth::default();
+    let mut warmth = PrefixMatches::default();
     let mut candidates = Vec::new();
     let mut decide = || {
         let chain = &prompts[rng.random_range(0..PROMPTS)];
         let begun = Instant::now();
-        index.warm_blocks(now, chain, &mut warmth);
+        index.match_prefix(now, chain, &mut warmth);
         let home = chain.blocks()[BLOCKS / 2];
         candidates.clear();
         candidates.extend(serving.iter().map(|(id, slot)| Candidate {
--- a/crates/daemon/src/edge/warmth.rs
+++ b/crates/daemon/src/edge/warmth.rs
@@ -1,7 +1,9 @@
 use std::time::Duration;
 
 use base::{ByteCount, EndpointId, Incarnation, MonotonicTime};
-use prefix::{BlockHash, Chain, HotPrefixes, IndexSettings, Replication, Slot, WarmIndex, Warmth};
+use prefix::{
+    BlockHash, Chain, HotPrefixes, IndexSettings, PrefixMatches, Replication, Slot, WarmIndex,
+};
 
 /// Most memory for what is believed of the engines' caches.
 const INDEX_MEMORY: ByteCount = ByteCount::new(64 << 20);
@@ -17,7 +19,7 @@
     index: WarmIndex,
     hot: HotPrefixes,
     replication: Replication,
-    measured: Warmth,
+    measured: PrefixMatches,
     routers: f64,
 }
 
@@ -29,7 +31,7 @@
             index: WarmIndex::new(settings),
             hot: HotPrefixes::new(HOT_PREFIXES, HOT_WINDOW),
             replication: Replication::default(),
-            measured: Warmth::default(),
+            measured: PrefixMatches::default(),
             routers: 1.0,
         }
     }
@@ -67,7 +69,7 @@
 
     /// Finds how much of `chain` each engine is believed to hold.
     pub(super) fn measure(&mut self, now: MonotonicTime, chain: &Chain) {
-        self.index.warm_blocks(now, chain, &mut self.measured);
+        self.index.match_prefix(now, chain, &mut self.measured);
     }
 
     /// Returns the blocks that the last measurement found at an engine.
@@ -77,12 +79,12 @@
 
     /// Learns that a request was sent.
     pub(super) fn sent(&mut self, now: MonotonicTime, slot: Slot, chain: &Chain) {
-        self.index.learn_sent(now, slot, chain);
+        self.index.record_sent(now, slot, chain);
     }
 
     /// Learns that a request failed, so that what it was to leave behind may be missing.
     pub(super) fn failed(&mut self, now: MonotonicTime, slot: Slot, chain: &Chain, held: usize) {
-        self.index.learn_cached(now, slot, chain, held);
+        self.index.record_cached(now, slot, chain, held);
     }
 
     /// Learns how much of a prompt an engine had cached.
@@ -94,6 +96,6 @@
         believed: usize,
         cached: usize,
     ) {
-        self.index.learn_answer(now, slot, chain, believed, cached);
+        self.index.record_response(now, slot, chain, believed, cached);
     }
 }
--- a/crates/prefix/src/index.rs
+++ b/crates/prefix/src/index.rs
@@ -35,7 +35,7 @@
 /// Remembers which endpoints are believed to hold which blocks.
 ///
 /// Each pair of a block and an endpoint's incarnation is one holding of
-/// [`HOLDING_BYTES`](Self::HOLDING_BYTES). Holdings are learnt from own requests, from engines'
+/// [`ENTRY_BYTES`](Self::ENTRY_BYTES). Holdings are learnt from own requests, from engines'
 /// answers and from cache events, and are believed for a time: the endpoint's trust, which shrinks
 /// when an answer shows a believed block gone and grows when it confirms one.
 ///
@@ -53,14 +53,14 @@
 
 impl WarmIndex {
     /// Memory that one holding takes, in bytes.
-    pub const HOLDING_BYTES: usize = Table::HOLDING_BYTES;
+    pub const ENTRY_BYTES: usize = Table::ENTRY_BYTES;
 
     /// Most endpoints remembered for one block.
     pub const MAX_HOLDERS: usize = MAX_HOLDERS;
 
     /// Creates an empty index and reserves its memory.
     pub fn new(settings: IndexSettings) -> Self {
-        let capacity = settings.memory.as_u64() as usize / Self::HOLDING_BYTES;
+        let capacity = settings.memory.as_u64() as usize / Self::ENTRY_BYTES;
         Self { table: Table::new(capacity, settings.seed), slots: Slots::default(), settings }
     }
 
@@ -98,12 +98,12 @@
     }
 
     /// Learns that a request with `chain` was sent to the endpoint at `now`.
-    pub fn learn_sent(&mut self, now: MonotonicTime, slot: Slot, chain: &Chain) {
+    pub fn record_sent(&mut self, now: MonotonicTime, slot: Slot, chain: &Chain) {
         self.store(now, slot, chain.blocks());
     }
 
     /// Learns that the endpoint holds exactly the first `cached` blocks of `chain`.
-    pub fn learn_cached(&mut self, now: MonotonicTime, slot: Slot, chain: &Chain, cached: usize) {
+    pub fn record_cached(&mut self, now: MonotonicTime, slot: Slot, chain: &Chain, cached: usize) {
         let (held, gone) = chain.blocks().split_at(cached.min(chain.blocks().len()));
         self.store(now, slot, held);
         self.erase(slot, gone);
@@ -113,7 +113,7 @@
     /// expected, and `cached` were found.
     ///
     /// The whole chain is held after it, as the rest was computed.
-    pub fn learn_answer(
+    pub fn record_response(
         &mut self,
         now: MonotonicTime,
         slot: Slot,
@@ -161,7 +161,7 @@
     }
 
     /// Finds the longest believed prefix of `chain` at every endpoint, in one walk over the chain.
-    pub fn warm_blocks(&self, now: MonotonicTime, chain: &Chain, warmth: &mut Warmth) {
+    pub fn match_prefix(&self, now: MonotonicTime, chain: &Chain, warmth: &mut PrefixMatches) {
         warmth.reset(self.slots.states().len());
         let now = millis(now);
         let min_trust = span_millis(self.settings.min_trust);
@@ -228,11 +228,11 @@
 
 /// The longest believed prefix of one chain at each endpoint; reused from request to request.
 #[derive(Clone, Debug, Default)]
-pub struct Warmth {
+pub struct PrefixMatches {
     blocks: Vec<u32>,
 }
 
-impl Warmth {
+impl PrefixMatches {
     /// Returns the number of blocks that the endpoint is believed to hold.
     pub fn blocks(&self, slot: Slot) -> usize {
         self.blocks.get(slot.as_usize()).map_or(0, |&blocks| blocks as usize)
--- a/crates/prefix/src/lib.rs
+++ b/crates/prefix/src/lib.rs
@@ -35,7 +35,7 @@
     chain::{BlockBytes, BlockHash, Chain, Salt},
     event::{Applied, CacheEvent},
     hot::HotPrefixes,
-    index::{IndexSettings, WarmIndex, Warmth},
+    index::{IndexSettings, PrefixMatches, WarmIndex},
     parts::{Part, PartChain, PartMemory},
     placement::{Replication, homes, rank, rank_by_name},
     shared::{SentPrompt, SentPromptLog, UnreportedPrompts},
--- a/crates/prefix/src/table.rs
+++ b/crates/prefix/src/table.rs
@@ -37,7 +37,7 @@
 
 impl Table {
     /// Memory that a holding takes, in bytes: itself and its share of the buckets.
-    pub(crate) const HOLDING_BYTES: usize = size_of::<Holding>() + size_of::<u32>();
+    pub(crate) const ENTRY_BYTES: usize = size_of::<Holding>() + size_of::<u32>();
 
     pub(crate) fn new(capacity: usize, seed: u64) -> Self {
         let capacity = capacity.clamp(1, NIL as usize - 1);
--- a/crates/prefix/tests/index.rs
+++ b/crates/prefix/tests/index.rs
@@ -4,7 +4,7 @@
 
 use base::{ByteCount, Incarnation, MonotonicTime, Sequence};
 use prefix::{
-    Applied, BlockBytes, CacheEvent, Chain, IndexSettings, Salt, Slot, WarmIndex, Warmth,
+    Applied, BlockBytes, CacheEvent, Chain, IndexSettings, PrefixMatches, Salt, Slot, WarmIndex,
 };
 use proptest::prelude::{ProptestConfig, any, prop_assert, proptest};
 
@@ -42,7 +42,7 @@
     }
 
     fn sent(mut self) -> Self {
-        self.index.learn_sent(at(0), self.slot, &chain());
+        self.index.record_sent(at(0), self.slot, &chain());
         self
     }
 
@@ -60,8 +60,8 @@
     }
 
     fn warm(&self, now: u64) -> usize {
-        let mut warmth = Warmth::default();
-        self.index.warm_blocks(at(now), &chain(), &mut warmth);
+        let mut warmth = PrefixMatches::default();
+        self.index.match_prefix(at(now), &chain(), &mut warmth);
         warmth.blocks(self.slot)
     }
 }
@@ -117,9 +117,9 @@
 #[test]
 fn cached_count_lowers_and_raises() {
     let mut fixture = Fixture::new().sent();
-    fixture.index.learn_cached(at(1), fixture.slot, &chain(), 2);
+    fixture.index.record_cached(at(1), fixture.slot, &chain(), 2);
     assert_eq!(fixture.warm(2), 2);
-    fixture.index.learn_cached(at(3), fixture.slot, &chain(), 6);
+    fixture.index.record_cached(at(3), fixture.slot, &chain(), 6);
     assert_eq!(fixture.warm(4), 6);
 }
 
@@ -128,11 +128,11 @@
     let mut fixture = Fixture::new();
     let start = fixture.index.trust(fixture.slot).unwrap();
     for _ in 0..100 {
-        fixture.index.learn_answer(at(0), fixture.slot, &chain(), 8, 1);
+        fixture.index.record_response(at(0), fixture.slot, &chain(), 8, 1);
     }
     let low = fixture.index.trust(fixture.slot).unwrap();
     for _ in 0..100 {
-        fixture.index.learn_answer(at(0), fixture.slot, &chain(), 8, 8);
+        fixture.index.record_response(at(0), fixture.slot, &chain(), 8, 8);
     }
     assert_eq!(low, Duration::from_secs(1));
     assert_eq!(fixture.index.trust(fixture.slot), Some(start));
@@ -159,21 +159,21 @@
     let mut fixture = Fixture::new();
     let reserved = fixture.index.memory();
     for n in 0_u64..20_000 {
-        fixture.index.learn_sent(at(n / 10), fixture.slot, &chain_of(&n.to_le_bytes()));
+        fixture.index.record_sent(at(n / 10), fixture.slot, &chain_of(&n.to_le_bytes()));
     }
-    let capacity = (64 << 10) / WarmIndex::HOLDING_BYTES as u64;
+    let capacity = (64 << 10) / WarmIndex::ENTRY_BYTES as u64;
     assert_eq!(fixture.index.len().as_u64(), capacity);
     assert_eq!(fixture.index.memory(), reserved);
-    assert_eq!(reserved.as_u64(), capacity * WarmIndex::HOLDING_BYTES as u64);
-    assert_eq!(WarmIndex::HOLDING_BYTES, 24);
+    assert_eq!(reserved.as_u64(), capacity * WarmIndex::ENTRY_BYTES as u64);
+    assert_eq!(WarmIndex::ENTRY_BYTES, 24);
 }
 
 #[test]
 fn eviction_spares_what_is_renewed() {
     let mut fixture = Fixture::new().sent();
     for n in 0_u64..6_000 {
-        fixture.index.learn_sent(at(n), fixture.slot, &chain_of(&n.to_le_bytes()));
-        fixture.index.learn_sent(at(n), fixture.slot, &chain());
+        fixture.index.record_sent(at(n), fixture.slot, &chain_of(&n.to_le_bytes()));
+        fixture.index.record_sent(at(n), fixture.slot, &chain());
     }
     assert_eq!(fixture.warm(6_000), BLOCKS);
 }
@@ -184,7 +184,7 @@
     for n in 0..100 {
         let endpoint = format!("x{n}").parse().unwrap();
         let slot = fixture.index.bind(&endpoint, Incarnation::new(1)).unwrap();
-        fixture.index.learn_sent(at(n), slot, &chain_of(b"root"));
+        fixture.index.record_sent(at(n), slot, &chain_of(b"root"));
     }
     assert_eq!(fixture.index.len().as_u64(), WarmIndex::MAX_HOLDERS as u64);
 }
@@ -197,9 +197,9 @@
 
     #[test]
     fn any_history_stays_in_bounds(steps in proptest::collection::vec(any::<(u8, u8, u16)>(), 0..300)) {
-        let memory = ByteCount::new(50 * WarmIndex::HOLDING_BYTES as u64);
+        let memory = ByteCount::new(50 * WarmIndex::ENTRY_BYTES as u64);
         let mut index = WarmIndex::new(IndexSettings { memory, ..IndexSettings::default() });
-        let mut warmth = Warmth::default();
+        let mut warmth = PrefixMatches::default();
         for (n, (op, id, seed)) in (0_u64..).zip(steps) {
             let endpoint = format!("e{}", id % 5).parse().unwrap();
             let life = Incarnation::new(u64::from(seed % 3));
@@ -208,15 +208,15 @@
             let blocks = chain.blocks().to_vec();
             let mut apply = |event| index.apply(at(n), slot, life, Sequence::new(n), &event);
             match op % 7 {
-                0 => index.learn_sent(at(n), slot, &chain),
-                1 => index.learn_cached(at(n), slot, &chain, usize::from(seed % 4)),
-                2 => index.learn_answer(at(n), slot, &chain, 2, usize::from(seed % 4)),
+                0 => index.record_sent(at(n), slot, &chain),
+                1 => index.record_cached(at(n), slot, &chain, usize::from(seed % 4)),
+                2 => index.record_response(at(n), slot, &chain, 2, usize::from(seed % 4)),
                 3 => { apply(CacheEvent::Stored(blocks)); }
                 4 => { apply(CacheEvent::Removed(blocks)); }
                 5 => { apply(CacheEvent::Cleared); }
                 _ => index.unbind(&endpoint),
             }
-            index.warm_blocks(at(n), &chain, &mut warmth);
+            index.match_prefix(at(n), &chain, &mut warmth);
             prop_assert!(warmth.blocks(slot) <= chain.blocks().len());
             prop_assert!(index.len().as_u64() <= 50);
         }
--- a/crates/prefix/tests/regression/dead_incarnation.rs
+++ b/crates/prefix/tests/regression/dead_incarnation.rs
@@ -1,5 +1,5 @@
 use base::{Incarnation, MonotonicTime};
-use prefix::{BlockBytes, Chain, IndexSettings, Salt, WarmIndex, Warmth};
+use prefix::{BlockBytes, Chain, IndexSettings, PrefixMatches, Salt, WarmIndex};
 
 #[test]
 fn late_answer_of_a_dead_incarnation_teaches_nothing() {
@@ -10,9 +10,9 @@
     let mut index = WarmIndex::new(IndexSettings::default());
     let dead = index.bind(&endpoint, Incarnation::new(1)).unwrap();
     let live = index.bind(&endpoint, Incarnation::new(2)).unwrap();
-    index.learn_sent(MonotonicTime::ZERO, dead, &chain);
-    index.learn_answer(MonotonicTime::ZERO, dead, &chain, 0, 2);
-    let mut warmth = Warmth::default();
-    index.warm_blocks(MonotonicTime::ZERO, &chain, &mut warmth);
+    index.record_sent(MonotonicTime::ZERO, dead, &chain);
+    index.record_response(MonotonicTime::ZERO, dead, &chain, 0, 2);
+    let mut warmth = PrefixMatches::default();
+    index.match_prefix(MonotonicTime::ZERO, &chain, &mut warmth);
     assert_eq!(warmth.blocks(live), 0);
 }
--- a/crates/route/examples/decision_cost.rs
+++ b/crates/route/examples/decision_cost.rs
@@ -4,7 +4,8 @@
 
 use base::{ByteCount, EndpointId, Incarnation, MonotonicTime, Sequence, TokenCount};
 use prefix::{
-    BlockBytes, BlockHash, CacheEvent, Chain, IndexSettings, Salt, Slot, WarmIndex, Warmth, rank,
+    BlockBytes, BlockHash, CacheEvent, Chain, IndexSettings, PrefixMatches, Salt, Slot, WarmIndex,
+    rank,
 };
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
@@ -66,7 +67,7 @@
 }
 
 fn index_capacity() -> u64 {
-    IndexSettings::default().memory.as_u64() / WarmIndex::HOLDING_BYTES as u64
+    IndexSettings::default().memory.as_u64() / WarmIndex::ENTRY_BYTES as u64
 }
 
 fn print_times(name: &str, times: impl Iterator<Item = Duration>) {
@@ -93,16 +94,16 @@
     for chain in &prompts {
         for _ in 0..16 {
             let (_, slot) = endpoints[rng.random_range(0..serving)];
-            index.learn_sent(now, slot, chain);
+            index.record_sent(now, slot, chain);
         }
     }
     let mut policy = Warm::default();
-    let mut warmth = Warmth::default();
+    let mut warmth = PrefixMatches::default();
     let mut candidates = Vec::new();
     let mut time = || {
         let chain = &prompts[rng.random_range(0..PROMPTS)];
         let start = Instant::now();
-        index.warm_blocks(now, chain, &mut warmth);
+        index.match_prefix(now, chain, &mut warmth);
         let walk = start.elapsed();
         let home = chain.blocks()[BLOCKS / 2];
         candidates.clear();
--- a/crates/route/tests/trace.rs
+++ b/crates/route/tests/trace.rs
@@ -7,8 +7,8 @@
 
 use base::{EndpointId, Incarnation, MonotonicTime, TokenCount, TokenRate};
 use prefix::{
-    BlockBytes, BlockHash, Chain, HotPrefixes, IndexSettings, Replication, Salt, WarmIndex, Warmth,
-    rank,
+    BlockBytes, BlockHash, Chain, HotPrefixes, IndexSettings, PrefixMatches, Replication, Salt,
+    WarmIndex, rank,
 };
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
@@ -119,7 +119,7 @@
     let mut routers: Vec<_> = (0..ROUTERS).map(|_| router(kind, &ids)).collect();
     let (mut load_rng, mut rng) = (Pcg64Mcg::seed_from_u64(seed), Pcg64Mcg::seed_from_u64(!seed));
     let (mut now, mut cached, mut all, mut ttft) = (0.0, 0, 0, Vec::new());
-    let (mut warmth, mut served) = (Warmth::default(), [0; ENGINES]);
+    let (mut warmth, mut served) = (PrefixMatches::default(), [0; ENGINES]);
     for n in 0..(rate * 30.0) as usize {
         now -= (1.0 - load_rng.random::<f64>()).ln() / rate;
         let chain = prompt(now, n, &mut load_rng);
@@ -130,7 +130,7 @@
         let time = MonotonicTime::new(Duration::from_secs_f64(now));
         let home = chain.at_level(HOME_LEVEL).unwrap();
         let homes = Replication::default().homes(router.hot.record(time, home) * ROUTERS as f64);
-        router.index.warm_blocks(time, &chain, &mut warmth);
+        router.index.match_prefix(time, &chain, &mut warmth);
         let candidates: Vec<_> = (0..ENGINES)
             .map(|e| {
                 router.own[e].retain(|own| now < own.1);
@@ -156,7 +156,7 @@
         let (hits, wait) = engines[e].run(now, &chain);
         let slot = router.index.slot(&ids[e]).unwrap();
         let believed = warmth.blocks(slot);
-        router.index.learn_answer(time, slot, &chain, believed, hits);
+        router.index.record_response(time, slot, &chain, believed, hits);
         router.own[e].push((now + wait, now + wait + DECODE, blocks - believed));
         served[e] += 1;
         (cached, all) = (cached + hits, all + blocks);
