--- a/crates/daemon/src/gateway/targets.rs
+++ b/crates/daemon/src/gateway/targets.rs
@@ -9,7 +9,7 @@
 use base::{DataCentreId, EndpointId, Incarnation, ModelId, MonotonicTime, ServiceId, TokenCount};
 use fleet::EngineNews;
 use member::{Announcement, EndpointKind, EndpointState, Known, Leavers, LifeKey, Roster};
-use prefix::{PartChain, PartMemory, SentPrompt, rank_by_name};
+use prefix::{PartCacheModel, PartChain, SentPrompt, rank_by_name};
 use route::{EndpointKey, SentLoad, UnderWay};
 use routes::KvStore;
 use wire::leader::PublishedView;
@@ -46,7 +46,7 @@
     /// Whether it loads weights, or loads them next.
     paused: Cell<bool>,
     work: Work,
-    memory: RefCell<PartMemory>,
+    memory: RefCell<PartCacheModel>,
     /// When the announcement was written that was heard last.
     heard: Cell<MonotonicTime>,
     /// Age of that announcement from which it gets requests only if there is no other.
@@ -64,7 +64,7 @@
     pub address: SocketAddr,
     /// Its address as text, by which prompts are spread over the stores.
     name: String,
-    memory: RefCell<HashMap<u32, PartMemory>>,
+    memory: RefCell<HashMap<u32, PartCacheModel>>,
     kv_tokens: TokenCount,
 }
 
@@ -85,7 +85,7 @@
         let mut memory = self.memory.borrow_mut();
         // What was saved for older weights is never fetched again.
         memory.retain(|version, _| weights <= *version + 1);
-        let memory = memory.entry(weights).or_insert_with(|| PartMemory::new(self.kv_tokens));
+        let memory = memory.entry(weights).or_insert_with(|| PartCacheModel::new(self.kv_tokens));
         memory.record(now, chain);
     }
 }
@@ -118,7 +118,7 @@
             model: model.map(|(model, _)| model),
             paused: Cell::new(false),
             work: Work::default(),
-            memory: RefCell::new(PartMemory::new(cached(kv_tokens))),
+            memory: RefCell::new(PartCacheModel::new(cached(kv_tokens))),
             heard: Cell::new(written),
             stale_after: Cell::default(),
             unreached: Cell::new(None),
--- a/crates/prefix/src/lib.rs
+++ b/crates/prefix/src/lib.rs
@@ -36,7 +36,7 @@
     event::{Applied, CacheEvent},
     hot::HotPrefixes,
     index::{IndexSettings, PrefixMatches, WarmIndex},
-    parts::{Part, PartChain, PartMemory},
+    parts::{Part, PartCacheModel, PartChain},
     placement::{Replication, homes, rank, rank_by_name},
     shared::{SentPrompt, SentPromptLog, UnreportedPrompts},
     slot::Slot,
--- a/crates/prefix/src/parts.rs
+++ b/crates/prefix/src/parts.rs
@@ -75,7 +75,7 @@
 
 /// The parts that an engine is believed to hold, as far as its memory reaches.
 #[derive(Clone, Debug)]
-pub struct PartMemory {
+pub struct PartCacheModel {
     capacity: u64,
     held: HashMap<BlockHash, Held>,
     tokens: u64,
@@ -87,7 +87,7 @@
     used: MonotonicTime,
 }
 
-impl PartMemory {
+impl PartCacheModel {
     /// Creates the view of an empty memory for so many tokens.
     pub fn new(capacity: TokenCount) -> Self {
         Self { capacity: capacity.as_u64(), held: HashMap::new(), tokens: 0 }
--- a/crates/prefix/tests/parts.rs
+++ b/crates/prefix/tests/parts.rs
@@ -1,7 +1,7 @@
 //! Prompts whose parts come named and counted.
 
 use base::{MonotonicTime, TokenCount};
-use prefix::{Part, PartChain, PartMemory};
+use prefix::{Part, PartCacheModel, PartChain};
 
 fn chain(salt: u64, parts: &[(u64, u64)]) -> PartChain {
     let part = |&(id, tokens): &(u64, u64)| Part { id, tokens: TokenCount::new(tokens) };
@@ -28,7 +28,7 @@
 
 #[test]
 fn warm_tokens_end_at_the_first_part_missing() {
-    let mut memory = PartMemory::new(TokenCount::new(1_000));
+    let mut memory = PartCacheModel::new(TokenCount::new(1_000));
     memory.record(at(1), &chain(1, &[(1, 100), (2, 50), (3, 7)]));
     assert_eq!(memory.warm_tokens(&chain(1, &[(1, 100), (4, 50), (3, 7)])), TokenCount::new(100));
     assert_eq!(memory.warm_tokens(&chain(1, &[(1, 100), (2, 50), (8, 7)])), TokenCount::new(150));
@@ -37,7 +37,7 @@
 
 #[test]
 fn least_recently_used_parts_yield() {
-    let mut memory = PartMemory::new(TokenCount::new(250));
+    let mut memory = PartCacheModel::new(TokenCount::new(250));
     memory.record(at(1), &chain(1, &[(1, 100)]));
     memory.record(at(2), &chain(1, &[(2, 100)]));
     memory.record(at(3), &chain(1, &[(1, 100)]));
