--- a/crates/daemon/src/edge/router.rs
+++ b/crates/daemon/src/edge/router.rs
@@ -14,7 +14,9 @@
 use prefix::{BlockBytes, Chain, Salt};
 use rand::RngExt as _;
 use rand_pcg::Pcg64Mcg;
-use route::{Candidate, OutlierSettings, Outliers, Policy as _, Request, Standing, Warm};
+use route::{
+    Candidate, EjectionState, OutlierDetector, OutlierSettings, Policy as _, Request, Warm,
+};
 use wire::kv_transfer::KvTransfer;
 
 pub(super) use self::transfer::cache_salt;
@@ -55,8 +57,8 @@
     service_policy: Warm,
     warmth: PrefixWarmth,
     round_trips: RoundTrips,
-    engine_outliers: Outliers,
-    service_outliers: Outliers,
+    engine_outliers: OutlierDetector,
+    service_outliers: OutlierDetector,
     routers: usize,
     /// Most requests that an engine ran while others waited.
     slots: u32,
@@ -106,8 +108,8 @@
             service_policy: Warm::default(),
             warmth: PrefixWarmth::new(rng.random()),
             round_trips: RoundTrips::new(data_centre),
-            engine_outliers: Outliers::new(OutlierSettings::default()),
-            service_outliers: Outliers::new(OutlierSettings::default()),
+            engine_outliers: OutlierDetector::new(OutlierSettings::default()),
+            service_outliers: OutlierDetector::new(OutlierSettings::default()),
             routers: 1,
             slots: 0,
             rng,
@@ -389,11 +391,12 @@
     now: MonotonicTime,
     able: &'b [Able<'a, W>],
     tried: &[EndpointId],
-    outliers: &Outliers,
+    outliers: &OutlierDetector,
 ) -> Vec<&'b Able<'a, W>> {
     let untried = able.iter().filter(|able| !able.target.is_drained() && !tried.contains(able.id));
     let untried: Vec<_> = untried.collect();
-    let standing = |able: &&&Able<'_, W>| outliers.standing(now, able.id) != Standing::Ejected;
+    let standing =
+        |able: &&&Able<'_, W>| outliers.ejection_state(now, able.id) != EjectionState::Ejected;
     let sound: Vec<_> = untried.iter().filter(standing).copied().collect();
     if sound.is_empty() { untried } else { sound }
 }
--- a/crates/daemon/src/edge/router/feedback.rs
+++ b/crates/daemon/src/edge/router/feedback.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use base::{EndpointId, MonotonicTime, TokenCount};
-use route::{Outcome, StandingChange};
+use route::{EjectionChange, Outcome};
 
 use super::{BLOCK_TOKENS, Chosen, Router};
 
@@ -69,10 +69,10 @@
     }
 }
 
-fn log_change(endpoint: &EndpointId, change: Option<StandingChange>) {
+fn log_change(endpoint: &EndpointId, change: Option<EjectionChange>) {
     match change {
-        Some(StandingChange::Ejected(_)) => log::warn!("endpoint={endpoint} ejected as an outlier"),
-        Some(StandingChange::Restored) => log::info!("endpoint={endpoint} restored"),
+        Some(EjectionChange::Ejected(_)) => log::warn!("endpoint={endpoint} ejected as an outlier"),
+        Some(EjectionChange::Restored) => log::info!("endpoint={endpoint} restored"),
         None => {}
     }
 }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -4,7 +4,7 @@
 //! load, distance and warmth, and never a socket or a clock. [`AnyPolicy`] is one chosen by name.
 //!
 //! [`Admission`] shares the capacity, as [`Capacity`] estimates it, among organisations.
-//! [`Outliers`] keeps requests from endpoints that fail or are slow. [`RetryBudget`], [`Backoff`]
+//! [`OutlierDetector`] keeps requests from endpoints that fail or are slow. [`RetryBudget`], [`Backoff`]
 //! and [`Hedge`] bound what is sent again.
 //!
 //! # Example
@@ -47,7 +47,7 @@
     headroom::{EngineSpeed, Headroom, UnderWay, choose_with_room},
     hedge::{Hedge, HedgeDecision, HedgeSettings, Idempotence},
     kind::{AnyPolicy, PolicyKind},
-    outlier::{Outcome, OutlierSettings, Outliers, Standing, StandingChange},
+    outlier::{EjectionChange, EjectionState, Outcome, OutlierDetector, OutlierSettings},
     policy::{Candidate, Policy, Request},
     retry::{Backoff, BudgetSettings, RetryBudget},
     ticket::{Action, Arrival, Decision, Priority, Refusal, RefusalReason, Ticket},
--- a/crates/route/src/outlier.rs
+++ b/crates/route/src/outlier.rs
@@ -4,7 +4,7 @@
 
 use crate::window::Window;
 
-/// Bounds of [`Outliers`].
+/// Bounds of [`OutlierDetector`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OutlierSettings {
     /// Time over which an endpoint's outcomes count.
@@ -54,7 +54,7 @@
 
 /// Whether an endpoint may get requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum EjectionState {
     /// It may.
     Ready,
     /// It may get one request now, to see whether it recovered.
@@ -65,7 +65,7 @@
 
 /// A change of an endpoint's standing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StandingChange {
+pub enum EjectionChange {
     /// The endpoint gets no requests until then.
     Ejected(MonotonicTime),
     /// The endpoint gets requests again.
@@ -76,7 +76,7 @@
 ///
 /// Never more than [`OutlierSettings::max_share`] of the endpoints are ejected, and never all.
 #[derive(Clone, Debug)]
-pub struct Outliers {
+pub struct OutlierDetector {
     settings: OutlierSettings,
     endpoints: HashMap<EndpointId, Tracked>,
     ejected: usize,
@@ -110,7 +110,7 @@
 /// Weight of one outcome in the usual time to first token.
 const USUAL_WEIGHT: f64 = 0.02;
 
-impl Outliers {
+impl OutlierDetector {
     /// Creates a tracker without endpoints.
     pub fn new(settings: OutlierSettings) -> Self {
         Self { settings, endpoints: HashMap::new(), ejected: 0, usual: None }
@@ -131,11 +131,11 @@
     }
 
     /// Returns whether `endpoint` may get requests; an unknown one may.
-    pub fn standing(&self, now: MonotonicTime, endpoint: &EndpointId) -> Standing {
+    pub fn ejection_state(&self, now: MonotonicTime, endpoint: &EndpointId) -> EjectionState {
         match self.endpoints.get(endpoint).map(|tracked| tracked.state) {
-            None | Some(State::Ready) => Standing::Ready,
-            Some(State::Ejected(ejection)) if ejection.next_probe <= now => Standing::ProbeDue,
-            Some(State::Ejected(_)) => Standing::Ejected,
+            None | Some(State::Ready) => EjectionState::Ready,
+            Some(State::Ejected(ejection)) if ejection.next_probe <= now => EjectionState::ProbeDue,
+            Some(State::Ejected(_)) => EjectionState::Ejected,
         }
     }
 
@@ -160,7 +160,7 @@
         now: MonotonicTime,
         endpoint: &EndpointId,
         outcome: Outcome,
-    ) -> Option<StandingChange> {
+    ) -> Option<EjectionChange> {
         let is_bad = self.is_bad(outcome);
         let may_eject = self.may_eject();
         let settings = self.settings;
@@ -170,8 +170,8 @@
             State::Ejected(ejection) => tracked.probed(now, is_bad, ejection, &settings),
         };
         match (tracked.state, change) {
-            (State::Ready, Some(StandingChange::Restored)) => self.ejected -= 1,
-            (State::Ejected(_), Some(StandingChange::Ejected(_))) => self.ejected += 1,
+            (State::Ready, Some(EjectionChange::Restored)) => self.ejected -= 1,
+            (State::Ejected(_), Some(EjectionChange::Ejected(_))) => self.ejected += 1,
             _ => {}
         }
         change
@@ -211,7 +211,7 @@
         is_bad: bool,
         may_eject: bool,
         settings: &OutlierSettings,
-    ) -> Option<StandingChange> {
+    ) -> Option<EjectionChange> {
         let counts = self.window.record(now, is_bad);
         if self.restored + settings.window.max(self.ejection_time(settings)) <= now {
             self.ejections = 0;
@@ -221,7 +221,7 @@
         if !is_bad || !is_outlier || !may_eject {
             return None;
         }
-        Some(StandingChange::Ejected(self.eject(now, settings)))
+        Some(EjectionChange::Ejected(self.eject(now, settings)))
     }
 
     /// Counts the outcome of a probe; one of a request sent before the ejection changes nothing.
@@ -231,7 +231,7 @@
         is_bad: bool,
         ejection: Ejection,
         settings: &OutlierSettings,
-    ) -> Option<StandingChange> {
+    ) -> Option<EjectionChange> {
         if !ejection.probing {
             return None;
         }
@@ -247,7 +247,7 @@
         self.state = State::Ready;
         self.window = Window::new(settings.window);
         self.restored = now;
-        Some(StandingChange::Restored)
+        Some(EjectionChange::Restored)
     }
 
     fn eject(&mut self, now: MonotonicTime, settings: &OutlierSettings) -> MonotonicTime {
--- a/crates/route/tests/outliers.rs
+++ b/crates/route/tests/outliers.rs
@@ -4,7 +4,7 @@
 
 use base::{EndpointId, MonotonicTime};
 use proptest::prelude::{ProptestConfig, any, prop_assert, prop_assert_eq, proptest};
-use route::{Outcome, OutlierSettings, Outliers, Standing, StandingChange};
+use route::{EjectionChange, EjectionState, Outcome, OutlierDetector, OutlierSettings};
 
 fn id(n: usize) -> EndpointId {
     format!("engine-{n}").parse().unwrap()
@@ -14,8 +14,8 @@
     MonotonicTime::from_millis(millis)
 }
 
-fn tracker(endpoints: usize) -> Outliers {
-    let mut outliers = Outliers::new(OutlierSettings {
+fn tracker(endpoints: usize) -> OutlierDetector {
+    let mut outliers = OutlierDetector::new(OutlierSettings {
         max_share: 0.5,
         first_ejection: Duration::from_secs(1),
         ..OutlierSettings::default()
@@ -28,7 +28,11 @@
 const SLOW: Outcome = Outcome::Answered(Duration::from_millis(900));
 
 /// Records outcomes at the first endpoint while the others answer as usual.
-fn record(outliers: &mut Outliers, millis: u64, outcomes: &[Outcome]) -> Option<StandingChange> {
+fn record(
+    outliers: &mut OutlierDetector,
+    millis: u64,
+    outcomes: &[Outcome],
+) -> Option<EjectionChange> {
     let mut last = None;
     for &outcome in outcomes {
         (1..4).for_each(|n| assert_eq!(outliers.record(at(millis), &id(n), GOOD), None));
@@ -43,8 +47,8 @@
         fn $name() {
             let mut outliers = tracker(4);
             record(&mut outliers, 10, &$outcomes);
-            assert_eq!(outliers.standing(at(20), &id(0)), Standing::$standing);
-            assert_eq!(outliers.standing(at(20), &id(1)), Standing::Ready);
+            assert_eq!(outliers.ejection_state(at(20), &id(0)), EjectionState::$standing);
+            assert_eq!(outliers.ejection_state(at(20), &id(1)), EjectionState::Ready);
         }
     )*};
 }
@@ -69,16 +73,19 @@
 fn probes_restore_it() {
     let mut outliers = tracker(4);
     record(&mut outliers, 0, &[Outcome::Failed; 5]);
-    assert_eq!(outliers.standing(at(999), &id(0)), Standing::Ejected);
+    assert_eq!(outliers.ejection_state(at(999), &id(0)), EjectionState::Ejected);
     let mut changes = Vec::new();
     for _ in 0..3 {
-        assert_eq!(outliers.standing(at(1_000), &id(0)), Standing::ProbeDue);
+        assert_eq!(outliers.ejection_state(at(1_000), &id(0)), EjectionState::ProbeDue);
         outliers.sent(at(1_000), &id(0));
-        assert_eq!(outliers.standing(at(1_000), &id(0)), Standing::Ejected);
+        assert_eq!(outliers.ejection_state(at(1_000), &id(0)), EjectionState::Ejected);
         changes.extend(outliers.record(at(1_000), &id(0), GOOD));
     }
-    assert_eq!(changes, [StandingChange::Restored]);
-    assert_eq!((outliers.standing(at(1_000), &id(0)), outliers.ejected()), (Standing::Ready, 0));
+    assert_eq!(changes, [EjectionChange::Restored]);
+    assert_eq!(
+        (outliers.ejection_state(at(1_000), &id(0)), outliers.ejected()),
+        (EjectionState::Ready, 0)
+    );
 }
 
 #[test]
@@ -87,8 +94,8 @@
     record(&mut outliers, 0, &[Outcome::Failed; 5]);
     outliers.sent(at(1_000), &id(0));
     outliers.record(at(1_000), &id(0), Outcome::Failed);
-    assert_eq!(outliers.standing(at(2_999), &id(0)), Standing::Ejected);
-    assert_eq!(outliers.standing(at(3_000), &id(0)), Standing::ProbeDue);
+    assert_eq!(outliers.ejection_state(at(2_999), &id(0)), EjectionState::Ejected);
+    assert_eq!(outliers.ejection_state(at(3_000), &id(0)), EjectionState::ProbeDue);
 }
 
 #[test]
@@ -96,7 +103,7 @@
     let mut outliers = tracker(4);
     record(&mut outliers, 0, &[Outcome::Failed; 5]);
     (0..5).for_each(|_| assert_eq!(outliers.record(at(1), &id(0), GOOD), None));
-    assert_eq!(outliers.standing(at(2), &id(0)), Standing::Ejected);
+    assert_eq!(outliers.ejection_state(at(2), &id(0)), EjectionState::Ejected);
 }
 
 #[test]
@@ -104,7 +111,7 @@
     let mut outliers = tracker(4);
     record(&mut outliers, 0, &[Outcome::Failed; 5]);
     outliers.sent(at(1_000), &id(0));
-    assert_eq!(outliers.standing(at(2_000), &id(0)), Standing::ProbeDue);
+    assert_eq!(outliers.ejection_state(at(2_000), &id(0)), EjectionState::ProbeDue);
 }
 
 #[test]
@@ -112,7 +119,10 @@
     let mut outliers = tracker(4);
     record(&mut outliers, 0, &[Outcome::Failed; 5]);
     outliers.join(at(1), id(0));
-    assert_eq!((outliers.standing(at(1), &id(0)), outliers.ejected()), (Standing::Ready, 0));
+    assert_eq!(
+        (outliers.ejection_state(at(1), &id(0)), outliers.ejected()),
+        (EjectionState::Ready, 0)
+    );
 }
 
 macro_rules! bound_cases {
@@ -153,7 +163,7 @@
                 2 => { outliers.record(at(now), &endpoint, GOOD); }
                 _ => { outliers.record(at(now), &endpoint, Outcome::Failed); }
             }
-            let ready = (0..6).filter(|&n| outliers.standing(at(now), &id(n)) == Standing::Ready);
+            let ready = (0..6).filter(|&n| outliers.ejection_state(at(now), &id(n)) == EjectionState::Ready);
             prop_assert_eq!(ready.count() + outliers.ejected(), 6);
             prop_assert!(outliers.ejected() <= 3);
         }
