--- a/crates/daemon/src/gateway/placement.rs
+++ b/crates/daemon/src/gateway/placement.rs
@@ -5,7 +5,7 @@
 use prefix::{PartChain, rank};
 use rand::{Rng, RngExt as _};
 use route::{
-    Candidate, EndpointKey, EngineSpeed, Headroom, Policy as _, Request, Warm, choose_with_room,
+    Candidate, EndpointKey, EngineSpeed, Headroom, Policy as _, Request, Warm, choose_with_headroom,
 };
 
 use super::targets::{Target, Targets};
@@ -146,7 +146,7 @@
     let chosen = if wanted.tried.is_empty() {
         let rooms: Vec<Headroom> =
             usable.iter().map(|target| room(target, wanted, prompt)).collect();
-        choose_with_room(warm, &req, &candidates, &rooms, rng).map_err(NoTarget::Full)?
+        choose_with_headroom(warm, &req, &candidates, &rooms, rng).map_err(NoTarget::Full)?
     } else {
         warm.choose(&req, &candidates, rng)
     };
--- a/crates/daemon/src/gateway/targets.rs
+++ b/crates/daemon/src/gateway/targets.rs
@@ -10,7 +10,7 @@
 use fleet::EngineNews;
 use member::{Announcement, EndpointKind, EndpointState, Known, Leavers, LifeKey, Roster};
 use prefix::{PartCacheModel, PartChain, SentPrompt, rank_by_name};
-use route::{EndpointKey, SentLoad, UnderWay};
+use route::{EndpointKey, InFlightLoad, SentLoad};
 use routes::KvStore;
 use wire::leader::PublishedView;
 
@@ -162,10 +162,10 @@
     }
 
     /// Returns what all routers have under way there.
-    pub(super) fn under_way(&self) -> UnderWay {
+    pub(super) fn under_way(&self) -> InFlightLoad {
         let others = self.others();
         let tokens = self.prefill_tokens().as_u64() + u64::from(others.prefill_tokens);
-        UnderWay {
+        InFlightLoad {
             requests: self.in_flight().saturating_add(others.requests),
             prefill_tokens: TokenCount::new(tokens),
         }
--- a/crates/daemon/src/replica/followers.rs
+++ b/crates/daemon/src/replica/followers.rs
@@ -6,7 +6,7 @@
 use fleet::{EngineNews, Published, WeightsAge, WeightsHistory};
 use member::Leavers;
 use prefix::SentPromptLog;
-use route::{LoadBoard, SentLoad};
+use route::{LoadAggregator, SentLoad};
 use wire::leader::{Follow, PublishedView, Seen, ViewVersion};
 
 use super::waiting::Reply;
@@ -26,7 +26,7 @@
 pub(super) struct Followers {
     held: Vec<Held>,
     engines: Vec<EngineNews>,
-    loads: LoadBoard,
+    loads: LoadAggregator,
     sent: SentPromptLog,
     leavers: Leavers,
     /// When weights were named, as far as this host was there or was told.
@@ -47,7 +47,7 @@
         Self {
             held: Vec::new(),
             engines: Vec::new(),
-            loads: LoadBoard::new(LOAD_LIFETIME),
+            loads: LoadAggregator::new(LOAD_LIFETIME),
             sent: SentPromptLog::new(MAX_SENT),
             leavers: Leavers::default(),
             weights: BTreeMap::new(),
--- a/crates/route/src/board.rs
+++ b/crates/route/src/board.rs
@@ -44,7 +44,7 @@
 /// It answers loads of many small routers, each of which sees too few of an endpoint's requests to
 /// tell a busy one from an idle one.
 #[derive(Clone, Debug)]
-pub struct LoadBoard {
+pub struct LoadAggregator {
     lifetime: Duration,
     reports: BTreeMap<HostId, Report>,
 }
@@ -55,7 +55,7 @@
     loads: Vec<SentLoad>,
 }
 
-impl LoadBoard {
+impl LoadAggregator {
     /// Creates a board on which a report counts for `lifetime`.
     pub fn new(lifetime: Duration) -> Self {
         Self { lifetime, reports: BTreeMap::new() }
--- a/crates/route/src/headroom.rs
+++ b/crates/route/src/headroom.rs
@@ -28,7 +28,7 @@
 
 /// What routers have under way at an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct UnderWay {
+pub struct InFlightLoad {
     /// Requests.
     pub requests: u32,
     /// Tokens that wait to be read.
@@ -53,7 +53,7 @@
 /// # Errors
 ///
 /// Returns the time after which there should be room if no candidate has any.
-pub fn choose_with_room<P: Policy, R: Rng>(
+pub fn choose_with_headroom<P: Policy, R: Rng>(
     policy: &mut P,
     req: &Request,
     candidates: &[Candidate],
@@ -94,7 +94,7 @@
     }
 
     /// Returns when the first token is expected of a prompt with so many tokens to be read.
-    pub fn first_token(&self, load: UnderWay, cold: TokenCount) -> Duration {
+    pub fn first_token(&self, load: InFlightLoad, cold: TokenCount) -> Duration {
         self.first_token + self.reading(load.prefill_tokens) + self.reading(cold)
     }
 
@@ -102,9 +102,9 @@
     ///
     /// It answers overload: a request that would be late is worth little to its caller and makes
     /// those behind it late too, so it comes back when there is room.
-    pub fn headroom(&self, load: UnderWay, cold: TokenCount, aim: Duration) -> Headroom {
+    pub fn headroom(&self, load: InFlightLoad, cold: TokenCount, aim: Duration) -> Headroom {
         let expected = self.first_token(load, cold);
-        let alone = self.first_token(UnderWay::default(), cold);
+        let alone = self.first_token(InFlightLoad::default(), cold);
         if self.streams <= load.requests {
             return Headroom::After(expected.max(self.first_token));
         }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -41,10 +41,10 @@
 pub use crate::{
     admission::{Admission, AdmissionSettings},
     baseline::{Hash, LeastInFlight, RoundRobin},
-    board::{EndpointKey, LoadBoard, SentLoad},
+    board::{EndpointKey, LoadAggregator, SentLoad},
     capacity::{Capacity, CapacitySettings},
     estimate::Estimate,
-    headroom::{EngineSpeed, Headroom, UnderWay, choose_with_room},
+    headroom::{EngineSpeed, Headroom, InFlightLoad, choose_with_headroom},
     hedge::{Hedge, HedgeDecision, HedgeSettings, Idempotence},
     kind::{AnyPolicy, PolicyKind},
     outlier::{EjectionChange, EjectionState, Outcome, OutlierDetector, OutlierSettings},
--- a/crates/route/tests/board.rs
+++ b/crates/route/tests/board.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use base::{EndpointId, HostId, MonotonicTime};
-use route::{EndpointKey, LoadBoard, SentLoad};
+use route::{EndpointKey, LoadAggregator, SentLoad};
 
 fn at(millis: u64) -> MonotonicTime {
     MonotonicTime::from_millis(millis)
@@ -20,7 +20,7 @@
 
 #[test]
 fn totals_add_up_over_hosts() {
-    let mut board = LoadBoard::new(Duration::from_secs(1));
+    let mut board = LoadAggregator::new(Duration::from_secs(1));
     board.report(at(0), host(1), vec![load("a", 2, 100), load("b", 1, 0)]);
     board.report(at(0), host(2), vec![load("a", 3, 50)]);
     let totals = board.totals(at(10));
@@ -30,7 +30,7 @@
 
 #[test]
 fn newer_report_replaces_the_older() {
-    let mut board = LoadBoard::new(Duration::from_secs(1));
+    let mut board = LoadAggregator::new(Duration::from_secs(1));
     board.report(at(0), host(1), vec![load("a", 2, 100)]);
     board.report(at(5), host(1), vec![load("b", 1, 10)]);
     assert_eq!(board.totals(at(10)), [load("b", 1, 10)]);
@@ -38,7 +38,7 @@
 
 #[test]
 fn silent_hosts_stop_counting() {
-    let mut board = LoadBoard::new(Duration::from_secs(1));
+    let mut board = LoadAggregator::new(Duration::from_secs(1));
     board.report(at(0), host(1), vec![load("a", 2, 100)]);
     assert_eq!(board.totals(at(1_000)), []);
 }
--- a/crates/route/tests/headroom.rs
+++ b/crates/route/tests/headroom.rs
@@ -5,13 +5,13 @@
 use base::TokenCount;
 use rand::SeedableRng as _;
 use rand_pcg::Pcg64Mcg;
-use route::{Candidate, EngineSpeed, Headroom, Request, UnderWay, Warm, choose_with_room};
+use route::{Candidate, EngineSpeed, Headroom, InFlightLoad, Request, Warm, choose_with_headroom};
 use yare::parameterized;
 
 const AIM: Duration = Duration::from_millis(600);
 
-fn load(requests: u32, prefill_tokens: u64) -> UnderWay {
-    UnderWay { requests, prefill_tokens: TokenCount::new(prefill_tokens) }
+fn load(requests: u32, prefill_tokens: u64) -> InFlightLoad {
+    InFlightLoad { requests, prefill_tokens: TokenCount::new(prefill_tokens) }
 }
 
 #[parameterized(
@@ -22,7 +22,7 @@
     long_prompt_at_an_idle_engine = { load(0, 0), 60_000, true },
     long_prompt_behind_another = { load(1, 9_000), 60_000, false },
 )]
-fn room(load: UnderWay, cold: u64, enough: bool) {
+fn room(load: InFlightLoad, cold: u64, enough: bool) {
     let headroom = EngineSpeed::default().headroom(load, TokenCount::new(cold), AIM);
     assert_eq!(headroom == Headroom::Enough, enough, "{headroom:?}");
 }
@@ -55,7 +55,7 @@
     let warm = Candidate { warm_tokens: TokenCount::new(3_000), ..Candidate::default() };
     let req = Request { prompt_tokens: TokenCount::new(4_000), homes: 1 };
     let candidates = [home, Candidate::default(), warm];
-    choose_with_room(
+    choose_with_headroom(
         &mut Warm::default(),
         &req,
         &candidates,
