--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -79,7 +79,7 @@
         let among: Vec<_> = (0..candidates)
             .map(|e| Candidate {
                 rank: rank(LEVEL, &ids[e]),
-                fine_rank: rank(LEVEL + 4, &ids[e]),
+                longer_prefix_rank: rank(LEVEL + 4, &ids[e]),
                 warm_tokens: TokenCount::new(warmth.blocks(slots[e]) as u64 * 16),
                 in_flight: (e % 5) as u32,
                 reported_requests: (e % 9) as u32,
--- a/crates/daemon/src/edge/admission.rs
+++ b/crates/daemon/src/edge/admission.rs
@@ -2,8 +2,8 @@
 
 use base::{MonotonicTime, OrganisationId, TokenCount};
 use route::{
-    Action, Admission, AdmissionSettings, Arrival, Capacity, CapacitySettings, Decision, Priority,
-    Refusal, Ticket,
+    Action, Admission, AdmissionSettings, Arrival, CapacityEstimator, CapacitySettings, Decision,
+    Priority, Refusal, Ticket,
 };
 
 use crate::clock::Clock;
@@ -30,7 +30,7 @@
 struct Core {
     clock: Clock,
     admission: Admission,
-    capacity: Option<Capacity>,
+    capacity: Option<CapacityEstimator>,
     /// Whether the capacity was sized by what engines showed.
     slots_known: bool,
     waiting: HashMap<Ticket, flume::Sender<Turn>>,
@@ -132,7 +132,7 @@
         let mut core = self.0.borrow_mut();
         let running = u32::try_from(core.admission.running()).unwrap_or(u32::MAX);
         if core.capacity.is_none() || (slots != 0) != core.slots_known {
-            core.capacity = Some(Capacity::new(requests, CapacitySettings::default()));
+            core.capacity = Some(CapacityEstimator::new(requests, CapacitySettings::default()));
             core.slots_known = slots != 0;
         }
         let Some(capacity) = &mut core.capacity else { return };
--- a/crates/daemon/src/edge/policies.rs
+++ b/crates/daemon/src/edge/policies.rs
@@ -4,8 +4,8 @@
 use fleet::setting::{KvTransfer, RoutingPolicy};
 use rand::Rng;
 use route::{
-    Candidate, Estimate, Hash, LeastInFlight, Policy as _, Request, RoundRobin, Warm, WarmSettings,
-    WarmV1,
+    Candidate, Hash, LeastInFlight, Policy as _, Request, RoundRobin, TtftEstimate, Warm,
+    WarmSettings, WarmV1,
 };
 
 /// How a request's endpoint is chosen, by the settings in force for it.
@@ -77,7 +77,7 @@
         preferences: &Preferences,
         req: &Request,
         candidates: &[Candidate],
-    ) -> Vec<Estimate> {
+    ) -> Vec<TtftEstimate> {
         self.warm.set_settings(self.warm_settings(preferences));
         self.warm.explain(req, candidates)
     }
--- a/crates/daemon/src/edge/router.rs
+++ b/crates/daemon/src/edge/router.rs
@@ -373,7 +373,7 @@
         let (load, report_age) = target.load(now);
         Candidate {
             rank: rank(level),
-            fine_rank: rank(level + FINE_BLOCKS),
+            longer_prefix_rank: rank(level + FINE_BLOCKS),
             warm_tokens: TokenCount::new(warm_blocks as u64 * BLOCK_TOKENS),
             in_flight: target.in_flight(),
             own_prefill_tokens: target.prefill_tokens(),
--- a/crates/daemon/src/edge/router/explain.rs
+++ b/crates/daemon/src/edge/router/explain.rs
@@ -1,7 +1,7 @@
 use std::{collections::BTreeMap, rc::Rc};
 
 use base::{EndpointId, MonotonicTime};
-use route::{Estimate, Request};
+use route::{Request, TtftEstimate};
 use wire::operator::{ExplainedCandidate, Explanation, ScorePart};
 
 use super::{Router, Target, Wanted};
@@ -54,7 +54,7 @@
     }
 }
 
-fn parts(estimate: &Estimate) -> Vec<ScorePart> {
+fn parts(estimate: &TtftEstimate) -> Vec<ScorePart> {
     let part = |name: &str, cost| ScorePart { name: name.into(), cost };
     vec![
         part("compute", estimate.compute),
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -248,7 +248,7 @@
 
     /// Takes a retry for a stream that could stay, if enough are left for requests that fail.
     fn try_move(&self, route: &Route) -> bool {
-        self.with_budget(route, |budget, now| budget.try_spend_beyond(now, RETRY_RESERVE))
+        self.with_budget(route, |budget, now| budget.try_spend_above_reserve(now, RETRY_RESERVE))
     }
 
     fn with_budget<T>(
--- a/crates/daemon/src/gateway/placement.rs
+++ b/crates/daemon/src/gateway/placement.rs
@@ -197,7 +197,7 @@
     }
     Candidate {
         rank: place,
-        fine_rank: place,
+        longer_prefix_rank: place,
         warm_tokens: holders.effective(target.version(), target.warm_tokens(prompt.chain)),
         in_flight: target.in_flight(),
         own_prefill_tokens: target.prefill_tokens(),
--- a/crates/route/src/capacity.rs
+++ b/crates/route/src/capacity.rs
@@ -4,7 +4,7 @@
 
 use crate::window::Window;
 
-/// Bounds of a [`Capacity`].
+/// Bounds of a [`CapacityEstimator`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CapacitySettings {
     /// Fewest requests under way at once.
@@ -34,7 +34,7 @@
 /// Estimates how many requests can be under way while the time to first token stays within its
 /// target: additive increase, multiplicative decrease.
 #[derive(Clone, Debug)]
-pub struct Capacity {
+pub struct CapacityEstimator {
     settings: CapacitySettings,
     estimate: f64,
     outcomes: Window,
@@ -50,7 +50,7 @@
 /// Factor of a reduction.
 const REDUCTION: f64 = 0.9;
 
-impl Capacity {
+impl CapacityEstimator {
     /// Starts with `first` requests.
     pub fn new(first: u32, settings: CapacitySettings) -> Self {
         let estimate = f64::from(first.min(settings.max).max(settings.min));
--- a/crates/route/src/estimate.rs
+++ b/crates/route/src/estimate.rs
@@ -2,7 +2,7 @@
 
 /// The parts of a candidate's score, each in weighted seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Estimate {
+pub struct TtftEstimate {
     /// Time to compute the tokens that are not warm.
     pub compute: f64,
     /// What computing them away from the prefix's homes costs later requests.
@@ -13,7 +13,7 @@
     pub round_trip: f64,
 }
 
-impl Estimate {
+impl TtftEstimate {
     /// Returns the score: the sum of the parts. The lowest wins.
     pub fn total(&self) -> f64 {
         self.compute + self.away + self.wait + self.round_trip
@@ -21,7 +21,7 @@
 }
 
 /// Shows the score and its parts in milliseconds.
-impl fmt::Display for Estimate {
+impl fmt::Display for TtftEstimate {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         const MILLIS: f64 = 1e3;
         write!(
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -3,7 +3,7 @@
 //! A [`Policy`] picks one of the candidates that can serve a request. It sees each candidate's
 //! load, distance and warmth, and never a socket or a clock. [`AnyPolicy`] is one chosen by name.
 //!
-//! [`Admission`] shares the capacity, as [`Capacity`] estimates it, among organisations.
+//! [`Admission`] shares the capacity, as [`CapacityEstimator`] estimates it, among organisations.
 //! [`OutlierDetector`] keeps requests from endpoints that fail or are slow. [`RetryBudget`], [`Backoff`]
 //! and [`Hedge`] bound what is sent again.
 //!
@@ -42,8 +42,8 @@
     admission::{Admission, AdmissionSettings},
     baseline::{Hash, LeastInFlight, RoundRobin},
     board::{EndpointKey, LoadAggregator, SentLoad},
-    capacity::{Capacity, CapacitySettings},
-    estimate::Estimate,
+    capacity::{CapacityEstimator, CapacitySettings},
+    estimate::TtftEstimate,
     headroom::{EngineSpeed, Headroom, InFlightLoad, choose_with_headroom},
     hedge::{Hedge, HedgeDecision, HedgeSettings, Idempotence},
     kind::{AnyPolicy, PolicyKind},
--- a/crates/route/src/policy.rs
+++ b/crates/route/src/policy.rs
@@ -18,7 +18,7 @@
     /// Rendezvous rank of the endpoint for the request's prefix; the highest is its home.
     pub rank: u64,
     /// Rendezvous rank for the request's longer prefix; among homes the highest comes first.
-    pub fine_rank: u64,
+    pub longer_prefix_rank: u64,
     /// Tokens of the prompt that the endpoint is believed to hold.
     pub warm_tokens: TokenCount,
     /// Requests that this router has sent to the endpoint and that have not ended.
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -64,7 +64,7 @@
 
     /// Takes one retry if a part of the most that can be saved up is left for those that need one
     /// more.
-    pub fn try_spend_beyond(&mut self, now: MonotonicTime, reserved_part: f64) -> bool {
+    pub fn try_spend_above_reserve(&mut self, now: MonotonicTime, reserved_part: f64) -> bool {
         self.refill(now);
         let reserve = (self.settings.burst * reserved_part).min(self.settings.burst - 1.0);
         if self.tokens < reserve + 1.0 {
--- a/crates/route/src/warm.rs
+++ b/crates/route/src/warm.rs
@@ -3,7 +3,7 @@
 use base::TokenRate;
 use rand::{Rng, RngExt as _};
 
-use crate::{Candidate, Estimate, Policy, Request};
+use crate::{Candidate, Policy, Request, TtftEstimate};
 
 /// What the score of [`Warm`] counts, and how much.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -107,7 +107,7 @@
     ///     "50.0 ms (compute 50.0, away from home 0.0, wait 0.0, round trip 0.0)"
     /// );
     /// ```
-    pub fn explain(&mut self, req: &Request, candidates: &[Candidate]) -> Vec<Estimate> {
+    pub fn explain(&mut self, req: &Request, candidates: &[Candidate]) -> Vec<TtftEstimate> {
         self.estimate_loads(candidates);
         self.estimates(req, candidates).collect()
     }
@@ -142,7 +142,7 @@
         };
         within_bound().for_each(|candidate| homes.add(candidate.rank));
         let fine_ranks = within_bound().filter(|candidate| homes.has(candidate.rank));
-        homes.first = fine_ranks.map(|candidate| candidate.fine_rank).max().unwrap_or(0);
+        homes.first = fine_ranks.map(|candidate| candidate.longer_prefix_rank).max().unwrap_or(0);
         homes
     }
 
@@ -151,7 +151,7 @@
         &'a self,
         req: &Request,
         candidates: &'a [Candidate],
-    ) -> impl Iterator<Item = Estimate> + 'a {
+    ) -> impl Iterator<Item = TtftEstimate> + 'a {
         let settings = &self.settings;
         let homes = self.find_homes(req, candidates);
         let token_time = 1.0 / (settings.prefill_rate.as_u64() as f64).max(1.0);
@@ -164,7 +164,7 @@
             let wait = load.prefill_tokens * token_time
                 + load.requests * request_time
                 + load.beyond(candidate.slots) * hold_time;
-            Estimate {
+            TtftEstimate {
                 compute: compute * settings.warmth,
                 away: compute * settings.away * homes.distance(candidate),
                 wait: wait * settings.wait,
@@ -308,7 +308,7 @@
     fn distance(&self, candidate: &Candidate) -> f64 {
         let step = 1.0 / (NEXT_HOMES + 1) as f64;
         if self.has(candidate.rank) {
-            return if self.first <= candidate.fine_rank { 0.0 } else { step };
+            return if self.first <= candidate.longer_prefix_rank { 0.0 } else { step };
         }
         let next = &self.ranks[self.homes..self.homes + NEXT_HOMES];
         let higher = next.iter().filter(|&&higher| candidate.rank < higher).count();
--- a/crates/route/tests/admission.rs
+++ b/crates/route/tests/admission.rs
@@ -5,8 +5,8 @@
 use base::{MonotonicTime, OrganisationId, TokenCount};
 use proptest::prelude::{ProptestConfig, any, prop_assert, prop_assert_eq, proptest};
 use route::{
-    Action, Admission, AdmissionSettings, Arrival, Capacity, CapacitySettings, Decision, Priority,
-    RefusalReason, Ticket,
+    Action, Admission, AdmissionSettings, Arrival, CapacityEstimator, CapacitySettings, Decision,
+    Priority, RefusalReason, Ticket,
 };
 
 fn org(n: u64) -> OrganisationId {
@@ -254,7 +254,7 @@
 
 #[test]
 fn capacity_grows_while_the_target_is_met_and_falls_when_missed() {
-    let mut capacity = Capacity::new(10, CapacitySettings::default());
+    let mut capacity = CapacityEstimator::new(10, CapacitySettings::default());
     (0..400).for_each(|n| {
         capacity.record(at(n), Duration::from_millis(100), 30);
     });
@@ -268,7 +268,7 @@
 
 #[test]
 fn tolerated_share_of_late_requests_costs_no_capacity() {
-    let mut capacity = Capacity::new(10, CapacitySettings::default());
+    let mut capacity = CapacityEstimator::new(10, CapacitySettings::default());
     (0..2_000).for_each(|n| {
         let took = if n % 25 == 24 { 2_000 } else { 100 };
         capacity.record(at(n * 10), Duration::from_millis(took), 1);
@@ -278,7 +278,7 @@
 
 #[test]
 fn unused_capacity_does_not_grow() {
-    let mut capacity = Capacity::new(10, CapacitySettings::default());
+    let mut capacity = CapacityEstimator::new(10, CapacitySettings::default());
     (0..400).for_each(|n| {
         capacity.record(at(n), Duration::from_millis(100), 1);
     });
--- a/crates/route/tests/policies.rs
+++ b/crates/route/tests/policies.rs
@@ -127,9 +127,9 @@
 fn routers_agree_on_the_home_of_a_longer_prefix() {
     let req = Request { homes: 2, ..request() };
     let candidates = with(|c| {
-        c[1].fine_rank = 5;
-        c[2].fine_rank = 3;
-        c[3].fine_rank = 9;
+        c[1].longer_prefix_rank = 5;
+        c[2].longer_prefix_rank = 3;
+        c[3].longer_prefix_rank = 9;
     });
     assert!((0..100).all(|seed| choose(PolicyKind::Warm, req, &candidates, seed) == Some(1)));
 }
@@ -198,7 +198,7 @@
         let candidates: Vec<_> = fields.iter().map(|&[rank, warm, busy, own, reported, millis]| {
             Candidate {
                 rank,
-                fine_rank: rank.rotate_left(7),
+                longer_prefix_rank: rank.rotate_left(7),
                 warm_tokens: tokens(warm),
                 in_flight: busy as u32,
                 own_prefill_tokens: tokens(own),
--- a/crates/route/tests/retry.rs
+++ b/crates/route/tests/retry.rs
@@ -123,8 +123,8 @@
 fn reserve_is_left_to_those_that_need_it_more() {
     let settings = BudgetSettings { ratio: 0.0, min_rate: 0.0, burst: 3.0 };
     let mut budget = RetryBudget::new(MonotonicTime::ZERO, settings);
-    assert!(budget.try_spend_beyond(MonotonicTime::ZERO, 0.6));
-    assert!(!budget.try_spend_beyond(MonotonicTime::ZERO, 0.6));
+    assert!(budget.try_spend_above_reserve(MonotonicTime::ZERO, 0.6));
+    assert!(!budget.try_spend_above_reserve(MonotonicTime::ZERO, 0.6));
     assert!(budget.try_spend(MonotonicTime::ZERO));
     assert!(budget.try_spend(MonotonicTime::ZERO));
     assert!(!budget.try_spend(MonotonicTime::ZERO));
@@ -135,10 +135,10 @@
 fn router_with_few_saved_retries_may_spend_beyond_the_reserve() {
     let settings = BudgetSettings { ratio: 0.0, min_rate: 0.0, burst: 2.1 };
     let mut budget = RetryBudget::new(MonotonicTime::ZERO, settings);
-    assert!(budget.try_spend_beyond(MonotonicTime::ZERO, 0.36));
+    assert!(budget.try_spend_above_reserve(MonotonicTime::ZERO, 0.36));
     assert!(budget.try_spend(MonotonicTime::ZERO));
     budget = RetryBudget::new(MonotonicTime::ZERO, BudgetSettings { burst: 1.0, ..settings });
-    assert!(budget.try_spend_beyond(MonotonicTime::ZERO, 0.36));
+    assert!(budget.try_spend_above_reserve(MonotonicTime::ZERO, 0.36));
     assert!(!budget.try_spend(MonotonicTime::ZERO));
 }
 
--- a/crates/route/tests/trace.rs
+++ b/crates/route/tests/trace.rs
@@ -138,7 +138,7 @@
                 let queued = router.own[e].iter().filter(|own| now < own.0).map(|own| own.2).sum();
                 Candidate {
                     rank: rank(home, &ids[e]),
-                    fine_rank: rank(chain.at_level(HOME_LEVEL + 2).unwrap(), &ids[e]),
+                    longer_prefix_rank: rank(chain.at_level(HOME_LEVEL + 2).unwrap(), &ids[e]),
                     warm_tokens: tokens(warmth.blocks(router.index.slot(&ids[e]).unwrap())),
                     in_flight: router.own[e].len() as u32,
                     own_prefill_tokens: tokens(queued),
