--- a/crates/daemon/src/edge/policies.rs
+++ b/crates/daemon/src/edge/policies.rs
@@ -113,8 +113,8 @@
         WarmSettings {
             prefill_rate: self.prefill_rate(),
             hold_time: self.hold_time.unwrap_or(usual.hold_time),
-            warmth: preferences.warmth,
-            wait: preferences.wait,
+            compute_weight: preferences.warmth,
+            wait_weight: preferences.wait,
             ..usual
         }
     }
--- a/crates/route/src/warm.rs
+++ b/crates/route/src/warm.rs
@@ -15,12 +15,12 @@
     /// How long a request holds one of an endpoint's slots.
     pub hold_time: Duration,
     /// Weight of the time to compute the tokens that are not warm.
-    pub warmth: f64,
+    pub compute_weight: f64,
     /// Weight of the time that the request waits behind others.
-    pub wait: f64,
+    pub wait_weight: f64,
     /// Weight of the time to compute tokens away from the prefix's homes, where later requests
     /// will not find them; it counts less for the candidates next by rank.
-    pub away: f64,
+    pub away_weight: f64,
     /// Age at which a load report counts half, and the mean of all reports the other half.
     pub report_half_life: Duration,
     /// Share by which a home's load may exceed the mean before the next by rank takes its place.
@@ -37,9 +37,9 @@
             prefill_rate: TokenRate::new(20_000),
             request_time: Duration::from_millis(2),
             hold_time: Duration::from_millis(500),
-            warmth: 1.0,
-            wait: 0.8,
-            away: 2.0,
+            compute_weight: 1.0,
+            wait_weight: 0.8,
+            away_weight: 2.0,
             report_half_life: Duration::from_millis(1_000),
             load_slack: 0.25,
             free_requests: 4,
@@ -54,7 +54,7 @@
     /// They suit long prompts whose recomputation delays everybody behind; the default suits
     /// callers that wait for each answer.
     pub fn favouring_hits() -> Self {
-        Self { wait: 0.4, away: 3.0, ..Self::default() }
+        Self { wait_weight: 0.4, away_weight: 3.0, ..Self::default() }
     }
 }
 
@@ -165,9 +165,9 @@
                 + load.requests * request_time
                 + load.beyond(candidate.slots) * hold_time;
             TtftEstimate {
-                compute: compute * settings.warmth,
-                away: compute * settings.away * homes.distance(candidate),
-                wait: wait * settings.wait,
+                compute: compute * settings.compute_weight,
+                away: compute * settings.away_weight * homes.distance(candidate),
+                wait: wait * settings.wait_weight,
                 round_trip: seconds(candidate.round_trip),
             }
         })
