--- a/crates/prefix/src/chain.rs
+++ b/crates/prefix/src/chain.rs
@@ -23,12 +23,12 @@
     }
 }
 
-/// What a cached block must share with a request, besides the prompt, to be reused.
+/// A hash of everything but the prompt that must match for a cached block to be reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Salt(u64);
 
 impl Salt {
-    /// Derives the salt from all that makes a cached block valid.
+    /// Derives the salt from all fields that a cached block depends on.
     pub fn new(
         organisation: &OrganisationId,
         model: &ModelId,
@@ -73,7 +73,7 @@
 }
 
 impl Chain {
-    /// Hashes the whole blocks of `prompt` in one pass; a part of a block at the end is left out.
+    /// Hashes the whole blocks of `prompt` in one pass; an incomplete last block is ignored.
     pub fn of(salt: Salt, size: BlockBytes, prompt: &[u8]) -> Self {
         let mut last = salt.0;
         let blocks = prompt
@@ -86,17 +86,17 @@
         Self { blocks }
     }
 
-    /// Hashes a prompt given in parts, as if they were joined; blocks run across the parts.
+    /// Hashes a prompt given in parts as if they were concatenated; a block may span several parts.
     pub fn of_parts<'a>(
         salt: Salt,
         size: BlockBytes,
         parts: impl IntoIterator<Item = &'a [u8]>,
     ) -> Self {
-        let mut open = OpenBlock::new(salt.0, size);
+        let mut builder = ChainBuilder::new(salt.0, size);
         for part in parts {
-            open.push(part);
+            builder.push(part);
         }
-        Self { blocks: open.blocks }
+        Self { blocks: builder.blocks }
     }
 
     /// Returns the hashes.
@@ -104,37 +104,42 @@
         &self.blocks
     }
 
-    /// Returns the hash that stands for the prompt's first `level` blocks, or fewer if it is
-    /// shorter.
+    /// Returns the hash of the prompt's first `level` blocks, or of all blocks if there are fewer.
     pub fn at_level(&self, level: usize) -> Option<BlockHash> {
         let last = level.min(self.blocks.len()).checked_sub(1)?;
         Some(self.blocks[last])
     }
 }
 
-/// A block whose bytes arrive in parts.
-struct OpenBlock {
+/// Hashes a prompt whose bytes arrive in parts.
+struct ChainBuilder {
     blocks: Vec<BlockHash>,
-    size: usize,
-    last: u64,
-    filled: usize,
+    block_bytes: usize,
+    last_hash: u64,
+    filled_bytes: usize,
     hasher: Xxh3,
 }
 
-impl OpenBlock {
+impl ChainBuilder {
     fn new(seed: u64, size: BlockBytes) -> Self {
         let hasher = Xxh3::with_seed(seed);
-        Self { blocks: Vec::new(), size: size.as_usize(), last: seed, filled: 0, hasher }
+        Self {
+            blocks: Vec::new(),
+            block_bytes: size.as_usize(),
+            last_hash: seed,
+            filled_bytes: 0,
+            hasher,
+        }
     }
 
     fn push(&mut self, part: &[u8]) {
-        let missing = (self.size - self.filled) % self.size;
+        let missing = (self.block_bytes - self.filled_bytes) % self.block_bytes;
         let (head, rest) = part.split_at(missing.min(part.len()));
         self.extend(head);
-        let whole = rest.chunks_exact(self.size);
+        let whole = rest.chunks_exact(self.block_bytes);
         let tail = whole.remainder();
         for block in whole {
-            self.close(xxh3_64_with_seed(block, self.last));
+            self.finish_block(xxh3_64_with_seed(block, self.last_hash));
         }
         self.extend(tail);
     }
@@ -143,19 +148,19 @@
         if bytes.is_empty() {
             return;
         }
-        if self.filled == 0 {
-            self.hasher = Xxh3::with_seed(self.last);
+        if self.filled_bytes == 0 {
+            self.hasher = Xxh3::with_seed(self.last_hash);
         }
         self.hasher.update(bytes);
-        self.filled += bytes.len();
-        if self.filled == self.size {
-            self.close(self.hasher.digest());
+        self.filled_bytes += bytes.len();
+        if self.filled_bytes == self.block_bytes {
+            self.finish_block(self.hasher.digest());
         }
     }
 
-    fn close(&mut self, hash: u64) {
-        self.last = hash;
-        self.filled = 0;
+    fn finish_block(&mut self, hash: u64) {
+        self.last_hash = hash;
+        self.filled_bytes = 0;
         self.blocks.push(BlockHash(hash));
     }
 }
--- a/crates/prefix/src/event.rs
+++ b/crates/prefix/src/event.rs
@@ -1,23 +1,23 @@
 use crate::BlockHash;
 
-/// A change of an engine's cache, as the engine publishes it.
+/// A change of an engine's cache, published by the engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CacheEvent {
-    /// The engine now holds these blocks.
+    /// These blocks are cached now.
     Stored(Vec<BlockHash>),
-    /// The engine no longer holds these blocks.
+    /// These blocks are no longer cached.
     Removed(Vec<BlockHash>),
-    /// The engine holds no block.
+    /// The cache is empty.
     Cleared,
 }
 
-/// What became of a cache event.
+/// The outcome of applying a cache event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Applied {
-    /// The event followed the one before.
+pub enum EventOutcome {
+    /// The event followed the last one without a gap.
     InOrder,
-    /// Events between the last one and this one are missing; this one was applied.
+    /// Events since the last one are missing; this one was applied.
     AfterGap,
-    /// The event is of another incarnation or was applied before; it was ignored.
+    /// The event is from another incarnation or was already applied; it was ignored.
     Stale,
 }
--- a/crates/prefix/src/hot.rs
+++ b/crates/prefix/src/hot.rs
@@ -4,17 +4,17 @@
 
 use crate::BlockHash;
 
-/// Counters that compete for one place in the estimator.
-const WAYS: usize = 8;
+/// Counters in each set of the estimator.
+const COUNTERS_PER_SET: usize = 8;
 
 /// Estimates how often prefixes are requested, in bounded memory.
 ///
-/// Each prefix falls into one of a fixed number of sets with eight counters each. A counter decays
-/// exponentially. A prefix without a counter replaces the lowest one of its set, so that a prefix
-/// requested often keeps its counter.
+/// Each prefix maps to one of a fixed number of sets with eight counters each. A counter decays
+/// exponentially. A prefix without a counter replaces the lowest one of its set, so that a
+/// frequently requested prefix keeps its counter.
 #[derive(Clone, Debug)]
 pub struct HotPrefixes {
-    sets: Vec<[Counter; WAYS]>,
+    sets: Vec<[Counter; COUNTERS_PER_SET]>,
     window: Duration,
 }
 
@@ -33,24 +33,24 @@
     /// Panics if `window` is zero.
     pub fn new(capacity: usize, window: Duration) -> Self {
         assert!(!window.is_zero(), "the window must not be zero");
-        let sets = capacity.div_ceil(WAYS).max(1);
-        Self { sets: vec![[Counter::default(); WAYS]; sets], window }
+        let sets = capacity.div_ceil(COUNTERS_PER_SET).max(1);
+        Self { sets: vec![[Counter::default(); COUNTERS_PER_SET]; sets], window }
     }
 
-    /// Counts a request for `prefix` at `now` and returns the prefix's rate, a second.
+    /// Counts a request for `prefix` at `now` and returns the prefix's rate per second.
     pub fn record(&mut self, now: MonotonicTime, prefix: BlockHash) -> f64 {
         let window = self.window;
         let set = self.set_of(prefix);
         let counters = &mut self.sets[set];
         let found = counters.iter().position(|c| c.prefix == prefix.as_u64());
-        let place = found.unwrap_or_else(|| lowest(counters, now, window));
-        let before = found.map_or(0.0, |place| counters[place].at(now, window));
+        let way = found.unwrap_or_else(|| lowest_counter(counters, now, window));
+        let before = found.map_or(0.0, |way| counters[way].at(now, window));
         let count = before + 1.0;
-        counters[place] = Counter { prefix: prefix.as_u64(), count, updated: now };
+        counters[way] = Counter { prefix: prefix.as_u64(), count, updated: now };
         count / window.as_secs_f64()
     }
 
-    /// Returns the rate of requests for `prefix` at `now`, a second.
+    /// Returns the rate of requests for `prefix` at `now`, per second.
     pub fn rate(&self, now: MonotonicTime, prefix: BlockHash) -> f64 {
         let counters = &self.sets[self.set_of(prefix)];
         let found = counters.iter().find(|c| c.prefix == prefix.as_u64());
@@ -58,7 +58,7 @@
     }
 
     fn set_of(&self, prefix: BlockHash) -> usize {
-        scale(prefix.as_u64(), self.sets.len())
+        map_to_range(prefix.as_u64(), self.sets.len())
     }
 }
 
@@ -69,13 +69,17 @@
     }
 }
 
-fn lowest(counters: &[Counter; WAYS], now: MonotonicTime, window: Duration) -> usize {
-    let count = |place: &usize| counters[*place].at(now, window);
-    (0..WAYS).min_by(|a, b| count(a).total_cmp(&count(b))).unwrap_or(0)
+fn lowest_counter(
+    counters: &[Counter; COUNTERS_PER_SET],
+    now: MonotonicTime,
+    window: Duration,
+) -> usize {
+    let count = |way: &usize| counters[*way].at(now, window);
+    (0..COUNTERS_PER_SET).min_by(|a, b| count(a).total_cmp(&count(b))).unwrap_or(0)
 }
 
-/// Maps a hash evenly onto the numbers below `len`.
-pub(crate) fn scale(hash: u64, len: usize) -> usize {
+/// Maps a hash uniformly to `0..len`.
+pub(crate) fn map_to_range(hash: u64, len: usize) -> usize {
     let product = u128::from(hash) * (len as u128);
     (product >> u64::BITS) as usize
 }
--- a/crates/prefix/src/index.rs
+++ b/crates/prefix/src/index.rs
@@ -3,21 +3,22 @@
 use base::{BlockCount, ByteCount, EndpointId, Incarnation, MonotonicTime, Sequence};
 
 use crate::{
-    Applied, BlockHash, CacheEvent, Chain, Slot,
-    slot::{Slots, State},
-    table::{Holding, MAX_HOLDERS, Table},
+    BlockHash, CacheEvent, Chain, EventOutcome, Slot,
+    slot::{SlotState, Slots},
+    table::{Entry, MAX_HOLDERS, Table},
 };
 
 /// Bounds of a [`WarmIndex`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IndexSettings {
-    /// Most memory for holdings.
+    /// Maximum memory for entries.
     pub memory: ByteCount,
-    /// Longest time that a holding is believed after it was learnt.
-    pub max_trust: Duration,
-    /// Shortest time that a holding is believed, also after a gap in the endpoint's events.
-    pub min_trust: Duration,
-    /// Scatters blocks over buckets; a random one keeps callers from crowding a bucket.
+    /// Longest TTL of an entry, from the time it was recorded.
+    pub max_ttl: Duration,
+    /// Shortest TTL of an entry; also the TTL of entries recorded before a gap in the endpoint's
+    /// events.
+    pub min_ttl: Duration,
+    /// Seed of the bucket hash; a random one keeps callers from provoking collisions.
     pub seed: u64,
 }
 
@@ -25,25 +26,25 @@
     fn default() -> Self {
         Self {
             memory: ByteCount::new(64 << 20),
-            max_trust: Duration::from_secs(60),
-            min_trust: Duration::from_secs(2),
+            max_ttl: Duration::from_secs(60),
+            min_ttl: Duration::from_secs(2),
             seed: 0,
         }
     }
 }
 
-/// Remembers which endpoints are believed to hold which blocks.
+/// Tracks which endpoints are expected to have which blocks cached.
 ///
-/// Each pair of a block and an endpoint's incarnation is one holding of
-/// [`ENTRY_BYTES`](Self::ENTRY_BYTES). Holdings are learnt from own requests, from engines'
-/// answers and from cache events, and are believed for a time: the endpoint's trust, which shrinks
-/// when an answer shows a believed block gone and grows when it confirms one.
+/// Each pair of a block and an endpoint's incarnation is one entry of
+/// [`ENTRY_BYTES`](Self::ENTRY_BYTES). Entries are recorded from this router's requests, from
+/// engines' responses and from cache events. They expire after the endpoint's TTL, which shrinks
+/// when a response shows that an expected block was evicted and grows when it confirms one.
 ///
-/// After a gap in an endpoint's events, what was learnt before is believed for no longer than
-/// [`IndexSettings::min_trust`] since it was learnt, because its removal may have been lost. What
-/// is learnt after the gap counts in full.
+/// After a gap in an endpoint's events, entries recorded before the gap expire after
+/// [`IndexSettings::min_ttl`] at the latest, because the event that removed them may have been
+/// lost. Entries recorded after the gap keep the full TTL.
 ///
-/// A full index evicts the oldest of a few holdings.
+/// A full index evicts the oldest of a small sample of entries.
 #[derive(Clone, Debug)]
 pub struct WarmIndex {
     table: Table,
@@ -52,10 +53,10 @@
 }
 
 impl WarmIndex {
-    /// Memory that one holding takes, in bytes.
+    /// Memory that one entry takes, in bytes.
     pub const ENTRY_BYTES: usize = Table::ENTRY_BYTES;
 
-    /// Most endpoints remembered for one block.
+    /// Maximum number of endpoints tracked for one block.
     pub const MAX_HOLDERS: usize = MAX_HOLDERS;
 
     /// Creates an empty index and reserves its memory.
@@ -64,73 +65,73 @@
         Self { table: Table::new(capacity, settings.seed), slots: Slots::default(), settings }
     }
 
-    /// Binds `endpoint` to a slot; a new incarnation voids what was learnt of the old one.
+    /// Binds `endpoint` to a slot; a new incarnation invalidates the entries of the old one.
     ///
-    /// An older incarnation than the one bound changes nothing. Returns `None` when 65,536
-    /// endpoints are bound.
+    /// An older incarnation than the bound one is ignored. Returns `None` if 65,536 endpoints are
+    /// bound.
     pub fn bind(&mut self, endpoint: &EndpointId, incarnation: Incarnation) -> Option<Slot> {
-        let trust = span_millis(self.settings.max_trust);
-        let Some(slot) = self.slots.of(endpoint) else {
-            return self.slots.add(endpoint, incarnation, trust);
+        let ttl = span_millis(self.settings.max_ttl);
+        let Some(slot) = self.slots.get(endpoint) else {
+            return self.slots.add(endpoint, incarnation, ttl);
         };
         let state = self.slots.live_mut(slot)?;
         if state.incarnation < incarnation {
-            state.restart(incarnation, trust);
+            state.restart(incarnation, ttl);
         }
-        self.slots.of(endpoint)
+        self.slots.get(endpoint)
     }
 
     /// Returns the slot of `endpoint`.
     pub fn slot(&self, endpoint: &EndpointId) -> Option<Slot> {
-        self.slots.of(endpoint)
+        self.slots.get(endpoint)
     }
 
-    /// Forgets `endpoint` and frees its slot.
+    /// Frees the slot of `endpoint` and invalidates its entries.
     pub fn unbind(&mut self, endpoint: &EndpointId) {
         self.slots.remove(endpoint);
     }
 
-    /// Voids what was learnt of the endpoint, as when it loads new weights.
-    pub fn void(&mut self, slot: Slot) {
+    /// Invalidates the endpoint's entries, as when it loads new weights.
+    pub fn invalidate(&mut self, slot: Slot) {
         if let Some(state) = self.slots.live_mut(slot) {
-            state.void();
+            state.invalidate();
         }
     }
 
-    /// Learns that a request with `chain` was sent to the endpoint at `now`.
+    /// Records that a request with `chain` was sent to the endpoint at `now`.
     pub fn record_sent(&mut self, now: MonotonicTime, slot: Slot, chain: &Chain) {
-        self.store(now, slot, chain.blocks());
+        self.insert_blocks(now, slot, chain.blocks());
     }
 
-    /// Learns that the endpoint holds exactly the first `cached` blocks of `chain`.
+    /// Records that the endpoint holds exactly the first `cached` blocks of `chain`.
     pub fn record_cached(&mut self, now: MonotonicTime, slot: Slot, chain: &Chain, cached: usize) {
-        let (held, gone) = chain.blocks().split_at(cached.min(chain.blocks().len()));
-        self.store(now, slot, held);
-        self.erase(slot, gone);
+        let (held, missing) = chain.blocks().split_at(cached.min(chain.blocks().len()));
+        self.insert_blocks(now, slot, held);
+        self.remove_blocks(slot, missing);
     }
 
-    /// Learns from the answer to a request with `chain`: when it was sent, `believed` blocks were
-    /// expected, and `cached` were found.
+    /// Records the response to a request with `chain`: `expected` blocks were thought to be cached
+    /// when it was sent, and `cached` were found.
     ///
-    /// The whole chain is held after it, as the rest was computed.
+    /// The endpoint holds the whole chain afterwards, because it computed the rest.
     pub fn record_response(
         &mut self,
         now: MonotonicTime,
         slot: Slot,
         chain: &Chain,
-        believed: usize,
+        expected: usize,
         cached: usize,
     ) {
-        let min_trust = span_millis(self.settings.min_trust);
-        let max_trust = span_millis(self.settings.max_trust);
+        let min_ttl = span_millis(self.settings.min_ttl);
+        let max_ttl = span_millis(self.settings.max_ttl);
         let Some(state) = self.slots.live_mut(slot) else { return };
-        let trust = match (cached < believed, believed == 0) {
-            (true, _) => state.trust / 4 * 3,
-            (false, false) => state.trust.saturating_add(max_trust / 64),
-            (false, true) => state.trust,
+        let ttl = match (cached < expected, expected == 0) {
+            (true, _) => state.ttl / 4 * 3,
+            (false, false) => state.ttl.saturating_add(max_ttl / 64),
+            (false, true) => state.ttl,
         };
-        state.trust = trust.min(max_trust).max(min_trust);
-        self.store(now, slot, chain.blocks());
+        state.ttl = ttl.min(max_ttl).max(min_ttl);
+        self.insert_blocks(now, slot, chain.blocks());
     }
 
     /// Applies a cache event that an incarnation of the endpoint published.
@@ -141,36 +142,37 @@
         incarnation: Incarnation,
         sequence: Sequence,
         event: &CacheEvent,
-    ) -> Applied {
-        let Some(state) = self.slots.live_mut(slot) else { return Applied::Stale };
+    ) -> EventOutcome {
+        let Some(state) = self.slots.live_mut(slot) else { return EventOutcome::Stale };
         let is_old = state.sequence.is_some_and(|last| sequence <= last);
         if state.incarnation != incarnation || is_old {
-            return Applied::Stale;
+            return EventOutcome::Stale;
         }
         let in_order = state.sequence.is_none_or(|last| last.next() == sequence);
         state.sequence = Some(sequence);
         if !in_order {
-            state.doubted_until = Some(millis(now));
+            state.last_gap = Some(millis(now));
         }
         match event {
-            CacheEvent::Stored(blocks) => self.store(now, slot, blocks),
-            CacheEvent::Removed(blocks) => self.erase(slot, blocks),
-            CacheEvent::Cleared => state.void(),
+            CacheEvent::Stored(blocks) => self.insert_blocks(now, slot, blocks),
+            CacheEvent::Removed(blocks) => self.remove_blocks(slot, blocks),
+            CacheEvent::Cleared => state.invalidate(),
         }
-        if in_order { Applied::InOrder } else { Applied::AfterGap }
+        if in_order { EventOutcome::InOrder } else { EventOutcome::AfterGap }
     }
 
-    /// Finds the longest believed prefix of `chain` at every endpoint, in one walk over the chain.
-    pub fn match_prefix(&self, now: MonotonicTime, chain: &Chain, warmth: &mut PrefixMatches) {
-        warmth.reset(self.slots.states().len());
+    /// Finds the longest prefix of `chain` that each endpoint is expected to hold, in one pass over
+    /// the chain.
+    pub fn match_prefix(&self, now: MonotonicTime, chain: &Chain, matches: &mut PrefixMatches) {
+        matches.reset(self.slots.states().len());
         let now = millis(now);
-        let min_trust = span_millis(self.settings.min_trust);
+        let min_ttl = span_millis(self.settings.min_ttl);
         for (depth, &block) in (0..).zip(chain.blocks()) {
             let mut extended = false;
-            for holding in self.table.holders(block) {
-                let state = &self.slots.states()[usize::from(holding.slot)];
-                if state.believes(now, &holding, min_trust) {
-                    extended |= warmth.extend(holding.slot, depth);
+            for entry in self.table.holders(block) {
+                let state = &self.slots.states()[usize::from(entry.slot)];
+                if state.is_valid(now, &entry, min_ttl) {
+                    extended |= matches.extend(entry.slot, depth);
                 }
             }
             if !extended {
@@ -179,61 +181,61 @@
         }
     }
 
-    /// Returns how long a holding of the endpoint is believed.
-    pub fn trust(&self, slot: Slot) -> Option<Duration> {
-        self.slots.live(slot).map(|state| Duration::from_millis(state.trust.into()))
+    /// Returns the TTL of the endpoint's entries.
+    pub fn ttl(&self, slot: Slot) -> Option<Duration> {
+        self.slots.live(slot).map(|state| Duration::from_millis(state.ttl.into()))
     }
 
-    /// Returns the number of holdings, void ones that were not evicted yet included.
+    /// Returns the number of entries, including invalid ones that have not been evicted yet.
     pub fn len(&self) -> BlockCount {
         BlockCount::new(self.table.len() as u64)
     }
 
-    /// Returns whether the index has no holding.
+    /// Returns whether the index has no entry.
     pub fn is_empty(&self) -> bool {
         self.table.len() == 0
     }
 
-    /// Returns the memory reserved for holdings.
+    /// Returns the memory reserved for entries.
     pub fn memory(&self) -> ByteCount {
         ByteCount::new(self.table.bytes() as u64)
     }
 
-    fn store(&mut self, now: MonotonicTime, slot: Slot, blocks: &[BlockHash]) {
-        let Some(&State { generation, .. }) = self.slots.live(slot) else { return };
+    fn insert_blocks(&mut self, now: MonotonicTime, slot: Slot, blocks: &[BlockHash]) {
+        let Some(&SlotState { generation, .. }) = self.slots.live(slot) else { return };
         for &block in blocks {
             self.table.insert(block, slot, generation, millis(now));
         }
     }
 
-    fn erase(&mut self, slot: Slot, blocks: &[BlockHash]) {
+    fn remove_blocks(&mut self, slot: Slot, blocks: &[BlockHash]) {
         for &block in blocks {
             self.table.remove(block, slot);
         }
     }
 }
 
-impl State {
-    /// Returns whether the endpoint is believed to hold the block at `now`.
-    fn believes(&self, now: u32, holding: &Holding, min_trust: u32) -> bool {
-        if self.generation != holding.generation {
+impl SlotState {
+    /// Returns whether `entry` is neither invalidated nor expired at `now`.
+    fn is_valid(&self, now: u32, entry: &Entry, min_ttl: u32) -> bool {
+        if self.generation != entry.generation {
             return false;
         }
-        let age = now.wrapping_sub(holding.learnt);
-        let is_doubted = self.doubted_until.is_some_and(|until| now.wrapping_sub(until) < age);
-        let trust = if is_doubted { min_trust } else { self.trust };
-        age < trust
+        let age = now.wrapping_sub(entry.recorded_at);
+        let predates_gap = self.last_gap.is_some_and(|gap| now.wrapping_sub(gap) < age);
+        let ttl = if predates_gap { min_ttl } else { self.ttl };
+        age < ttl
     }
 }
 
-/// The longest believed prefix of one chain at each endpoint; reused from request to request.
+/// The longest prefix of one chain that each endpoint is expected to hold; reused across requests.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixMatches {
     blocks: Vec<u32>,
 }
 
 impl PrefixMatches {
-    /// Returns the number of blocks that the endpoint is believed to hold.
+    /// Returns the number of leading blocks that the endpoint is expected to hold.
     pub fn blocks(&self, slot: Slot) -> usize {
         self.blocks.get(slot.as_usize()).map_or(0, |&blocks| blocks as usize)
     }
@@ -243,9 +245,9 @@
         self.blocks.resize(slots, 0);
     }
 
-    /// Counts the block at `depth` if all before it are held.
-    fn extend(&mut self, number: u16, depth: u32) -> bool {
-        let blocks = &mut self.blocks[usize::from(number)];
+    /// Counts the block at `depth` if all blocks before it are held.
+    fn extend(&mut self, slot: u16, depth: u32) -> bool {
+        let blocks = &mut self.blocks[usize::from(slot)];
         let extends = *blocks == depth;
         if extends {
             *blocks += 1;
--- a/crates/prefix/src/lib.rs
+++ b/crates/prefix/src/lib.rs
@@ -4,9 +4,9 @@
 //! that precede it, starting from a [`Salt`] of organisation, model, weights version and adapter.
 //! So two hashes are equal only where an engine may reuse the cached block.
 //!
-//! The [`WarmIndex`] holds which endpoints are believed to hold a block, in a fixed amount of
-//! memory. [`rank`] gives each prefix a home without any state, and [`HotPrefixes`] with
-//! [`Replication`] give a hot prefix more than one.
+//! The [`WarmIndex`] tracks which endpoints are expected to have a block cached, in a fixed amount
+//! of memory. [`rank`] assigns each prefix a home endpoint by rendezvous hashing, without any
+//! state; [`HotPrefixes`] and [`Replication`] assign several homes to a hot prefix.
 //!
 //! # Example
 //!
@@ -33,7 +33,7 @@
 
 pub use crate::{
     chain::{BlockBytes, BlockHash, Chain, Salt},
-    event::{Applied, CacheEvent},
+    event::{CacheEvent, EventOutcome},
     hot::HotPrefixes,
     index::{IndexSettings, PrefixMatches, WarmIndex},
     parts::{Part, PartCacheModel, PartChain},
--- a/crates/prefix/src/parts.rs
+++ b/crates/prefix/src/parts.rs
@@ -6,127 +6,129 @@
 
 use crate::BlockHash;
 
-/// A part of a prompt that its caller has named and counted.
+/// A part of a prompt, with the id and the length that the caller supplied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// Its name; equal names stand for equal text.
+    /// Identifies the text: parts with equal ids have equal text.
     pub id: u64,
-    /// Its length.
+    /// Length of the part.
     pub tokens: TokenCount,
 }
 
-/// A prompt in parts, each known by itself and all parts before it.
+/// A prompt in parts, each identified by a hash of itself and all parts before it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartChain {
-    levels: Vec<Level>,
+    parts: Vec<HashedPart>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Level {
+struct HashedPart {
     hash: BlockHash,
     tokens: TokenCount,
 }
 
 impl PartChain {
-    /// Hashes the parts, first to last, from a salt of all that makes cached text valid.
+    /// Hashes the parts in order; `salt` covers all fields that cached text depends on.
     pub fn new(salt: u64, parts: &[Part]) -> Self {
         let mut last = salt;
-        let levels = parts
+        let parts = parts
             .iter()
             .map(|part| {
                 last = xxh3_64_with_seed(&part.id.to_le_bytes(), last);
-                Level { hash: BlockHash::new(last), tokens: part.tokens }
+                HashedPart { hash: BlockHash::new(last), tokens: part.tokens }
             })
             .collect();
-        Self { levels }
+        Self { parts }
     }
 
     /// Returns the length of the whole prompt.
     pub fn tokens(&self) -> TokenCount {
-        sum(&self.levels)
+        total_tokens(&self.parts)
     }
 
-    /// Returns the length of all parts but the last, which belongs to the request itself.
+    /// Returns the length of all parts but the last, which is specific to the request.
     pub fn shared_tokens(&self) -> TokenCount {
-        sum(self.shared())
+        total_tokens(self.shared())
     }
 
-    /// Returns the hash of all parts that other requests may share, if there are any.
+    /// Returns the hash of all parts that other requests may share, or `None` if there are none.
     pub fn shared_hash(&self) -> Option<BlockHash> {
-        self.shared().last().map(|level| level.hash)
+        self.shared().last().map(|part| part.hash)
     }
 
-    /// Returns the hash of the first part, if others share it.
+    /// Returns the hash of the first part if other requests may share it.
     pub fn first_hash(&self) -> Option<BlockHash> {
-        self.shared().first().map(|level| level.hash)
+        self.shared().first().map(|part| part.hash)
     }
 
-    fn shared(&self) -> &[Level] {
-        match self.levels.split_last() {
+    fn shared(&self) -> &[HashedPart] {
+        match self.parts.split_last() {
             Some((_, shared)) => shared,
             None => &[],
         }
     }
 }
 
-fn sum(levels: &[Level]) -> TokenCount {
-    TokenCount::new(levels.iter().map(|level| level.tokens.as_u64()).sum())
+fn total_tokens(parts: &[HashedPart]) -> TokenCount {
+    TokenCount::new(parts.iter().map(|part| part.tokens.as_u64()).sum())
 }
 
-/// The parts that an engine is believed to hold, as far as its memory reaches.
+/// The parts that an engine is expected to have cached: an LRU model of its cache.
 #[derive(Clone, Debug)]
 pub struct PartCacheModel {
     capacity: u64,
-    held: HashMap<BlockHash, Held>,
+    entries: HashMap<BlockHash, CachedPart>,
     tokens: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct CachedPart {
     tokens: u64,
-    used: MonotonicTime,
+    last_used: MonotonicTime,
 }
 
 impl PartCacheModel {
-    /// Creates the view of an empty memory for so many tokens.
+    /// Creates the model of an empty cache of `capacity` tokens.
     pub fn new(capacity: TokenCount) -> Self {
-        Self { capacity: capacity.as_u64(), held: HashMap::new(), tokens: 0 }
+        Self { capacity: capacity.as_u64(), entries: HashMap::new(), tokens: 0 }
     }
 
-    /// Returns whether all parts of the prompt that others share are believed to be held.
+    /// Returns whether all parts that other requests may share are expected to be cached.
     pub fn holds_shared(&self, chain: &PartChain) -> bool {
         chain.shared_tokens() <= self.warm_tokens(chain)
     }
 
-    /// Returns how much of the prompt's beginning is believed to be held.
+    /// Returns the length of the prompt's leading parts that are expected to be cached.
     pub fn warm_tokens(&self, chain: &PartChain) -> TokenCount {
-        let levels = chain.levels.iter();
-        let warm = levels.take_while(|level| self.held.contains_key(&level.hash));
-        TokenCount::new(warm.map(|level| level.tokens.as_u64()).sum())
+        let parts = chain.parts.iter();
+        let warm = parts.take_while(|part| self.entries.contains_key(&part.hash));
+        TokenCount::new(warm.map(|part| part.tokens.as_u64()).sum())
     }
 
-    /// Notes that a request with this prompt was read at `now`; what was used least lately yields.
+    /// Records that the engine processed this prompt at `now`, and evicts the least recently used
+    /// parts beyond the capacity.
     pub fn record(&mut self, now: MonotonicTime, chain: &PartChain) {
-        for level in &chain.levels {
-            let tokens = level.tokens.as_u64();
-            let held = Held { tokens, used: now };
+        for part in &chain.parts {
+            let tokens = part.tokens.as_u64();
+            let cached = CachedPart { tokens, last_used: now };
             self.tokens += tokens;
-            if let Some(old) = self.held.insert(level.hash, held) {
+            if let Some(old) = self.entries.insert(part.hash, cached) {
                 self.tokens -= old.tokens;
             }
         }
         while self.capacity < self.tokens {
-            let oldest = self.held.iter().min_by_key(|(hash, held)| (held.used, **hash));
+            let oldest =
+                self.entries.iter().min_by_key(|(hash, cached)| (cached.last_used, **hash));
             let Some((&hash, _)) = oldest else { return };
-            if let Some(old) = self.held.remove(&hash) {
+            if let Some(old) = self.entries.remove(&hash) {
                 self.tokens -= old.tokens;
             }
         }
     }
 
-    /// Forgets everything, as after new weights.
+    /// Removes all parts, as after a change of weights.
     pub fn clear(&mut self) {
-        self.held.clear();
+        self.entries.clear();
         self.tokens = 0;
     }
 }
--- a/crates/prefix/src/shared.rs
+++ b/crates/prefix/src/shared.rs
@@ -5,22 +5,23 @@
 
 use crate::PartChain;
 
-/// A prompt that a router has sent to an engine.
+/// A prompt that a router sent to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SentPrompt {
-    /// The engine, by the short name under which routers report on it.
+    /// The engine, by the short key that load reports use.
     pub engine: u32,
-    /// The version of the weights that read it.
+    /// The version of the weights that processed it.
     pub weights: u32,
     /// The prompt.
     pub chain: PartChain,
-    /// Whether the engine was told to save what it reads to the store.
+    /// Whether the engine was asked to save the prompt's blocks to the KV store.
     pub saved: bool,
 }
 
-/// The latest prompts that the routers of a site have sent, to be told to all of them.
+/// The latest prompts that the routers of a site have sent, for distribution to all of them.
 ///
-/// So each router knows where a prompt is warm although it sees only its own part of the requests.
+/// It lets each router find the engines where a prompt is warm although it handles only a part of
+/// the requests.
 #[derive(Clone, Debug)]
 pub struct SentPromptLog {
     capacity: usize,
@@ -36,12 +37,12 @@
 }
 
 impl SentPromptLog {
-    /// Creates a log that keeps `capacity` entries; the oldest go first.
+    /// Creates a log that keeps the latest `capacity` entries.
     pub fn new(capacity: usize) -> Self {
         Self { capacity, next: 0, entries: VecDeque::new() }
     }
 
-    /// Adds what a router has sent.
+    /// Appends prompts that the router `from` sent.
     pub fn extend(&mut self, from: &HostId, sent: Vec<SentPrompt>) {
         for sent in sent {
             self.entries.push_back(Entry { number: self.next, from: from.clone(), sent });
@@ -51,14 +52,14 @@
         self.entries.drain(..excess);
     }
 
-    /// Returns what others than `host` have sent from number `first` on.
+    /// Returns the prompts from entry number `first` on that routers other than `host` sent.
     pub fn since<'a>(
         &'a self,
         first: u64,
         host: &'a HostId,
     ) -> impl Iterator<Item = &'a SentPrompt> {
-        let news = self.entries.iter().filter(move |entry| first <= entry.number);
-        news.filter(move |entry| entry.from != *host).map(|entry| &entry.sent)
+        let unread = self.entries.iter().filter(move |entry| first <= entry.number);
+        unread.filter(move |entry| entry.from != *host).map(|entry| &entry.sent)
     }
 
     /// Returns the number of the next entry.
@@ -67,33 +68,34 @@
     }
 }
 
-/// Prompts that this router has sent and not told yet.
+/// Prompts that this router has sent and not reported yet.
 #[derive(Clone, Debug, Default)]
 pub struct UnreportedPrompts {
     sent: Vec<SentPrompt>,
 }
 
-/// Most prompts that are kept to be told; a router that can't tell them drops the oldest.
-const MAX_UNTOLD: usize = 512;
+/// Maximum number of prompts kept for the next report; if none can be sent, the oldest are
+/// dropped.
+const MAX_UNREPORTED_PROMPTS: usize = 512;
 
 impl UnreportedPrompts {
-    /// Notes a prompt.
+    /// Adds a prompt to the next report.
     pub fn push(&mut self, sent: SentPrompt) {
-        if MAX_UNTOLD <= self.sent.len() {
+        if MAX_UNREPORTED_PROMPTS <= self.sent.len() {
             self.sent.remove(0);
         }
         self.sent.push(sent);
     }
 
-    /// Takes all that is to be told.
+    /// Removes and returns all unreported prompts.
     pub fn take(&mut self) -> Vec<SentPrompt> {
         std::mem::take(&mut self.sent)
     }
 
-    /// Takes back what could not be told.
+    /// Puts back prompts whose report could not be sent, before those added since.
     pub fn restore(&mut self, mut sent: Vec<SentPrompt>) {
         sent.append(&mut self.sent);
-        let excess = sent.len().saturating_sub(MAX_UNTOLD);
+        let excess = sent.len().saturating_sub(MAX_UNREPORTED_PROMPTS);
         self.sent = sent.split_off(excess);
     }
 }
--- a/crates/prefix/src/table.rs
+++ b/crates/prefix/src/table.rs
@@ -1,52 +1,52 @@
-use crate::{BlockHash, Slot, hot::scale};
+use crate::{BlockHash, Slot, hot::map_to_range};
 
-/// Marks the end of a list.
+/// Marks the end of a linked list.
 const NIL: u32 = u32::MAX;
 
-/// Most endpoints remembered for one block; beyond it the one learnt first makes room.
+/// Maximum number of endpoints tracked for one block; beyond it the oldest entry is replaced.
 pub(crate) const MAX_HOLDERS: usize = 32;
 
-/// Holdings compared to find one to evict.
+/// Entries compared to find one to evict.
 const EVICTION_SAMPLE: usize = 8;
 
-/// One endpoint's holding of one block.
+/// Records that one endpoint holds one block.
 #[derive(Clone, Copy, Debug)]
 #[repr(C, packed(4))]
-pub(crate) struct Holding {
+pub(crate) struct Entry {
     pub(crate) block: u64,
-    /// When it was learnt, in milliseconds since the clock's origin, modulo 2^32.
-    pub(crate) learnt: u32,
+    /// When it was recorded, in milliseconds since the clock's origin, modulo 2^32.
+    pub(crate) recorded_at: u32,
     pub(crate) slot: u16,
     pub(crate) generation: u16,
     next: u32,
 }
 
-/// Holdings by block, in a fixed amount of memory: a list for each bucket.
+/// Entries by block, in a fixed amount of memory: a hash table with a linked list per bucket.
 #[derive(Clone, Debug)]
 pub(crate) struct Table {
     heads: Vec<u32>,
-    holdings: Vec<Holding>,
+    entries: Vec<Entry>,
     capacity: usize,
-    /// Where the search for a holding to evict starts.
-    hand: usize,
-    /// A list of the places whose holding was removed.
-    free: u32,
+    /// Where the search for an entry to evict starts.
+    eviction_cursor: usize,
+    /// Head of the list of free entries.
+    free_head: u32,
     len: usize,
     seed: u64,
 }
 
 impl Table {
-    /// Memory that a holding takes, in bytes: itself and its share of the buckets.
-    pub(crate) const ENTRY_BYTES: usize = size_of::<Holding>() + size_of::<u32>();
+    /// Memory per entry, in bytes: the entry itself and its share of the buckets.
+    pub(crate) const ENTRY_BYTES: usize = size_of::<Entry>() + size_of::<u32>();
 
     pub(crate) fn new(capacity: usize, seed: u64) -> Self {
         let capacity = capacity.clamp(1, NIL as usize - 1);
         Self {
             heads: vec![NIL; capacity],
-            holdings: Vec::with_capacity(capacity),
+            entries: Vec::with_capacity(capacity),
             capacity,
-            hand: 0,
-            free: NIL,
+            eviction_cursor: 0,
+            free_head: NIL,
             len: 0,
             seed,
         }
@@ -57,113 +57,120 @@
     }
 
     pub(crate) fn bytes(&self) -> usize {
-        self.heads.capacity() * size_of::<u32>() + self.holdings.capacity() * size_of::<Holding>()
+        self.heads.capacity() * size_of::<u32>() + self.entries.capacity() * size_of::<Entry>()
     }
 
-    /// Returns the holdings of `block`, the one learnt last first.
-    pub(crate) fn holders(&self, block: BlockHash) -> impl Iterator<Item = Holding> + '_ {
-        self.places(block).map(|place| self.holdings[place])
+    /// Returns the entries of `block`, the most recently recorded first.
+    pub(crate) fn holders(&self, block: BlockHash) -> impl Iterator<Item = Entry> + '_ {
+        self.indices(block).map(|index| self.entries[index])
     }
 
-    /// Returns the places of the holdings of `block`.
-    fn places(&self, block: BlockHash) -> impl Iterator<Item = usize> + '_ {
-        let mut place = self.heads[self.bucket(block.as_u64())];
+    /// Returns the indices of the entries of `block`.
+    fn indices(&self, block: BlockHash) -> impl Iterator<Item = usize> + '_ {
+        let mut index = self.heads[self.bucket(block.as_u64())];
         std::iter::from_fn(move || {
-            let found = (place != NIL).then_some(place as usize)?;
-            place = self.holdings[found].next;
+            let found = (index != NIL).then_some(index as usize)?;
+            index = self.entries[found].next;
             Some(found)
         })
-        .filter(move |&place| self.holdings[place].block == block.as_u64())
+        .filter(move |&index| self.entries[index].block == block.as_u64())
     }
 
-    /// Stores or renews the holding of `block` by `slot`.
-    pub(crate) fn insert(&mut self, block: BlockHash, slot: Slot, generation: u16, learnt: u32) {
-        let renewed = self.places(block).find(|&place| self.holdings[place].slot == slot.number);
-        let crowded = || self.places(block).nth(MAX_HOLDERS - 1);
-        if let Some(place) = renewed.or_else(crowded) {
-            let holding = &mut self.holdings[place];
-            holding.slot = slot.number;
-            holding.generation = generation;
-            holding.learnt = learnt;
-            self.move_to_front(place);
+    /// Inserts or refreshes the entry for `block` at `slot`.
+    pub(crate) fn insert(
+        &mut self,
+        block: BlockHash,
+        slot: Slot,
+        generation: u16,
+        recorded_at: u32,
+    ) {
+        let existing = self.indices(block).find(|&index| self.entries[index].slot == slot.number);
+        let oldest_if_full = || self.indices(block).nth(MAX_HOLDERS - 1);
+        if let Some(index) = existing.or_else(oldest_if_full) {
+            let entry = &mut self.entries[index];
+            entry.slot = slot.number;
+            entry.generation = generation;
+            entry.recorded_at = recorded_at;
+            self.move_to_front(index);
             return;
         }
-        let place = self.vacant_place(learnt);
+        let index = self.allocate(recorded_at);
         let bucket = self.bucket(block.as_u64());
         let next = self.heads[bucket];
-        let holding =
-            Holding { block: block.as_u64(), learnt, slot: slot.number, generation, next };
-        match self.holdings.get_mut(place) {
-            Some(old) => *old = holding,
-            None => self.holdings.push(holding),
+        let entry =
+            Entry { block: block.as_u64(), recorded_at, slot: slot.number, generation, next };
+        match self.entries.get_mut(index) {
+            Some(old) => *old = entry,
+            None => self.entries.push(entry),
         }
-        self.heads[bucket] = place as u32;
+        self.heads[bucket] = index as u32;
         self.len += 1;
     }
 
-    /// Removes the holding of `block` by `slot`.
+    /// Removes the entry for `block` at `slot`.
     pub(crate) fn remove(&mut self, block: BlockHash, slot: Slot) {
-        let found = self.places(block).find(|&place| self.holdings[place].slot == slot.number);
-        let Some(place) = found else { return };
-        self.unlink(place);
-        self.holdings[place].next = self.free;
-        self.free = place as u32;
+        let found = self.indices(block).find(|&index| self.entries[index].slot == slot.number);
+        let Some(index) = found else { return };
+        self.unlink(index);
+        self.entries[index].next = self.free_head;
+        self.free_head = index as u32;
     }
 
-    /// Finds room for a holding, evicting one if the table is full.
-    fn vacant_place(&mut self, now: u32) -> usize {
-        if self.free != NIL {
-            let place = self.free as usize;
-            self.free = self.holdings[place].next;
-            return place;
+    /// Returns the index for a new entry, evicting another one if the table is full.
+    fn allocate(&mut self, now: u32) -> usize {
+        if self.free_head != NIL {
+            let index = self.free_head as usize;
+            self.free_head = self.entries[index].next;
+            return index;
         }
-        if self.holdings.len() < self.capacity {
-            return self.holdings.len();
+        if self.entries.len() < self.capacity {
+            return self.entries.len();
         }
-        let place = self.oldest_at_hand(now);
-        self.hand = (self.hand + 1) % self.capacity;
-        self.unlink(place);
-        place
+        let index = self.oldest_after_cursor(now);
+        self.eviction_cursor = (self.eviction_cursor + 1) % self.capacity;
+        self.unlink(index);
+        index
     }
 
-    /// Returns the oldest of the places next to the hand, so that a renewed holding stays.
-    fn oldest_at_hand(&self, now: u32) -> usize {
-        let places = (self.hand..self.hand + EVICTION_SAMPLE).map(|place| place % self.capacity);
-        let age = |place: &usize| now.wrapping_sub(self.holdings[*place].learnt);
-        places.rev().max_by_key(age).unwrap_or(self.hand)
+    /// Returns the oldest of the entries that follow the cursor, so that a refreshed entry stays.
+    fn oldest_after_cursor(&self, now: u32) -> usize {
+        let indices = (self.eviction_cursor..self.eviction_cursor + EVICTION_SAMPLE)
+            .map(|index| index % self.capacity);
+        let age = |index: &usize| now.wrapping_sub(self.entries[*index].recorded_at);
+        indices.rev().max_by_key(age).unwrap_or(self.eviction_cursor)
     }
 
-    fn move_to_front(&mut self, place: usize) {
-        self.unlink(place);
-        let bucket = self.bucket(self.holdings[place].block);
-        self.holdings[place].next = self.heads[bucket];
-        self.heads[bucket] = place as u32;
+    fn move_to_front(&mut self, index: usize) {
+        self.unlink(index);
+        let bucket = self.bucket(self.entries[index].block);
+        self.entries[index].next = self.heads[bucket];
+        self.heads[bucket] = index as u32;
         self.len += 1;
     }
 
-    fn unlink(&mut self, place: usize) {
-        let Holding { block, next, .. } = self.holdings[place];
+    fn unlink(&mut self, index: usize) {
+        let Entry { block, next, .. } = self.entries[index];
         let bucket = self.bucket(block);
         self.len -= 1;
-        if self.heads[bucket] == place as u32 {
+        if self.heads[bucket] == index as u32 {
             self.heads[bucket] = next;
             return;
         }
-        let mut before = self.heads[bucket] as usize;
-        while self.holdings[before].next != place as u32 {
-            before = self.holdings[before].next as usize;
+        let mut previous = self.heads[bucket] as usize;
+        while self.entries[previous].next != index as u32 {
+            previous = self.entries[previous].next as usize;
         }
-        self.holdings[before].next = next;
+        self.entries[previous].next = next;
     }
 
     fn bucket(&self, block: u64) -> usize {
-        scale(scatter(block ^ self.seed), self.heads.len())
+        map_to_range(mix(block ^ self.seed), self.heads.len())
     }
 }
 
-/// Folds the product with a constant, so that the seed reaches every bit.
-fn scatter(number: u64) -> u64 {
-    const ODD: u128 = 0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835;
-    let product = u128::from(number).wrapping_mul(ODD);
+/// Multiplies by a constant and folds the product, so that the seed affects every bit.
+fn mix(number: u64) -> u64 {
+    const MULTIPLIER: u128 = 0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835;
+    let product = u128::from(number).wrapping_mul(MULTIPLIER);
     (product >> u64::BITS) as u64 ^ product as u64
 }
--- a/crates/prefix/tests/chain.rs
+++ b/crates/prefix/tests/chain.rs
@@ -1,4 +1,4 @@
-//! Identity of prefixes.
+//! Hashing of prompts into chains of blocks.
 
 use prefix::{BlockBytes, Chain, Salt};
 
@@ -32,27 +32,27 @@
     models_share_no_block: salt("org", "model2", "v1", None),
     weights_versions_share_no_block: salt("org", "model", "v2", None),
     adapters_share_no_block: salt("org", "model", "v1", Some("a")),
-    field_boundaries_count: salt("orgm", "odel", "v1", None),
+    salt_covers_field_boundaries: salt("orgm", "odel", "v1", None),
 }
 
-macro_rules! parts_hash_as_joined {
+macro_rules! parts_hash_as_concatenated {
     ($($name:ident: $parts:expr,)*) => {$(
         #[test]
         fn $name() {
             let parts: &[&[u8]] = &$parts;
             let salt = salt("org", "model", "v1", None);
             let size = BlockBytes::new(4).unwrap();
-            let joined = Chain::of(salt, size, &parts.concat());
-            assert_eq!(Chain::of_parts(salt, size, parts.iter().copied()), joined);
+            let concatenated = Chain::of(salt, size, &parts.concat());
+            assert_eq!(Chain::of_parts(salt, size, parts.iter().copied()), concatenated);
         }
     )*};
 }
 
-parts_hash_as_joined! {
+parts_hash_as_concatenated! {
     no_part: [],
     one_part: [b"abcdefghij"],
     block_across_parts: [b"abc", b"defgh", b"ij"],
     block_over_three_parts: [b"a", b"b", b"cdefgh"],
     empty_parts: [b"", b"abcd", b"", b"efgh"],
-    many_blocks_after_a_piece: [b"ab", b"cdefghijklmnopqrst", b"uvwx"],
+    many_blocks_after_a_partial_block: [b"ab", b"cdefghijklmnopqrst", b"uvwx"],
 }
--- a/crates/prefix/tests/placement.rs
+++ b/crates/prefix/tests/placement.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn only_the_leavers_prefixes_move() {
+fn only_prefixes_of_the_removed_endpoint_move() {
     let all = endpoints(18);
     let rest = &all[..17];
     for n in 0..PREFIXES {
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn more_homes_extend_fewer() {
+fn additional_homes_keep_the_first_ones() {
     let all = endpoints(18);
     let few = homes(prefix(3), &all, 2);
     assert_eq!(few, homes(prefix(3), &all, 5)[..2]);
@@ -56,11 +56,11 @@
 }
 
 replication_cases! {
-    unknown_rate_has_one_home: 0.0 => 1,
-    rate_of_one_home_has_one: 10.0 => 1,
-    higher_rate_has_more: 20.1 => 3,
-    homes_are_bounded: 1e12 => 4,
-    no_number_has_one_home: f64::NAN => 1,
+    zero_rate_has_one_home: 0.0 => 1,
+    rate_of_one_home_has_one_home: 10.0 => 1,
+    higher_rate_has_more_homes: 20.1 => 3,
+    number_of_homes_is_bounded: 1e12 => 4,
+    nan_rate_has_one_home: f64::NAN => 1,
 }
 
 #[test]
--- a/crates/prefix/tests/regression/dead_incarnation.rs
+++ b/crates/prefix/tests/regression/dead_incarnation.rs
@@ -2,7 +2,7 @@
 use prefix::{BlockBytes, Chain, IndexSettings, PrefixMatches, Salt, WarmIndex};
 
 #[test]
-fn late_answer_of_a_dead_incarnation_teaches_nothing() {
+fn late_response_of_a_dead_incarnation_is_ignored() {
     let (id, model) = ("x".parse().unwrap(), "m".parse().unwrap());
     let salt = Salt::new(&id, &model, &"v1".parse().unwrap(), None);
     let chain = Chain::of(salt, BlockBytes::new(4).unwrap(), b"house style");
@@ -12,7 +12,7 @@
     let live = index.bind(&endpoint, Incarnation::new(2)).unwrap();
     index.record_sent(MonotonicTime::ZERO, dead, &chain);
     index.record_response(MonotonicTime::ZERO, dead, &chain, 0, 2);
-    let mut warmth = PrefixMatches::default();
-    index.match_prefix(MonotonicTime::ZERO, &chain, &mut warmth);
-    assert_eq!(warmth.blocks(live), 0);
+    let mut matches = PrefixMatches::default();
+    index.match_prefix(MonotonicTime::ZERO, &chain, &mut matches);
+    assert_eq!(matches.blocks(live), 0);
 }
--- a/crates/prefix/tests/regression/main.rs
+++ b/crates/prefix/tests/regression/main.rs
@@ -1,3 +1,3 @@
-//! Faults found before, one a module.
+//! Regression tests, one module per fault.
 
 mod dead_incarnation;
--- a/crates/prefix/tests/shared.rs
+++ b/crates/prefix/tests/shared.rs
@@ -1,4 +1,4 @@
-//! What routers tell each other of the prompts that they have sent.
+//! Sharing of sent prompts among routers.
 
 use base::{HostId, TokenCount};
 use prefix::{Part, PartChain, SentPrompt, SentPromptLog, UnreportedPrompts};
@@ -13,30 +13,30 @@
 }
 
 #[test]
-fn others_learn_what_a_router_has_sent_once() {
+fn each_prompt_is_returned_to_other_routers_once() {
     let mut log = SentPromptLog::new(10);
     log.extend(&host(1), vec![sent(1), sent(2)]);
     assert_eq!(log.since(0, &host(2)).cloned().collect::<Vec<_>>(), [sent(1), sent(2)]);
-    let seen = log.next();
+    let next = log.next();
     log.extend(&host(3), vec![sent(3)]);
-    assert_eq!(log.since(seen, &host(2)).cloned().collect::<Vec<_>>(), [sent(3)]);
-    assert_eq!(log.since(seen, &host(3)).count(), 0);
+    assert_eq!(log.since(next, &host(2)).cloned().collect::<Vec<_>>(), [sent(3)]);
+    assert_eq!(log.since(next, &host(3)).count(), 0);
 }
 
 #[test]
-fn oldest_entries_go_first() {
+fn oldest_entries_are_dropped_first() {
     let mut log = SentPromptLog::new(2);
     log.extend(&host(1), vec![sent(1), sent(2), sent(3)]);
     assert_eq!(log.since(0, &host(2)).cloned().collect::<Vec<_>>(), [sent(2), sent(3)]);
 }
 
 #[test]
-fn what_could_not_be_told_is_told_later() {
-    let mut untold = UnreportedPrompts::default();
-    untold.push(sent(1));
-    let lost = untold.take();
-    untold.push(sent(2));
-    untold.restore(lost);
-    assert_eq!(untold.take(), [sent(1), sent(2)]);
-    assert_eq!(untold.take(), []);
+fn prompts_of_a_failed_report_are_reported_again() {
+    let mut unreported = UnreportedPrompts::default();
+    unreported.push(sent(1));
+    let failed_report = unreported.take();
+    unreported.push(sent(2));
+    unreported.restore(failed_report);
+    assert_eq!(unreported.take(), [sent(1), sent(2)]);
+    assert_eq!(unreported.take(), []);
 }
