--- a/crates/route/examples/decision_cost.rs
+++ b/crates/route/examples/decision_cost.rs
@@ -1,4 +1,5 @@
-//! Times one routing decision, and one block of a cache event, at the size to design for: 1,800 endpoints that serve 7 models.
+//! Measures the time of one routing decision, and of one block of a cache event, at the design
+//! size: 1,800 endpoints that serve 7 models.
 
 use std::time::{Duration, Instant};
 
@@ -17,22 +18,22 @@
 const PROMPTS: usize = 2_000;
 const DECISIONS: usize = 20_000;
 
-/// Times of the parts of one decision.
+/// Times of the steps of one decision.
 #[derive(Clone, Copy)]
-struct Parts {
-    walk: Duration,
+struct DecisionTimes {
+    lookup: Duration,
     rank: Duration,
     choose: Duration,
 }
 
 fn main() {
     for (name, serving) in [("one of 7 models", ENDPOINTS / MODELS), ("every model", ENDPOINTS)] {
-        let parts = decision_times(serving);
+        let times = decision_times(serving);
         println!("{serving} candidates (endpoints serve {name})");
-        print_times("walk over the index", parts.iter().map(|parts| parts.walk));
-        print_times("ranks", parts.iter().map(|parts| parts.rank));
-        print_times("choice", parts.iter().map(|parts| parts.choose));
-        print_times("all", parts.iter().map(|parts| parts.walk + parts.rank + parts.choose));
+        print_times("walk over the index", times.iter().map(|times| times.lookup));
+        print_times("ranks", times.iter().map(|times| times.rank));
+        print_times("choice", times.iter().map(|times| times.choose));
+        print_times("all", times.iter().map(|times| times.lookup + times.rank + times.choose));
     }
     println!("one stored block of a cache event: mean {:?}", event_time());
 }
@@ -42,11 +43,11 @@
     const EVENTS: u64 = 100_000;
     const EVENT_BLOCKS: u64 = 16;
     let mut index = WarmIndex::new(IndexSettings::default());
-    let life = Incarnation::new(1);
+    let incarnation = Incarnation::new(1);
     let slots: Vec<Slot> = (0..ENDPOINTS)
         .map(|n| {
             let id = format!("engine-{n}").parse().expect("a valid id");
-            index.bind(&id, life).expect("a free slot")
+            index.bind(&id, incarnation).expect("a free slot")
         })
         .collect();
     let mut rng = Pcg64Mcg::seed_from_u64(8);
@@ -55,7 +56,7 @@
         let blocks = (0..EVENT_BLOCKS).map(|_| BlockHash::new(rng.random())).collect();
         let event = CacheEvent::Stored(blocks);
         let start = Instant::now();
-        index.apply(MonotonicTime::from_millis(n), slot, life, Sequence::new(n), &event);
+        index.apply(MonotonicTime::from_millis(n), slot, incarnation, Sequence::new(n), &event);
         start.elapsed()
     };
     let fill = index_capacity() / EVENT_BLOCKS + 1;
@@ -77,8 +78,8 @@
     println!("  {name}: median {:?}, p99 {:?}", at(50), at(99));
 }
 
-/// Times walks over the index, ranks and choices among `serving` candidates.
-fn decision_times(serving: usize) -> Vec<Parts> {
+/// Measures lookups in the index, ranks and choices among `serving` candidates.
+fn decision_times(serving: usize) -> Vec<DecisionTimes> {
     let mut rng = Pcg64Mcg::seed_from_u64(7);
     let memory = ByteCount::new(64 << 20);
     let mut index = WarmIndex::new(IndexSettings { memory, ..IndexSettings::default() });
@@ -98,25 +99,25 @@
         }
     }
     let mut policy = Warm::default();
-    let mut warmth = PrefixMatches::default();
+    let mut matches = PrefixMatches::default();
     let mut candidates = Vec::new();
     let mut time = || {
         let chain = &prompts[rng.random_range(0..PROMPTS)];
         let start = Instant::now();
-        index.match_prefix(now, chain, &mut warmth);
-        let walk = start.elapsed();
+        index.match_prefix(now, chain, &mut matches);
+        let lookup = start.elapsed();
         let home = chain.blocks()[BLOCKS / 2];
         candidates.clear();
         candidates.extend(endpoints[..serving].iter().map(|(id, slot)| Candidate {
             rank: rank(home, id),
-            warm_tokens: TokenCount::new(warmth.blocks(*slot) as u64 * 16),
+            warm_tokens: TokenCount::new(matches.blocks(*slot) as u64 * 16),
             ..Candidate::default()
         }));
-        let rank = start.elapsed() - walk;
+        let rank = start.elapsed() - lookup;
         let req = Request { prompt_tokens: TokenCount::new(1_024), homes: 2 };
         let chosen = policy.choose(&req, &candidates, &mut rng);
         assert!(chosen.is_some());
-        Parts { walk, rank, choose: start.elapsed() - walk - rank }
+        DecisionTimes { lookup, rank, choose: start.elapsed() - lookup - rank }
     };
     (0..DECISIONS).map(|_| time()).collect()
 }
--- a/crates/route/src/admission.rs
+++ b/crates/route/src/admission.rs
@@ -5,19 +5,21 @@
 
 use base::{MonotonicTime, OrganisationId, TokenCount};
 
-use crate::{Action, Arrival, Decision, Priority, Refusal, RefusalReason, Ticket, share::Shares};
+use crate::{
+    Action, Arrival, Decision, Priority, Refusal, RefusalReason, Ticket, fair_queue::FairQueue,
+};
 
 /// Bounds of an [`Admission`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionSettings {
-    /// Requests under way at once, until [`Admission::set_capacity`] changes it.
+    /// Maximum number of requests in flight, until [`Admission::set_capacity`] changes it.
     pub capacity: u32,
-    /// Most requests of one organisation that wait.
+    /// Maximum number of waiting requests of one organisation.
     pub max_waiting: usize,
-    /// Weight of an organisation that was given none.
+    /// Weight of organisations without a configured weight.
     pub default_weight: u32,
-    /// How long a request is taken to hold its place until one has ended.
-    pub first_hold_time: Duration,
+    /// Assumed time that a request stays in flight, until the first one has ended.
+    pub initial_hold_time: Duration,
 }
 
 impl Default for AdmissionSettings {
@@ -26,27 +28,27 @@
             capacity: 64,
             max_waiting: 1_024,
             default_weight: 1,
-            first_hold_time: Duration::from_millis(100),
+            initial_hold_time: Duration::from_millis(100),
         }
     }
 }
 
-/// Shares the capacity among organisations by weight.
+/// Divides the capacity among organisations by weight.
 ///
-/// While there is room every request runs at once. Beyond it requests wait, and the organisation
-/// that was charged the least for its weight goes first (start-time fair queueing), so that none
-/// is starved and no capacity lies idle. Within an organisation the lower priority number goes
-/// first, then the earlier arrival. A request that would wait beyond its deadline is refused on
-/// arrival, or later once its organisation's share has shrunk.
+/// While there is capacity, every request runs at once. Beyond it requests wait, and the
+/// organisation that was charged the least relative to its weight goes first (start-time fair
+/// queueing), so that none is starved and no capacity is idle. Within an organisation the lower
+/// priority number goes first, then the earlier arrival. A request that would wait beyond its
+/// deadline is refused on arrival, or later if its organisation's share shrinks.
 #[derive(Clone, Debug)]
 pub struct Admission {
     settings: AdmissionSettings,
-    shares: Shares,
+    fair_queue: FairQueue,
     waiting: HashMap<Ticket, Waiting>,
     running: HashMap<Ticket, Running>,
     deadlines: BTreeSet<(MonotonicTime, Ticket)>,
-    next: u64,
-    /// Average time that a request holds its place.
+    next_number: u64,
+    /// Moving average of the time that a request is in flight.
     hold_time: Option<Duration>,
 }
 
@@ -63,46 +65,46 @@
     since: MonotonicTime,
 }
 
-/// Part of the average that one request makes up.
-const HOLD_TIME_PARTS: u32 = 16;
+/// Smoothing of the average hold time: each request has the weight 1 / `HOLD_TIME_SMOOTHING`.
+const HOLD_TIME_SMOOTHING: u32 = 16;
 
-/// Factor by which the estimated wait exceeds the time to the deadline before a request that
+/// Factor by which the estimated wait must exceed the time to the deadline before a request that
 /// already waits is refused.
-const HOPELESS_FACTOR: f64 = 1.5;
+const LATE_REFUSAL_FACTOR: f64 = 1.5;
 
 impl Admission {
-    /// Creates an admission with nothing under way.
+    /// Creates an admission without any requests.
     pub fn new(settings: AdmissionSettings) -> Self {
         Self {
             settings,
-            shares: Shares::new(settings.default_weight),
+            fair_queue: FairQueue::new(settings.default_weight),
             waiting: HashMap::new(),
             running: HashMap::new(),
             deadlines: BTreeSet::new(),
-            next: 0,
+            next_number: 0,
             hold_time: None,
         }
     }
 
     /// Sets an organisation's weight, at least 1.
     pub fn set_weight(&mut self, organisation: OrganisationId, weight: u32) {
-        self.shares.set_weight(organisation, weight);
+        self.fair_queue.set_weight(organisation, weight);
     }
 
-    /// Sets how many requests may be under way and starts those for which there is room now.
+    /// Sets the maximum number of requests in flight, and starts waiting requests that now fit.
     pub fn set_capacity(&mut self, now: MonotonicTime, capacity: u32) -> Vec<Action> {
         self.settings.capacity = capacity;
         self.start_waiting(now)
     }
 
-    /// Decides about a request that arrives at `now`.
+    /// Admits, queues or refuses a request that arrives at `now`.
     pub fn admit(&mut self, now: MonotonicTime, arrival: Arrival) -> Decision {
         if arrival.deadline <= now {
             return Decision::Refuse(self.refusal(RefusalReason::DeadlinePassed, Duration::ZERO));
         }
-        if self.has_room() && self.waiting.is_empty() {
+        if self.has_capacity() && self.waiting.is_empty() {
             let ticket = self.next_ticket();
-            self.shares.charge(&arrival.organisation, arrival.cost);
+            self.fair_queue.charge(&arrival.organisation, arrival.cost);
             self.running.insert(ticket, Running { since: now });
             return Decision::Run(ticket);
         }
@@ -112,121 +114,122 @@
         }
     }
 
-    /// Ends a request that ran, and starts those for which there is room now.
+    /// Ends a running request, and starts waiting requests that now fit.
     pub fn release(&mut self, now: MonotonicTime, ticket: Ticket) -> Vec<Action> {
         let Some(running) = self.running.remove(&ticket) else { return Vec::new() };
         let held = now.saturating_since(running.since);
         let average = self.hold_time.unwrap_or(held);
-        let parts = HOLD_TIME_PARTS;
-        self.hold_time = Some((average * (parts - 1) + held) / parts);
+        let smoothing = HOLD_TIME_SMOOTHING;
+        self.hold_time = Some((average * (smoothing - 1) + held) / smoothing);
         let actions = self.start_waiting(now);
         if self.running.is_empty() && self.waiting.is_empty() {
-            self.shares.reset();
+            self.fair_queue.reset();
         }
         actions
     }
 
-    /// Forgets a request that waits, as when its caller has gone.
+    /// Removes a waiting request, as when its caller has disconnected.
     pub fn cancel(&mut self, ticket: Ticket) {
         self.dequeue(ticket);
     }
 
-    /// Refuses requests whose deadline passed or can no longer be met, and starts those for which
-    /// there is room.
+    /// Refuses waiting requests whose deadline passed or can no longer be met, and starts those
+    /// that fit.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<Action> {
         let mut actions = Vec::new();
         while let Some(&(deadline, ticket)) = self.deadlines.first()
             && deadline <= now
         {
-            let retry_after = self.wait_of(ticket);
+            let retry_after = self.wait_if_first(ticket);
             self.dequeue(ticket);
             let refusal = self.refusal(RefusalReason::DeadlinePassed, retry_after);
             actions.push(Action::Refuse(ticket, refusal));
         }
-        for organisation in self.shares.queued_organisations() {
-            self.refuse_hopeless(now, &organisation, &mut actions);
+        for organisation in self.fair_queue.queued_organisations() {
+            self.refuse_late(now, &organisation, &mut actions);
         }
-        self.shares.forget_idle();
+        self.fair_queue.remove_idle();
         actions.extend(self.start_waiting(now));
         actions
     }
 
-    /// Returns the time at which [`tick`](Self::tick) has something to do.
+    /// Returns the earliest deadline of a waiting request, when [`tick`](Self::tick) is due.
     pub fn next_deadline(&self) -> Option<MonotonicTime> {
         self.deadlines.first().map(|&(deadline, _)| deadline)
     }
 
-    /// Returns the number of requests under way.
+    /// Returns the number of requests in flight.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    fn has_room(&self) -> bool {
+    fn has_capacity(&self) -> bool {
         self.running.len() < self.settings.capacity as usize
     }
 
     fn next_ticket(&mut self) -> Ticket {
-        self.next += 1;
-        Ticket(self.next)
+        self.next_number += 1;
+        Ticket(self.next_number)
     }
 
-    /// Checks that a request can wait and would start before its deadline.
+    /// Checks that the queue has space for a request and that it would start before its deadline.
     fn check_queue(&self, now: MonotonicTime, arrival: &Arrival) -> Result<(), Refusal> {
         let organisation = &arrival.organisation;
-        let ahead = self.shares.ahead(organisation, arrival.priority);
-        let wait = self.estimate_wait(organisation, ahead);
-        let patience = arrival.deadline.saturating_since(now);
-        if self.settings.max_waiting <= self.shares.queued(organisation) {
+        let requests_ahead = self.fair_queue.requests_ahead(organisation, arrival.priority);
+        let wait = self.estimate_wait(organisation, requests_ahead);
+        let time_left = arrival.deadline.saturating_since(now);
+        if self.settings.max_waiting <= self.fair_queue.queued(organisation) {
             return Err(self.refusal(RefusalReason::QueueFull, wait));
         }
-        if patience < wait {
-            return Err(self.refusal(RefusalReason::Overloaded, wait - patience));
+        if time_left < wait {
+            return Err(self.refusal(RefusalReason::Overloaded, wait - time_left));
         }
         Ok(())
     }
 
-    /// Refuses the organisation's last requests while they would wait far beyond their deadline.
-    fn refuse_hopeless(
+    /// Refuses the organisation's last requests while they would wait far beyond their deadlines.
+    fn refuse_late(
         &mut self,
         now: MonotonicTime,
         organisation: &OrganisationId,
         actions: &mut Vec<Action>,
     ) {
-        while let Some(ticket) = self.shares.last_of(organisation)
+        while let Some(ticket) = self.fair_queue.last_of(organisation)
             && let Some(waiting) = self.waiting.get(&ticket)
         {
-            let patience = waiting.deadline.saturating_since(now);
-            let wait = self.estimate_wait(organisation, self.shares.queued(organisation) - 1);
-            if wait.as_secs_f64() <= patience.as_secs_f64() * HOPELESS_FACTOR {
+            let time_left = waiting.deadline.saturating_since(now);
+            let wait = self.estimate_wait(organisation, self.fair_queue.queued(organisation) - 1);
+            if wait.as_secs_f64() <= time_left.as_secs_f64() * LATE_REFUSAL_FACTOR {
                 return;
             }
             self.dequeue(ticket);
-            let refusal = self.refusal(RefusalReason::Overloaded, wait.saturating_sub(patience));
+            let refusal = self.refusal(RefusalReason::Overloaded, wait.saturating_sub(time_left));
             actions.push(Action::Refuse(ticket, refusal));
         }
     }
 
-    /// Estimates how long a request with `ahead` others of its organisation before it waits.
+    /// Estimates the wait of a request with `requests_ahead` others of its organisation before it.
     ///
-    /// The organisation's first waits for those charged less; each further one for a round of all.
-    fn estimate_wait(&self, organisation: &OrganisationId, ahead: usize) -> Duration {
+    /// The organisation's first request waits for the organisations that were charged less; each
+    /// further one waits for a round of all organisations.
+    fn estimate_wait(&self, organisation: &OrganisationId, requests_ahead: usize) -> Duration {
         let capacity = f64::from(self.settings.capacity.max(1));
-        let first = (self.shares.before(organisation) + 1) as f64;
-        let further = ahead as f64 / self.shares.share_of(organisation);
+        let first = (self.fair_queue.organisations_ahead(organisation) + 1) as f64;
+        let further = requests_ahead as f64 / self.fair_queue.capacity_share(organisation);
         let wait = self.hold_time().as_secs_f64() * (first + further) / capacity;
         Duration::try_from_secs_f64(wait).unwrap_or(Duration::MAX)
     }
 
     fn hold_time(&self) -> Duration {
-        self.hold_time.unwrap_or(self.settings.first_hold_time)
+        self.hold_time.unwrap_or(self.settings.initial_hold_time)
     }
 
-    fn wait_of(&self, ticket: Ticket) -> Duration {
+    fn wait_if_first(&self, ticket: Ticket) -> Duration {
         let Some(waiting) = self.waiting.get(&ticket) else { return Duration::ZERO };
         self.estimate_wait(&waiting.organisation, 0)
     }
@@ -239,7 +242,7 @@
     fn enqueue(&mut self, arrival: Arrival) -> Ticket {
         let ticket = self.next_ticket();
         let Arrival { organisation, priority, deadline, cost } = arrival;
-        self.shares.push(&organisation, priority, ticket);
+        self.fair_queue.push(&organisation, priority, ticket);
         self.deadlines.insert((deadline, ticket));
         self.waiting.insert(ticket, Waiting { organisation, priority, deadline, cost });
         ticket
@@ -248,21 +251,21 @@
     fn dequeue(&mut self, ticket: Ticket) -> Option<Waiting> {
         let waiting = self.waiting.remove(&ticket)?;
         self.deadlines.remove(&(waiting.deadline, ticket));
-        self.shares.remove(&waiting.organisation, waiting.priority, ticket);
+        self.fair_queue.remove(&waiting.organisation, waiting.priority, ticket);
         Some(waiting)
     }
 
     fn start_waiting(&mut self, now: MonotonicTime) -> Vec<Action> {
         let mut actions = Vec::new();
-        while self.has_room() {
-            let Some(ticket) = self.shares.first() else { break };
+        while self.has_capacity() {
+            let Some(ticket) = self.fair_queue.first() else { break };
             let Some(waiting) = self.dequeue(ticket) else { break };
             if waiting.deadline <= now {
                 let refusal = self.refusal(RefusalReason::DeadlinePassed, Duration::ZERO);
                 actions.push(Action::Refuse(ticket, refusal));
                 continue;
             }
-            self.shares.charge(&waiting.organisation, waiting.cost);
+            self.fair_queue.charge(&waiting.organisation, waiting.cost);
             self.running.insert(ticket, Running { since: now });
             actions.push(Action::Run(ticket));
         }
--- a/crates/route/src/baseline.rs
+++ b/crates/route/src/baseline.rs
@@ -2,7 +2,7 @@
 
 use crate::{Candidate, Policy, Request};
 
-/// Takes the candidates in turn.
+/// Chooses the candidates in turn.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RoundRobin {
     next: usize,
@@ -21,8 +21,8 @@
     }
 }
 
-/// Takes the candidate to which this router has the fewest requests under way, and a random one
-/// among equals.
+/// Chooses the candidate with the fewest requests in flight from this router; ties are broken at
+/// random.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastInFlight;
 
@@ -34,12 +34,12 @@
         rng: &mut R,
     ) -> Option<usize> {
         let fewest = candidates.iter().map(|candidate| candidate.in_flight).min()?;
-        let equals = || (0..candidates.len()).filter(|&i| candidates[i].in_flight == fewest);
-        equals().nth(rng.random_range(0..equals().count()))
+        let tied = || (0..candidates.len()).filter(|&i| candidates[i].in_flight == fewest);
+        tied().nth(rng.random_range(0..tied().count()))
     }
 }
 
-/// Takes the prefix's home by rendezvous hashing, whatever its load.
+/// Chooses the prefix's home by rendezvous hashing, regardless of its load.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Hash;
 
--- a/crates/route/src/capacity.rs
+++ b/crates/route/src/capacity.rs
@@ -7,16 +7,16 @@
 /// Bounds of a [`CapacityEstimator`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CapacitySettings {
-    /// Fewest requests under way at once.
+    /// Minimum number of requests in flight.
     pub min: u32,
-    /// Most requests under way at once.
+    /// Maximum number of requests in flight.
     pub max: u32,
-    /// Time to first token that the service is to keep.
+    /// Target for the time to first token.
     pub target: Duration,
-    /// Share of the requests that may miss the target.
-    pub tolerated: f64,
-    /// Shortest time between two reductions, and the time over which requests count.
-    pub pause: Duration,
+    /// Share of the requests that may miss the target without a reduction.
+    pub tolerated_late_share: f64,
+    /// Minimum interval between two reductions, and the length of the window of outcomes.
+    pub min_reduction_interval: Duration,
 }
 
 impl Default for CapacitySettings {
@@ -25,45 +25,50 @@
             min: 4,
             max: 4_096,
             target: Duration::from_millis(790),
-            tolerated: 0.05,
-            pause: Duration::from_secs(1),
+            tolerated_late_share: 0.05,
+            min_reduction_interval: Duration::from_secs(1),
         }
     }
 }
 
-/// Estimates how many requests can be under way while the time to first token stays within its
-/// target: additive increase, multiplicative decrease.
+/// Estimates how many requests can be in flight while the time to first token stays within its
+/// target, by additive increase and multiplicative decrease (AIMD).
 #[derive(Clone, Debug)]
 pub struct CapacityEstimator {
     settings: CapacitySettings,
     estimate: f64,
     outcomes: Window,
-    reduced: Option<MonotonicTime>,
+    reduced_at: Option<MonotonicTime>,
 }
 
-/// Fewest requests that can lead to a reduction.
+/// Minimum number of outcomes in the window before a reduction.
 const MIN_OUTCOMES: u32 = 10;
 
-/// Factor of growth while no bound is known.
-const PROBE_GROWTH: f64 = 1.25;
+/// Growth factor of a probe, while no limit is known.
+const PROBE_GROWTH_FACTOR: f64 = 1.25;
 
-/// Factor of a reduction.
-const REDUCTION: f64 = 0.9;
+/// Factor of one reduction.
+const REDUCTION_FACTOR: f64 = 0.9;
 
 impl CapacityEstimator {
-    /// Starts with `first` requests.
+    /// Creates an estimator that starts at `first` requests.
     pub fn new(first: u32, settings: CapacitySettings) -> Self {
         let estimate = f64::from(first.min(settings.max).max(settings.min));
-        Self { settings, estimate, outcomes: Window::new(settings.pause), reduced: None }
+        Self {
+            settings,
+            estimate,
+            outcomes: Window::new(settings.min_reduction_interval),
+            reduced_at: None,
+        }
     }
 
-    /// Counts the time to first token of a request while `running` requests were under way, and
+    /// Records the time to first token of a request while `running` requests were in flight, and
     /// returns the new estimate.
-    pub fn record(&mut self, now: MonotonicTime, took: Duration, running: u32) -> u32 {
-        let is_late = self.settings.target < took;
+    pub fn record(&mut self, now: MonotonicTime, ttft: Duration, running: u32) -> u32 {
+        let is_late = self.settings.target < ttft;
         let outcomes = self.outcomes.record(now, is_late);
-        let tolerated = self.settings.tolerated * f64::from(outcomes.total);
-        if is_late && MIN_OUTCOMES <= outcomes.total && tolerated < f64::from(outcomes.bad) {
+        let tolerated_late = self.settings.tolerated_late_share * f64::from(outcomes.total);
+        if is_late && MIN_OUTCOMES <= outcomes.total && tolerated_late < f64::from(outcomes.bad) {
             self.reduce(now);
         } else if !is_late && self.estimate <= f64::from(running) * 2.0 {
             self.estimate += 1.0 / self.estimate.max(1.0);
@@ -73,21 +78,20 @@
         self.requests()
     }
 
-    /// Sets the fewest requests under way at once, as what endpoints can carry becomes known, and
-    /// returns the new estimate.
+    /// Sets the minimum, as the capacity of endpoints becomes known, and returns the new estimate.
     pub fn set_min(&mut self, min: u32) -> u32 {
         self.settings.min = min.min(self.settings.max);
         self.estimate = self.estimate.max(self.settings.min.into());
         self.requests()
     }
 
-    /// Grows the estimate at once if the `running` requests come near it and none was late so far,
-    /// and returns the new one.
+    /// Grows the estimate at once if `running` is at least half of it and it was never reduced, and
+    /// returns the new estimate.
     ///
-    /// It finds the capacity of endpoints that have shown no bound of their own.
+    /// This finds the capacity of endpoints that have not shown a limit of their own.
     pub fn probe(&mut self, running: u32) -> u32 {
-        if self.reduced.is_none() && self.estimate <= f64::from(running) * 2.0 {
-            self.estimate = (self.estimate * PROBE_GROWTH).min(self.settings.max.into());
+        if self.reduced_at.is_none() && self.estimate <= f64::from(running) * 2.0 {
+            self.estimate = (self.estimate * PROBE_GROWTH_FACTOR).min(self.settings.max.into());
         }
         self.requests()
     }
@@ -98,10 +102,10 @@
     }
 
     fn reduce(&mut self, now: MonotonicTime) {
-        if self.reduced.is_some_and(|last| now < last + self.settings.pause) {
+        if self.reduced_at.is_some_and(|last| now < last + self.settings.min_reduction_interval) {
             return;
         }
-        self.estimate *= REDUCTION;
-        self.reduced = Some(now);
+        self.estimate *= REDUCTION_FACTOR;
+        self.reduced_at = Some(now);
     }
 }
--- a/crates/route/src/estimate.rs
+++ b/crates/route/src/estimate.rs
@@ -1,26 +1,26 @@
 use std::fmt;
 
-/// The parts of a candidate's score, each in weighted seconds.
+/// A candidate's estimated time to first token by component, each in weighted seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TtftEstimate {
     /// Time to compute the tokens that are not warm.
     pub compute: f64,
-    /// What computing them away from the prefix's homes costs later requests.
+    /// Cost to later requests of computing them away from the prefix's homes.
     pub away: f64,
-    /// Time behind other requests.
+    /// Queueing time behind other requests.
     pub wait: f64,
-    /// Time for a message to the endpoint and back.
+    /// Round-trip time to the endpoint.
     pub round_trip: f64,
 }
 
 impl TtftEstimate {
-    /// Returns the score: the sum of the parts. The lowest wins.
+    /// Returns the score, the sum of the components; the lowest is chosen.
     pub fn total(&self) -> f64 {
         self.compute + self.away + self.wait + self.round_trip
     }
 }
 
-/// Shows the score and its parts in milliseconds.
+/// Formats the score and its components in milliseconds.
 impl fmt::Display for TtftEstimate {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         const MILLIS: f64 = 1e3;
--- a/crates/route/src/headroom.rs
+++ b/crates/route/src/headroom.rs
@@ -5,14 +5,14 @@
 
 use crate::{Candidate, Policy, Request};
 
-/// What an engine can do, as far as routers count on it.
+/// The throughput that routers assume of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineSpeed {
-    /// Rate at which it reads prompts.
+    /// Rate at which it prefills prompts.
     pub prefill_rate: TokenRate,
-    /// Time to the first token of a prompt that needs no reading.
+    /// Time to the first token of a prompt that is cached completely.
     pub first_token: Duration,
-    /// Streams at once from which each becomes too slow.
+    /// Number of concurrent streams at which each becomes too slow.
     pub streams: u32,
 }
 
@@ -26,65 +26,65 @@
     }
 }
 
-/// What routers have under way at an engine.
+/// Work that routers have in flight at an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct InFlightLoad {
-    /// Requests.
+    /// Requests in flight.
     pub requests: u32,
-    /// Tokens that wait to be read.
+    /// Tokens that wait for prefill.
     pub prefill_tokens: TokenCount,
 }
 
-/// Whether a request should be sent, or refused at once.
+/// Whether an engine can take a request now, or the request should be refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Headroom {
-    /// It will be answered in time.
+    /// The first token is expected in time.
     Enough,
-    /// It would be late; there should be room after this time.
+    /// The first token would be late; the engine should have headroom after this time.
     After(Duration),
 }
 
-/// Chooses by `policy`, first among all candidates and then among those with room.
+/// Chooses by `policy`, first among all candidates and then among those with headroom.
 ///
-/// `rooms` holds the room of each candidate. It answers overload: what the first choice has no
-/// room for goes where the policy would send it next, rather than to any engine that has room,
-/// where it would be read anew.
+/// `headrooms` holds the headroom of each candidate. Under overload, a request that the first
+/// choice has no headroom for goes to the policy's next choice rather than to any engine with
+/// headroom, where its prompt would have to be prefilled again.
 ///
 /// # Errors
 ///
-/// Returns the time after which there should be room if no candidate has any.
+/// Returns the time after which there should be headroom if no candidate has any now.
 pub fn choose_with_headroom<P: Policy, R: Rng>(
     policy: &mut P,
     req: &Request,
     candidates: &[Candidate],
-    rooms: &[Headroom],
+    headrooms: &[Headroom],
     rng: &mut R,
 ) -> Result<Option<usize>, Duration> {
     let Some(first) = policy.choose(req, candidates, rng) else { return Ok(None) };
-    if rooms[first] == Headroom::Enough {
+    if headrooms[first] == Headroom::Enough {
         return Ok(Some(first));
     }
-    let with_room: Vec<usize> =
-        (0..candidates.len()).filter(|&i| rooms[i] == Headroom::Enough).collect();
-    let roomy: Vec<Candidate> = with_room.iter().map(|&i| candidates[i]).collect();
-    match policy.choose(req, &roomy, rng) {
-        Some(chosen) => Ok(Some(with_room[chosen])),
-        None => Err(rooms.iter().filter_map(Headroom::wait).min().unwrap_or_default()),
+    let with_headroom: Vec<usize> =
+        (0..candidates.len()).filter(|&i| headrooms[i] == Headroom::Enough).collect();
+    let remaining: Vec<Candidate> = with_headroom.iter().map(|&i| candidates[i]).collect();
+    match policy.choose(req, &remaining, rng) {
+        Some(chosen) => Ok(Some(with_headroom[chosen])),
+        None => Err(headrooms.iter().filter_map(Headroom::retry_after).min().unwrap_or_default()),
     }
 }
 
 impl Headroom {
-    /// Returns the time after which there should be room, if there is none now.
-    fn wait(&self) -> Option<Duration> {
+    /// Returns the time after which there should be headroom, if there is none now.
+    fn retry_after(&self) -> Option<Duration> {
         match self {
             Self::Enough => None,
-            Self::After(wait) => Some(*wait),
+            Self::After(retry_after) => Some(*retry_after),
         }
     }
 }
 
 impl EngineSpeed {
-    /// Returns the speed of an engine that runs so many requests at once, 0 if unknown.
+    /// Returns the speed of an engine that runs `slots` requests at once, 0 if unknown.
     pub fn with_slots(slots: u32) -> Self {
         let speed = Self::default();
         match slots {
@@ -93,29 +93,31 @@
         }
     }
 
-    /// Returns when the first token is expected of a prompt with so many tokens to be read.
+    /// Returns the expected time to first token of a prompt with `cold` tokens to prefill.
     pub fn first_token(&self, load: InFlightLoad, cold: TokenCount) -> Duration {
-        self.first_token + self.reading(load.prefill_tokens) + self.reading(cold)
+        self.first_token + self.prefill_time(load.prefill_tokens) + self.prefill_time(cold)
     }
 
-    /// Judges a request whose first token is wanted within `aim`.
+    /// Returns whether the engine has headroom for a request whose first token is due within
+    /// `target`.
     ///
-    /// It answers overload: a request that would be late is worth little to its caller and makes
-    /// those behind it late too, so it comes back when there is room.
-    pub fn headroom(&self, load: InFlightLoad, cold: TokenCount, aim: Duration) -> Headroom {
+    /// Under overload, a request that would be late is of little use to its caller and delays those
+    /// queued behind it, so the caller should retry once there is headroom.
+    pub fn headroom(&self, load: InFlightLoad, cold: TokenCount, target: Duration) -> Headroom {
         let expected = self.first_token(load, cold);
         let alone = self.first_token(InFlightLoad::default(), cold);
         if self.streams <= load.requests {
             return Headroom::After(expected.max(self.first_token));
         }
-        // A prompt that is late by itself is sent to an engine that has nothing else to read.
-        if expected <= aim.max(alone) {
+        // A prompt that misses the target even alone may go to an engine with nothing else to
+        // prefill.
+        if expected <= target.max(alone) {
             return Headroom::Enough;
         }
-        Headroom::After(expected - aim.max(alone))
+        Headroom::After(expected - target.max(alone))
     }
 
-    fn reading(&self, tokens: TokenCount) -> Duration {
+    fn prefill_time(&self, tokens: TokenCount) -> Duration {
         let rate = self.prefill_rate.as_u64().max(1) as f64;
         Duration::from_secs_f64(tokens.as_u64() as f64 / rate)
     }
--- a/crates/route/src/hedge.rs
+++ b/crates/route/src/hedge.rs
@@ -16,11 +16,11 @@
 /// Bounds of a [`Hedge`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HedgeSettings {
-    /// Share of the calls that are answered before the delay.
+    /// Share of the calls whose response arrives before the delay.
     pub quantile: f64,
     /// Shortest delay.
     pub min_delay: Duration,
-    /// Longest delay, and the first.
+    /// Longest delay, which is also the initial one.
     pub max_delay: Duration,
 }
 
@@ -31,12 +31,12 @@
     }
 }
 
-/// What to do about a call that has no answer yet.
+/// What to do with a call that has no response yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HedgeDecision {
     /// Send the call to a second endpoint too; the budget has been charged.
     Send,
-    /// Ask again after this time.
+    /// Decide again after this time.
     Wait(Duration),
     /// Wait for the first endpoint only.
     Never,
@@ -44,28 +44,31 @@
 
 /// Decides when an idempotent call is sent to a second endpoint as well.
 ///
-/// The delay follows a quantile of the times that calls take: each longer one raises it, each
-/// shorter one lowers it by less, so that both balance at the quantile.
+/// The delay tracks a quantile of the calls' durations: each call that takes longer raises it, and
+/// each shorter one lowers it by less, so that the two balance at the quantile.
 #[derive(Clone, Copy, Debug)]
 pub struct Hedge {
     settings: HedgeSettings,
     delay: Duration,
 }
 
-/// Share by which one call moves the delay.
-const STEP: f64 = 0.05;
+/// Step of the delay per call, as a share of it.
+const DELAY_STEP: f64 = 0.05;
 
 impl Hedge {
-    /// Creates the decision with the longest delay.
+    /// Creates a hedge that starts with the longest delay.
     pub fn new(settings: HedgeSettings) -> Self {
         Self { settings, delay: settings.max_delay }
     }
 
-    /// Counts a call that took `took`.
-    pub fn record(&mut self, took: Duration) {
+    /// Records the duration of a call.
+    pub fn record(&mut self, duration: Duration) {
         let HedgeSettings { quantile, min_delay, max_delay } = self.settings;
-        let factor =
-            if self.delay < took { 1.0 + STEP * quantile } else { 1.0 - STEP * (1.0 - quantile) };
+        let factor = if self.delay < duration {
+            1.0 + DELAY_STEP * quantile
+        } else {
+            1.0 - DELAY_STEP * (1.0 - quantile)
+        };
         self.delay = self.delay.mul_f64(factor).min(max_delay).max(min_delay);
     }
 
@@ -74,7 +77,7 @@
         self.delay
     }
 
-    /// Decides about a call that was sent `waited` ago, charging `budget` if it is hedged.
+    /// Decides whether to hedge a call that was sent `waited` ago; charges `budget` if so.
     pub fn decide(
         &self,
         now: MonotonicTime,
--- a/crates/route/src/kind.rs
+++ b/crates/route/src/kind.rs
@@ -7,7 +7,7 @@
     Candidate, Hash, LeastInFlight, Policy, Request, RoundRobin, Warm, WarmSettings, WarmV1,
 };
 
-/// The name of a policy, as settings spell it.
+/// The kind of a policy, with the name that settings use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum PolicyKind {
     /// [`RoundRobin`].
@@ -58,18 +58,18 @@
     }
 }
 
-/// A policy chosen by settings.
+/// A policy selected by settings.
 #[derive(Clone, Debug)]
 pub enum AnyPolicy {
-    /// Takes the candidates in turn.
+    /// Chooses the candidates in turn.
     RoundRobin(RoundRobin),
-    /// Takes the candidate with the fewest own requests under way.
+    /// Chooses the candidate with the fewest requests in flight from this router.
     LeastInFlight(LeastInFlight),
-    /// Takes the prefix's home.
+    /// Chooses the prefix's home.
     Hash(Hash),
-    /// Weighs warm tokens against own requests under way.
+    /// Weighs warm tokens against requests in flight from this router.
     WarmV1(WarmV1),
-    /// Takes the least estimated time to first token.
+    /// Chooses the least estimated time to first token.
     Warm(Warm),
 }
 
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,11 +1,12 @@
 //! Choice of endpoint, admission and retry budgets.
 //!
-//! A [`Policy`] picks one of the candidates that can serve a request. It sees each candidate's
-//! load, distance and warmth, and never a socket or a clock. [`AnyPolicy`] is one chosen by name.
+//! A [`Policy`] picks one of the candidates that can serve a request, from each candidate's load,
+//! round-trip time and cached prefix; it uses no sockets and no clock. [`AnyPolicy`] is a policy
+//! selected by name.
 //!
-//! [`Admission`] shares the capacity, as [`CapacityEstimator`] estimates it, among organisations.
-//! [`OutlierDetector`] keeps requests from endpoints that fail or are slow. [`RetryBudget`], [`Backoff`]
-//! and [`Hedge`] bound what is sent again.
+//! [`Admission`] shares the capacity found by [`CapacityEstimator`] among organisations.
+//! [`OutlierDetector`] ejects endpoints that fail or are slow. [`RetryBudget`], [`Backoff`] and
+//! [`Hedge`] limit retries and hedged requests.
 //!
 //! # Example
 //!
@@ -22,16 +23,16 @@
 
 mod admission;
 mod baseline;
-mod board;
 mod capacity;
 mod estimate;
+mod fair_queue;
 mod headroom;
 mod hedge;
 mod kind;
+mod load_aggregator;
 mod outlier;
 mod policy;
 mod retry;
-mod share;
 mod ticket;
 mod transfer;
 mod warm;
@@ -41,12 +42,12 @@
 pub use crate::{
     admission::{Admission, AdmissionSettings},
     baseline::{Hash, LeastInFlight, RoundRobin},
-    board::{EndpointKey, LoadAggregator, SentLoad},
     capacity::{CapacityEstimator, CapacitySettings},
     estimate::TtftEstimate,
     headroom::{EngineSpeed, Headroom, InFlightLoad, choose_with_headroom},
     hedge::{Hedge, HedgeDecision, HedgeSettings, Idempotence},
     kind::{AnyPolicy, PolicyKind},
+    load_aggregator::{EndpointKey, LoadAggregator, SentLoad},
     outlier::{EjectionChange, EjectionState, Outcome, OutlierDetector, OutlierSettings},
     policy::{Candidate, Policy, Request},
     retry::{Backoff, BudgetSettings, RetryBudget},
--- a/crates/route/src/board.rs
+++ b/crates/route/src/load_aggregator.rs
@@ -4,14 +4,15 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A short name for an endpoint in reports of load.
+/// A short key for an endpoint in load reports.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct EndpointKey(u32);
 
 impl EndpointKey {
-    /// Names an endpoint; two of 1,800 share a name with a chance below 1 in 1,000.
+    /// Derives the key of an endpoint; the probability that any two of 1,800 endpoints share a key
+    /// is below 1 in 1,000.
     pub fn of(endpoint: &EndpointId) -> Self {
         let hash = xxh3_64(endpoint.as_str().as_bytes());
         Self((hash >> 32) as u32)
@@ -33,16 +34,16 @@
 pub struct SentLoad {
     /// The endpoint.
     pub endpoint: EndpointKey,
-    /// Requests.
+    /// Requests in flight.
     pub requests: u32,
     /// Tokens that wait for prefill.
     pub prefill_tokens: u32,
 }
 
-/// Adds up what the routers of a site say that they have sent to endpoints.
+/// Sums the load that the routers of a site report to have sent to endpoints.
 ///
-/// It answers loads of many small routers, each of which sees too few of an endpoint's requests to
-/// tell a busy one from an idle one.
+/// A site may have many small routers, each of which sends too few requests to an endpoint to
+/// distinguish a busy endpoint from an idle one.
 #[derive(Clone, Debug)]
 pub struct LoadAggregator {
     lifetime: Duration,
@@ -51,25 +52,25 @@
 
 #[derive(Clone, Debug)]
 struct Report {
-    at: MonotonicTime,
+    received_at: MonotonicTime,
     loads: Vec<SentLoad>,
 }
 
 impl LoadAggregator {
-    /// Creates a board on which a report counts for `lifetime`.
+    /// Creates an aggregator that counts each report for `lifetime`.
     pub fn new(lifetime: Duration) -> Self {
         Self { lifetime, reports: BTreeMap::new() }
     }
 
-    /// Takes a router's report, which replaces its last one.
+    /// Records a router's report, replacing its previous one.
     pub fn report(&mut self, now: MonotonicTime, host: HostId, loads: Vec<SentLoad>) {
-        self.reports.insert(host, Report { at: now, loads });
+        self.reports.insert(host, Report { received_at: now, loads });
     }
 
-    /// Returns the sums of all reports that still count, and forgets the others.
+    /// Returns the sums over all reports that have not expired, and removes the others.
     pub fn totals(&mut self, now: MonotonicTime) -> Vec<SentLoad> {
         let lifetime = self.lifetime;
-        self.reports.retain(|_, report| now.saturating_since(report.at) < lifetime);
+        self.reports.retain(|_, report| now.saturating_since(report.received_at) < lifetime);
         let mut sums: BTreeMap<EndpointKey, SentLoad> = BTreeMap::new();
         for load in self.reports.values().flat_map(|report| &report.loads) {
             let sum = sums.entry(load.endpoint).or_default();
--- a/crates/route/src/outlier.rs
+++ b/crates/route/src/outlier.rs
@@ -7,24 +7,24 @@
 /// Bounds of [`OutlierDetector`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OutlierSettings {
-    /// Time over which an endpoint's outcomes count.
+    /// Length of the sliding window of outcomes.
     pub window: Duration,
-    /// Fewest outcomes within the window that can eject an endpoint.
+    /// Minimum number of outcomes in the window before an endpoint can be ejected.
     pub min_outcomes: u32,
-    /// Share of failed or slow outcomes that ejects an endpoint.
+    /// Share of failed or slow outcomes at which an endpoint is ejected.
     pub bad_share: f64,
-    /// A time to first token that exceeds the usual one by this factor is slow.
+    /// Factor over the typical time to first token from which a response is slow.
     pub slow_factor: f64,
-    /// A time to first token below this is never slow.
-    pub slow_floor: Duration,
-    /// Duration of an endpoint's first ejection; it doubles with each one that follows.
-    pub first_ejection: Duration,
-    /// Longest duration of an ejection.
-    pub max_ejection: Duration,
-    /// Most endpoints that are ejected at a time, as a share of all.
-    pub max_share: f64,
-    /// Successful probes that end an ejection.
-    pub probes: u32,
+    /// Shortest time to first token that can be slow.
+    pub min_slow_ttft: Duration,
+    /// Duration of an endpoint's first ejection; it doubles with each further ejection.
+    pub initial_ejection_time: Duration,
+    /// Maximum duration of an ejection.
+    pub max_ejection_time: Duration,
+    /// Maximum share of the endpoints that may be ejected at the same time.
+    pub max_ejected_share: f64,
+    /// Consecutive successful probes that end an ejection.
+    pub probes_to_restore: u32,
 }
 
 impl Default for OutlierSettings {
@@ -34,63 +34,64 @@
             min_outcomes: 5,
             bad_share: 0.5,
             slow_factor: 4.0,
-            slow_floor: Duration::from_millis(200),
-            first_ejection: Duration::from_secs(2),
-            max_ejection: Duration::from_secs(60),
-            max_share: 0.3,
-            probes: 3,
+            min_slow_ttft: Duration::from_millis(200),
+            initial_ejection_time: Duration::from_secs(2),
+            max_ejection_time: Duration::from_secs(60),
+            max_ejected_share: 0.3,
+            probes_to_restore: 3,
         }
     }
 }
 
-/// How a request at an endpoint went.
+/// The outcome of a request at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The first token came after this time.
+    /// The first token arrived after this time.
     Answered(Duration),
     /// The endpoint failed the request.
     Failed,
 }
 
-/// Whether an endpoint may get requests.
+/// Whether an endpoint may receive requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionState {
-    /// It may.
+    /// It receives requests.
     Ready,
-    /// It may get one request now, to see whether it recovered.
+    /// It may receive one request as a probe.
     ProbeDue,
-    /// It may not.
+    /// It receives no requests.
     Ejected,
 }
 
-/// A change of an endpoint's standing.
+/// A change of an endpoint's [`EjectionState`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionChange {
-    /// The endpoint gets no requests until then.
+    /// The endpoint receives no requests until this time.
     Ejected(MonotonicTime),
-    /// The endpoint gets requests again.
+    /// The endpoint receives requests again.
     Restored,
 }
 
-/// Ejects endpoints that fail or are slow for a growing time, and lets them back after probes.
+/// Ejects endpoints that fail or are slow, for an exponentially growing time, and restores them
+/// after successful probes.
 ///
-/// Never more than [`OutlierSettings::max_share`] of the endpoints are ejected, and never all.
+/// At most [`OutlierSettings::max_ejected_share`] of the endpoints are ejected, and never all.
 #[derive(Clone, Debug)]
 pub struct OutlierDetector {
     settings: OutlierSettings,
-    endpoints: HashMap<EndpointId, Tracked>,
+    endpoints: HashMap<EndpointId, TrackedEndpoint>,
     ejected: usize,
-    /// Natural logarithm of the usual time to first token, in seconds.
-    usual: Option<f64>,
+    /// Natural logarithm of the typical time to first token, in seconds.
+    typical_ttft_ln: Option<f64>,
 }
 
 #[derive(Clone, Debug)]
-struct Tracked {
+struct TrackedEndpoint {
     window: Window,
     state: State,
-    /// Ejections since the endpoint last left a whole window without being ejected.
+    /// Ejections since the endpoint last went a whole window without one.
     ejections: u32,
-    restored: MonotonicTime,
+    restored_at: MonotonicTime,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -103,34 +104,35 @@
 struct Ejection {
     next_probe: MonotonicTime,
     probing: bool,
-    /// Probes that succeeded in a row.
-    passed: u32,
+    /// Consecutive successful probes.
+    succeeded: u32,
 }
 
-/// Weight of one outcome in the usual time to first token.
-const USUAL_WEIGHT: f64 = 0.02;
+/// Weight of one response in the moving average of the typical time to first token.
+const TYPICAL_TTFT_SMOOTHING: f64 = 0.02;
 
 impl OutlierDetector {
-    /// Creates a tracker without endpoints.
+    /// Creates a detector that tracks no endpoints.
     pub fn new(settings: OutlierSettings) -> Self {
-        Self { settings, endpoints: HashMap::new(), ejected: 0, usual: None }
+        Self { settings, endpoints: HashMap::new(), ejected: 0, typical_ttft_ln: None }
     }
 
-    /// Tracks `endpoint` from `now` on; one tracked already, as a new incarnation, starts afresh.
+    /// Tracks `endpoint` from `now` on; discards the outcomes of an earlier incarnation.
     pub fn join(&mut self, now: MonotonicTime, endpoint: EndpointId) {
         let window = Window::new(self.settings.window);
-        let tracked = Tracked { window, state: State::Ready, ejections: 0, restored: now };
+        let tracked =
+            TrackedEndpoint { window, state: State::Ready, ejections: 0, restored_at: now };
         let old = self.endpoints.insert(endpoint, tracked);
-        self.count_out(old);
+        self.forget_ejection(old);
     }
 
-    /// Forgets `endpoint`.
+    /// Stops tracking `endpoint`.
     pub fn leave(&mut self, endpoint: &EndpointId) {
         let old = self.endpoints.remove(endpoint);
-        self.count_out(old);
+        self.forget_ejection(old);
     }
 
-    /// Returns whether `endpoint` may get requests; an unknown one may.
+    /// Returns whether `endpoint` may receive requests; an endpoint that is not tracked may.
     pub fn ejection_state(&self, now: MonotonicTime, endpoint: &EndpointId) -> EjectionState {
         match self.endpoints.get(endpoint).map(|tracked| tracked.state) {
             None | Some(State::Ready) => EjectionState::Ready,
@@ -139,22 +141,23 @@
         }
     }
 
-    /// Notes that a request was sent to `endpoint`; if a probe was due, this is it.
+    /// Records that a request was sent to `endpoint`; if a probe was due, this request is the
+    /// probe.
     ///
-    /// The next probe is due when this one's outcome is recorded, or after the first ejection's
-    /// duration if it never is.
+    /// The next probe is due when the outcome of this one is recorded, or after the duration of the
+    /// first ejection if it never is.
     pub fn sent(&mut self, now: MonotonicTime, endpoint: &EndpointId) {
-        let patience = self.settings.first_ejection;
+        let probe_timeout = self.settings.initial_ejection_time;
         let Some(tracked) = self.endpoints.get_mut(endpoint) else { return };
         if let State::Ejected(ejection) = &mut tracked.state
             && ejection.next_probe <= now
         {
-            ejection.next_probe = now + patience;
+            ejection.next_probe = now + probe_timeout;
             ejection.probing = true;
         }
     }
 
-    /// Counts the outcome of a request at `endpoint`.
+    /// Records the outcome of a request at `endpoint`.
     pub fn record(
         &mut self,
         now: MonotonicTime,
@@ -167,7 +170,7 @@
         let tracked = self.endpoints.get_mut(endpoint)?;
         let change = match tracked.state {
             State::Ready => tracked.count(now, is_bad, may_eject, &settings),
-            State::Ejected(ejection) => tracked.probed(now, is_bad, ejection, &settings),
+            State::Ejected(ejection) => tracked.record_probe(now, is_bad, ejection, &settings),
         };
         match (tracked.state, change) {
             (State::Ready, Some(EjectionChange::Restored)) => self.ejected -= 1,
@@ -177,34 +180,34 @@
         change
     }
 
-    /// Returns the number of endpoints ejected.
+    /// Returns the number of ejected endpoints.
     pub fn ejected(&self) -> usize {
         self.ejected
     }
 
     fn may_eject(&self) -> bool {
-        let known = self.endpoints.len();
-        let most = (known as f64 * self.settings.max_share) as usize;
-        self.ejected < most.min(known.saturating_sub(1))
+        let tracked = self.endpoints.len();
+        let max_ejected = (tracked as f64 * self.settings.max_ejected_share) as usize;
+        self.ejected < max_ejected.min(tracked.saturating_sub(1))
     }
 
-    /// Classifies an outcome and learns the usual time to first token from it.
+    /// Classifies an outcome, and updates the typical time to first token with it.
     fn is_bad(&mut self, outcome: Outcome) -> bool {
-        let Outcome::Answered(took) = outcome else { return true };
-        let log = took.as_secs_f64().max(1e-6).ln();
-        let usual = *self.usual.get_or_insert(log);
-        self.usual = Some(usual + (log - usual) * USUAL_WEIGHT);
-        self.settings.slow_floor <= took && usual + self.settings.slow_factor.ln() <= log
+        let Outcome::Answered(ttft) = outcome else { return true };
+        let log = ttft.as_secs_f64().max(1e-6).ln();
+        let typical = *self.typical_ttft_ln.get_or_insert(log);
+        self.typical_ttft_ln = Some(typical + (log - typical) * TYPICAL_TTFT_SMOOTHING);
+        self.settings.min_slow_ttft <= ttft && typical + self.settings.slow_factor.ln() <= log
     }
 
-    fn count_out(&mut self, old: Option<Tracked>) {
+    fn forget_ejection(&mut self, old: Option<TrackedEndpoint>) {
         if old.is_some_and(|tracked| matches!(tracked.state, State::Ejected(_))) {
             self.ejected -= 1;
         }
     }
 }
 
-impl Tracked {
+impl TrackedEndpoint {
     fn count(
         &mut self,
         now: MonotonicTime,
@@ -213,7 +216,7 @@
         settings: &OutlierSettings,
     ) -> Option<EjectionChange> {
         let counts = self.window.record(now, is_bad);
-        if self.restored + settings.window.max(self.ejection_time(settings)) <= now {
+        if self.restored_at + settings.window.max(self.ejection_time(settings)) <= now {
             self.ejections = 0;
         }
         let is_outlier = settings.min_outcomes <= counts.total
@@ -224,8 +227,8 @@
         Some(EjectionChange::Ejected(self.eject(now, settings)))
     }
 
-    /// Counts the outcome of a probe; one of a request sent before the ejection changes nothing.
-    fn probed(
+    /// Records the outcome of a probe; outcomes of requests sent before the ejection are ignored.
+    fn record_probe(
         &mut self,
         now: MonotonicTime,
         is_bad: bool,
@@ -239,26 +242,26 @@
             self.eject(now, settings);
             return None;
         }
-        let passed = ejection.passed + 1;
-        if passed < settings.probes {
-            self.state = State::Ejected(Ejection { next_probe: now, probing: false, passed });
+        let succeeded = ejection.succeeded + 1;
+        if succeeded < settings.probes_to_restore {
+            self.state = State::Ejected(Ejection { next_probe: now, probing: false, succeeded });
             return None;
         }
         self.state = State::Ready;
         self.window = Window::new(settings.window);
-        self.restored = now;
+        self.restored_at = now;
         Some(EjectionChange::Restored)
     }
 
     fn eject(&mut self, now: MonotonicTime, settings: &OutlierSettings) -> MonotonicTime {
         let next_probe = now + self.ejection_time(settings);
         self.ejections += 1;
-        self.state = State::Ejected(Ejection { next_probe, probing: false, passed: 0 });
+        self.state = State::Ejected(Ejection { next_probe, probing: false, succeeded: 0 });
         next_probe
     }
 
     fn ejection_time(&self, settings: &OutlierSettings) -> Duration {
         let factor = 2_u32.saturating_pow(self.ejections);
-        settings.first_ejection.saturating_mul(factor).min(settings.max_ejection)
+        settings.initial_ejection_time.saturating_mul(factor).min(settings.max_ejection_time)
     }
 }
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -6,11 +6,11 @@
 /// Bounds of a [`RetryBudget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetSettings {
-    /// Retries that each request earns.
+    /// Retries that each request adds to the budget.
     pub ratio: f64,
-    /// Retries a second that are earned without any request.
+    /// Retries per second that are added without any requests.
     pub min_rate: f64,
-    /// Most retries that can be saved up.
+    /// Maximum number of retries in the budget.
     pub burst: f64,
 }
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// Bounds retries and hedged requests to a share of the requests, so that faults do not multiply
+/// Limits retries and hedged requests to a share of the requests, so that failures do not multiply
 /// the load.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
@@ -35,12 +35,12 @@
         Self { settings, tokens: settings.burst, updated: now }
     }
 
-    /// Sets the retries that each request earns from now on.
+    /// Sets the number of retries that each request adds from now on.
     pub fn set_ratio(&mut self, ratio: f64) {
         self.settings.ratio = ratio;
     }
 
-    /// Replaces the bounds; retries saved up beyond the new ones are gone.
+    /// Replaces the bounds; retries beyond the new maximum are discarded.
     pub fn set_settings(&mut self, settings: BudgetSettings) {
         self.settings = settings;
         self.tokens = self.tokens.min(settings.burst);
@@ -52,7 +52,7 @@
         self.add(self.settings.ratio);
     }
 
-    /// Takes one retry from the budget, or returns `false` if there is none.
+    /// Takes one retry from the budget; returns `false` if there is none.
     pub fn try_spend(&mut self, now: MonotonicTime) -> bool {
         self.refill(now);
         if self.tokens < 1.0 {
@@ -62,11 +62,11 @@
         true
     }
 
-    /// Takes one retry if a part of the most that can be saved up is left for those that need one
-    /// more.
-    pub fn try_spend_above_reserve(&mut self, now: MonotonicTime, reserved_part: f64) -> bool {
+    /// Takes one retry if that leaves a reserve for callers that need retries more; the reserve is
+    /// a part of the maximum budget.
+    pub fn try_spend_above_reserve(&mut self, now: MonotonicTime, reserved_share: f64) -> bool {
         self.refill(now);
-        let reserve = (self.settings.burst * reserved_part).min(self.settings.burst - 1.0);
+        let reserve = (self.settings.burst * reserved_share).min(self.settings.burst - 1.0);
         if self.tokens < reserve + 1.0 {
             return false;
         }
@@ -101,7 +101,7 @@
 }
 
 impl Backoff {
-    /// Returns a random delay before retry number `attempt`, from 0.
+    /// Returns a random delay before retry number `attempt`, counted from 0.
     pub fn delay<R: Rng>(&self, attempt: u32, rng: &mut R) -> Duration {
         let factor = 2_u32.saturating_pow(attempt);
         let bound = self.base.saturating_mul(factor).min(self.max);
--- a/crates/route/src/ticket.rs
+++ b/crates/route/src/ticket.rs
@@ -2,7 +2,7 @@
 
 use base::{MonotonicTime, OrganisationId, ParseError, TokenCount};
 
-/// One request known to [`Admission`](crate::Admission).
+/// Identifies a request within [`Admission`](crate::Admission).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub(crate) u64);
 
@@ -45,54 +45,54 @@
     }
 }
 
-/// A request that asks for admission.
+/// A request to be admitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// Whose share it counts against.
+    /// The organisation that is charged for it.
     pub organisation: OrganisationId,
-    /// Its place among the organisation's requests.
+    /// Its priority among the organisation's requests.
     pub priority: Priority,
-    /// When it must have been sent on at the latest.
+    /// The latest time at which it may start.
     pub deadline: MonotonicTime,
-    /// The work that it is charged with: tokens to prefill and to generate.
+    /// The work that is charged: tokens to prefill and to generate.
     pub cost: TokenCount,
 }
 
-/// The answer to an arrival.
+/// The decision on an arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// The request runs now; release the ticket when it ends.
     Run(Ticket),
     /// The request waits for an [`Action`] on its ticket.
     Wait(Ticket),
-    /// The request was not run.
+    /// The request is refused and does not run.
     Refuse(Refusal),
 }
 
-/// What became of a request that waited.
+/// The outcome for a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// The request runs now; release the ticket when it ends.
     Run(Ticket),
-    /// The request was not run, and the ticket is void.
+    /// The request is refused and does not run; the ticket is no longer valid.
     Refuse(Ticket, Refusal),
 }
 
-/// Why a request was not run, and when to try again.
+/// The reason why a request was refused, and when to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub reason: RefusalReason,
-    /// The time after which the request would likely be admitted.
+    /// The time after which the request is likely to be admitted.
     pub retry_after: Duration,
 }
 
-/// Why a request was not run.
+/// The reason why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RefusalReason {
     /// It would wait beyond its deadline.
     Overloaded,
-    /// Its organisation has too many requests waiting.
+    /// Its organisation has too many waiting requests.
     QueueFull,
     /// Its deadline passed.
     DeadlinePassed,
--- a/crates/route/src/transfer.rs
+++ b/crates/route/src/transfer.rs
@@ -1,10 +1,10 @@
-//! Whether cached blocks (KV) are fetched from elsewhere or computed again.
+//! Decides whether KV cache blocks are fetched from elsewhere or recomputed.
 
 use std::time::Duration;
 
 use base::TokenRate;
 
-/// What fetching blocks and computing them costs.
+/// Costs of fetching blocks and of computing them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TransferSettings {
     /// Time to fetch a block, without the round trip.
@@ -13,7 +13,7 @@
     pub block_tokens: u64,
     /// Rate at which an engine computes a prompt's tokens.
     pub prefill_rate: TokenRate,
-    /// Part of the time to compute that fetching must save at least.
+    /// Minimum share of the compute time that fetching must save.
     pub margin: f64,
 }
 
@@ -28,18 +28,18 @@
     }
 }
 
-/// A place that is believed to hold the first blocks of a prompt.
+/// An endpoint or store that is expected to hold the first blocks of a prompt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Source {
-    /// Leading blocks that it is believed to hold.
+    /// Number of leading blocks that it is expected to hold.
     pub blocks: usize,
-    /// Time for a message to it and back.
+    /// Round-trip time to it.
     pub round_trip: Duration,
 }
 
 impl TransferSettings {
-    /// Returns the time that fetching from `source` saves an engine that holds `held` blocks, in
-    /// seconds; `None` unless it is cheaper by the margin.
+    /// Returns the time, in seconds, that an engine with `held` blocks saves by fetching from
+    /// `source`; `None` if it saves less than the margin.
     pub fn saving(&self, held: usize, source: &Source) -> Option<f64> {
         let missing = source.blocks.saturating_sub(held) as f64;
         let fetch = source.round_trip.as_secs_f64() + missing * self.block_time.as_secs_f64();
@@ -50,8 +50,8 @@
     }
 }
 
-/// Returns the position of the source that saves an engine with `held` blocks the most time,
-/// `None` if computing the rest of the prompt is cheaper.
+/// Returns the index of the source that saves an engine with `held` blocks the most time, `None`
+/// if computing the rest of the prompt is cheaper.
 ///
 /// # Examples
 ///
--- a/crates/route/src/warm.rs
+++ b/crates/route/src/warm.rs
@@ -5,30 +5,31 @@
 
 use crate::{Candidate, Policy, Request, TtftEstimate};
 
-/// What the score of [`Warm`] counts, and how much.
+/// Parameters of the score of [`Warm`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmSettings {
     /// Rate at which an engine computes a prompt's tokens.
     pub prefill_rate: TokenRate,
-    /// What a request under way adds to the time to first token of the next.
+    /// Delay that a request in flight adds to the time to first token of the next.
     pub request_time: Duration,
-    /// How long a request holds one of an endpoint's slots.
+    /// Time that a request occupies one of an endpoint's slots.
     pub hold_time: Duration,
     /// Weight of the time to compute the tokens that are not warm.
     pub compute_weight: f64,
-    /// Weight of the time that the request waits behind others.
+    /// Weight of the queueing time behind other requests.
     pub wait_weight: f64,
     /// Weight of the time to compute tokens away from the prefix's homes, where later requests
-    /// will not find them; it counts less for the candidates next by rank.
+    /// will not find them; it is reduced for the candidates ranked next after the homes.
     pub away_weight: f64,
-    /// Age at which a load report counts half, and the mean of all reports the other half.
+    /// Age at which a load report has half the weight, and the mean of all reports the other half.
     pub report_half_life: Duration,
-    /// Share by which a home's load may exceed the mean before the next by rank takes its place.
+    /// Share by which a home's load may exceed the mean before the next candidate by rank replaces
+    /// it.
     pub load_slack: f64,
-    /// Requests up to which a home's load never exceeds its bound.
-    pub free_requests: u32,
-    /// Candidates whose score is no further from the best are equals.
-    pub margin: Duration,
+    /// Minimum bound on a home's load, in requests.
+    pub min_load_bound: u32,
+    /// Candidates whose score is within this margin of the best are tied.
+    pub tie_margin: Duration,
 }
 
 impl Default for WarmSettings {
@@ -42,8 +43,8 @@
             away_weight: 2.0,
             report_half_life: Duration::from_millis(1_000),
             load_slack: 0.25,
-            free_requests: 4,
-            margin: Duration::from_millis(1),
+            min_load_bound: 4,
+            tie_margin: Duration::from_millis(1),
         }
     }
 }
@@ -51,19 +52,20 @@
 impl WarmSettings {
     /// Returns settings that accept a longer wait for a higher hit rate.
     ///
-    /// They suit long prompts whose recomputation delays everybody behind; the default suits
-    /// callers that wait for each answer.
+    /// They suit long prompts, whose recomputation delays all requests queued behind them; the
+    /// default suits interactive callers, which wait for each response.
     pub fn favouring_hits() -> Self {
         Self { wait_weight: 0.4, away_weight: 3.0, ..Self::default() }
     }
 }
 
-/// Takes the least estimated time to first token, and a random one among equals.
+/// Chooses the least estimated time to first token; ties are broken at random.
 ///
-/// The estimate adds, in seconds, the time to compute the tokens that are not warm, the wait behind
-/// own and reported load, and the round trip. Reported load counts less the older it is, so that
-/// routers that saw one low report do not all follow it. Where nothing is known to be warm the
-/// prefix's home wins, unless its load exceeds its bound.
+/// The estimate is the sum, in seconds, of the time to compute the tokens that are not warm, the
+/// queueing time behind this router's and reported load, and the round-trip time. Reported load has
+/// less weight the older it is, so that routers do not all converge on an endpoint with one low
+/// report. If no endpoint is known to be warm, the prefix's home is chosen unless its load exceeds
+/// the bound.
 #[derive(Clone, Debug, Default)]
 pub struct Warm {
     settings: WarmSettings,
@@ -84,12 +86,12 @@
         Self { settings, ..Self::default() }
     }
 
-    /// Replaces the settings; the next choice follows the new ones.
+    /// Replaces the settings, from the next choice on.
     pub fn set_settings(&mut self, settings: WarmSettings) {
         self.settings = settings;
     }
 
-    /// Returns the parts of each candidate's score, for an operator who asks why one was chosen.
+    /// Returns the components of each candidate's score, to explain a choice to an operator.
     ///
     /// # Examples
     ///
@@ -112,7 +114,8 @@
         self.estimates(req, candidates).collect()
     }
 
-    /// Estimates the load of each candidate from own work and aged reports.
+    /// Estimates the load of each candidate from this router's requests and reports weighted by
+    /// age.
     fn estimate_loads(&mut self, candidates: &[Candidate]) {
         let half_life = self.settings.report_half_life.as_secs_f64().max(f64::MIN_POSITIVE);
         let rate = self.settings.prefill_rate;
@@ -129,20 +132,22 @@
         }));
     }
 
-    /// Finds the homes; a candidate above its bound on load is none.
+    /// Finds the homes, skipping candidates whose load exceeds the bound.
     fn find_homes(&self, req: &Request, candidates: &[Candidate]) -> Homes {
         let total: f64 = self.loads.iter().map(|load| load.requests).sum();
         let mean = total / candidates.len() as f64;
         let slack = 1.0 + self.settings.load_slack;
-        let bound = (mean * slack + 1.0).max(self.settings.free_requests.into());
+        let bound = (mean * slack + 1.0).max(self.settings.min_load_bound.into());
         let mut homes = Homes::new(req.homes);
         let within_bound = || {
             let loaded = candidates.iter().zip(&self.loads);
             loaded.filter(|(_, load)| load.requests <= bound).map(|(candidate, _)| candidate)
         };
         within_bound().for_each(|candidate| homes.add(candidate.rank));
-        let fine_ranks = within_bound().filter(|candidate| homes.has(candidate.rank));
-        homes.first = fine_ranks.map(|candidate| candidate.longer_prefix_rank).max().unwrap_or(0);
+        let longer_prefix_ranks =
+            within_bound().filter(|candidate| homes.contains_rank(candidate.rank));
+        homes.max_longer_prefix_rank =
+            longer_prefix_ranks.map(|candidate| candidate.longer_prefix_rank).max().unwrap_or(0);
         homes
     }
 
@@ -163,7 +168,7 @@
             let compute = cold * token_time;
             let wait = load.prefill_tokens * token_time
                 + load.requests * request_time
-                + load.beyond(candidate.slots) * hold_time;
+                + load.queue_rounds(candidate.slots) * hold_time;
             TtftEstimate {
                 compute: compute * settings.compute_weight,
                 away: compute * settings.away_weight * homes.distance(candidate),
@@ -186,12 +191,12 @@
         scores.clear();
         scores.extend(self.estimates(req, candidates).map(|estimate| estimate.total()));
         self.scores = scores;
-        choose_among_least(&self.scores, self.settings.margin, rng)
+        choose_among_ties(&self.scores, self.settings.tie_margin, rng)
     }
 }
 
 impl Load {
-    /// Returns the mean of what others cause at the candidates.
+    /// Returns the mean load that other routers cause at the candidates.
     fn mean_of_others(candidates: &[Candidate], rate: TokenRate) -> Self {
         let (mut requests, mut prefill_tokens) = (0_u64, 0_u64);
         for candidate in candidates {
@@ -203,16 +208,17 @@
         Self { requests: requests as f64 / count, prefill_tokens: prefill_tokens as f64 / count }
     }
 
-    /// Returns the reported load without this router's part of it.
+    /// Returns the reported load without this router's share of it.
     fn of_others(candidate: &Candidate, rate: TokenRate) -> Self {
         let (requests, tokens) = reported_by_others(candidate, rate);
         Self { requests: f64::from(requests), prefill_tokens: tokens as f64 }
     }
 
-    /// Returns how many rounds of `slots` requests go before a new one.
+    /// Returns the expected number of rounds of `slots` requests that run before a new one.
     ///
-    /// The load is known only to about its square root, so a nearly full endpoint counts too.
-    fn beyond(self, slots: u32) -> f64 {
+    /// The load estimate has an error of about its square root, so the result is positive for a
+    /// nearly full endpoint too.
+    fn queue_rounds(self, slots: u32) -> f64 {
         if slots == 0 {
             return 0.0;
         }
@@ -222,7 +228,7 @@
         (excess + (excess * excess + variance).sqrt()) / 2.0 / slots
     }
 
-    /// Moves from `mean` towards `self` by `share`.
+    /// Interpolates from `mean` (`share` 0) to `self` (`share` 1).
     fn blend(self, mean: Self, share: f64) -> Self {
         let between = |from: f64, to: f64| from + (to - from) * share;
         Self {
@@ -232,15 +238,15 @@
     }
 }
 
-/// Returns the reported requests and tokens that this router did not send.
+/// Returns the reported requests and tokens that other routers sent.
 fn reported_by_others(candidate: &Candidate, rate: TokenRate) -> (u32, u64) {
     let own = candidate.own_prefill_tokens.as_u64();
     let tokens = prefill_left(candidate, rate).saturating_sub(own);
     (candidate.reported_requests.saturating_sub(candidate.in_flight), tokens)
 }
 
-/// Returns the reported tokens that wait for prefill, less those computed since the report where
-/// no queue stands behind them.
+/// Returns the reported tokens that wait for prefill, minus those computed since the report unless
+/// requests are queued because all slots are taken.
 fn prefill_left(candidate: &Candidate, rate: TokenRate) -> u64 {
     let reported = candidate.reported_prefill_tokens.as_u64();
     if candidate.slots != 0 && candidate.slots <= candidate.reported_requests {
@@ -250,67 +256,71 @@
     reported.saturating_sub(computed as u64)
 }
 
-/// Returns a span in seconds; unlike `as_secs_f64` it does not divide.
-fn seconds(span: Duration) -> f64 {
+/// Returns a duration in seconds; unlike `as_secs_f64` it does not divide.
+fn seconds(duration: Duration) -> f64 {
     const NANOSECOND: f64 = 1e-9;
-    span.as_secs() as f64 + f64::from(span.subsec_nanos()) * NANOSECOND
+    duration.as_secs() as f64 + f64::from(duration.subsec_nanos()) * NANOSECOND
 }
 
-/// Chooses at random among the positions whose score is within `margin` of the least.
-fn choose_among_least<R: Rng>(scores: &[f64], margin: Duration, rng: &mut R) -> Option<usize> {
+/// Chooses at random among the indices whose score is within `tie_margin` of the least.
+fn choose_among_ties<R: Rng>(scores: &[f64], tie_margin: Duration, rng: &mut R) -> Option<usize> {
     let least = scores.iter().copied().fold(f64::INFINITY, f64::min);
-    let bound = least + margin.as_secs_f64();
-    let equals = || (0..scores.len()).filter(|&i| scores[i] <= bound);
-    match equals().count() {
+    let bound = least + tie_margin.as_secs_f64();
+    let tied = || (0..scores.len()).filter(|&i| scores[i] <= bound);
+    match tied().count() {
         0 => None,
-        1 => equals().next(),
-        count => equals().nth(rng.random_range(0..count)),
+        1 => tied().next(),
+        count => tied().nth(rng.random_range(0..count)),
     }
 }
 
-/// Most homes that a prefix can have.
+/// Maximum number of homes of a prefix.
 const MAX_HOMES: usize = 16;
 
-/// Candidates next by rank after the homes, which take their place first.
-const NEXT_HOMES: usize = 2;
+/// Number of ranks kept after those of the homes; their candidates are the first to replace a home.
+const NEXT_RANKS: usize = 2;
 
 /// The highest ranks, in descending order.
 #[derive(Clone, Copy, Debug)]
 struct Homes {
-    ranks: [u64; MAX_HOMES + NEXT_HOMES],
+    ranks: [u64; MAX_HOMES + NEXT_RANKS],
     homes: usize,
-    /// The highest fine rank of a home.
-    first: u64,
+    /// The highest longer-prefix rank of a home.
+    max_longer_prefix_rank: u64,
 }
 
 impl Homes {
     fn new(homes: u32) -> Self {
         let homes = (homes as usize).clamp(1, MAX_HOMES);
-        Self { ranks: [0; MAX_HOMES + NEXT_HOMES], homes, first: 0 }
+        Self { ranks: [0; MAX_HOMES + NEXT_RANKS], homes, max_longer_prefix_rank: 0 }
     }
 
     fn add(&mut self, rank: u64) {
-        let last = self.homes + NEXT_HOMES - 1;
+        let last = self.homes + NEXT_RANKS - 1;
         if rank <= self.ranks[last] {
             return;
         }
-        let place = self.ranks[..last].partition_point(|&higher| rank <= higher);
-        self.ranks[place..=last].rotate_right(1);
-        self.ranks[place] = rank;
+        let position = self.ranks[..last].partition_point(|&higher| rank <= higher);
+        self.ranks[position..=last].rotate_right(1);
+        self.ranks[position] = rank;
     }
 
-    fn has(&self, rank: u64) -> bool {
+    fn contains_rank(&self, rank: u64) -> bool {
         self.ranks[self.homes - 1] <= rank
     }
 
-    /// Returns how far a candidate is from being the first home: 0 for it, 1 for one far down by
-    /// rank.
+    /// Returns how far a candidate is from the first home by rank: 0 for the first home, 1 for
+    /// candidates below all kept ranks.
     fn distance(&self, candidate: &Candidate) -> f64 {
-        let step = 1.0 / (NEXT_HOMES + 1) as f64;
-        if self.has(candidate.rank) {
-            return if self.first <= candidate.longer_prefix_rank { 0.0 } else { step };
+        let step = 1.0 / (NEXT_RANKS + 1) as f64;
+        if self.contains_rank(candidate.rank) {
+            return if self.max_longer_prefix_rank <= candidate.longer_prefix_rank {
+                0.0
+            } else {
+                step
+            };
         }
-        let next = &self.ranks[self.homes..self.homes + NEXT_HOMES];
+        let next = &self.ranks[self.homes..self.homes + NEXT_RANKS];
         let higher = next.iter().filter(|&&higher| candidate.rank < higher).count();
         (higher + 1) as f64 * step
     }
--- a/crates/route/src/warm_v1.rs
+++ b/crates/route/src/warm_v1.rs
@@ -2,14 +2,14 @@
 
 use crate::{Candidate, Policy, Request};
 
-/// How much each part of the score of [`WarmV1`] counts.
+/// Weights of the components of the score of [`WarmV1`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Weights {
-    /// Cost of a token that must be prefilled, against a token that waits.
+    /// Cost of a token that must be prefilled, relative to a queued token.
     pub recompute: f64,
-    /// Cost of a token that waits for prefill.
+    /// Cost of a token already queued for prefill.
     pub wait: f64,
-    /// Cost of a request already under way, in tokens.
+    /// Cost of a request already in flight, in queued tokens.
     pub request_tokens: f64,
 }
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// Weighs the tokens to recompute against the wait, and prefers the prefix's home among equals.
+/// Weighs the tokens to recompute against the queue; ties go to the prefix's home.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WarmV1 {
     weights: Weights,
@@ -35,8 +35,8 @@
         let prompt = req.prompt_tokens.as_u64();
         let cold = prompt.saturating_sub(candidate.warm_tokens.as_u64()) as f64;
         let queued = candidate.own_prefill_tokens.as_u64() as f64;
-        let busy = f64::from(candidate.in_flight) * self.weights.request_tokens;
-        cold * self.weights.recompute + (queued + busy) * self.weights.wait
+        let in_flight = f64::from(candidate.in_flight) * self.weights.request_tokens;
+        cold * self.weights.recompute + (queued + in_flight) * self.weights.wait
     }
 }
 
--- a/crates/route/tests/admission.rs
+++ b/crates/route/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: fair shares, priorities, deadlines and the estimate of capacity.
+//! Admission by fair shares, priorities and deadlines, and the capacity estimator.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -27,8 +27,12 @@
 }
 
 fn admission(capacity: u32) -> Admission {
-    let first_hold_time = Duration::ZERO;
-    Admission::new(AdmissionSettings { capacity, first_hold_time, ..AdmissionSettings::default() })
+    let initial_hold_time = Duration::ZERO;
+    Admission::new(AdmissionSettings {
+        capacity,
+        initial_hold_time,
+        ..AdmissionSettings::default()
+    })
 }
 
 fn run(decision: Decision) -> Ticket {
@@ -46,16 +50,16 @@
     refusal.reason
 }
 
-/// A load of several organisations on a capacity of eight, each request running for 80 ms, so
-/// that 100 requests run a second.
+/// The load of several organisations on a capacity of eight; each request runs for 80 ms, so that
+/// 100 requests per second can run.
 struct Load {
     admission: Admission,
-    /// Requests a second, for each organisation.
+    /// Requests per second of each organisation.
     rates: Vec<u64>,
     owners: HashMap<Ticket, usize>,
     ends: Vec<(u64, Ticket)>,
     ran: Vec<u64>,
-    /// Requests that waited in vain until their deadline.
+    /// Requests refused after waiting until their deadline.
     late: u64,
     max_running: usize,
 }
@@ -75,7 +79,7 @@
         }
     }
 
-    /// Runs for `seconds` and returns the requests that ran, for each organisation.
+    /// Simulates `seconds` and returns the number of requests that ran, for each organisation.
     fn run(mut self, seconds: u64) -> Vec<u64> {
         for now in 0..seconds * 1_000 {
             let (ended, running) = self.ends.iter().partition(|&&(end, _)| end <= now);
@@ -131,7 +135,7 @@
 }
 
 #[test]
-fn flood_leaves_others_their_whole_demand() {
+fn flood_of_one_organisation_does_not_limit_others() {
     let mut rates = vec![5; 8];
     rates[0] = 2_000;
     let ran = Load::new(&rates).run(10);
@@ -140,7 +144,7 @@
 }
 
 #[test]
-fn all_overloaded_get_their_fair_share() {
+fn overloaded_organisations_get_equal_shares() {
     let mut rates = vec![40; 8];
     rates[0] = 2_000;
     let ran = Load::new(&rates).run(10);
@@ -157,12 +161,12 @@
 }
 
 #[test]
-fn lone_organisation_gets_all() {
+fn single_organisation_gets_all_capacity() {
     assert!(990 <= Load::new(&[500, 0]).run(10)[0]);
 }
 
 #[test]
-fn urgent_request_goes_first_in_its_organisation() {
+fn urgent_request_runs_first_within_its_organisation() {
     let mut admission = admission(1);
     let first = run(admission.admit(at(0), arrival(0, 60_000)));
     let plain = wait(admission.admit(at(0), arrival(0, 60_000)));
@@ -172,7 +176,7 @@
 }
 
 #[test]
-fn urgent_request_takes_no_other_organisations_turn() {
+fn urgent_request_does_not_overtake_other_organisations() {
     let mut admission = admission(1);
     let first = run(admission.admit(at(0), arrival(0, 60_000)));
     let other = wait(admission.admit(at(0), arrival(1, 60_000)));
@@ -181,7 +185,7 @@
 }
 
 #[test]
-fn passed_deadline_is_refused() {
+fn request_past_its_deadline_is_refused() {
     let mut admission = admission(1);
     assert_eq!(reason(admission.admit(at(5), arrival(0, 5))), RefusalReason::DeadlinePassed);
     run(admission.admit(at(5), arrival(0, 10)));
@@ -202,7 +206,7 @@
 }
 
 #[test]
-fn wait_beyond_the_deadline_is_refused_early() {
+fn request_that_would_wait_beyond_its_deadline_is_refused_on_arrival() {
     let mut admission = admission(1);
     let first = run(admission.admit(at(0), arrival(0, 60_000)));
     admission.release(at(1_000), first);
@@ -235,7 +239,7 @@
 }
 
 #[test]
-fn cancelled_request_frees_its_place_in_the_queue() {
+fn cancelled_request_leaves_the_queue() {
     let mut admission = admission(1);
     let first = run(admission.admit(at(0), arrival(0, 60_000)));
     let gone = wait(admission.admit(at(0), arrival(0, 60_000)));
@@ -245,7 +249,7 @@
 }
 
 #[test]
-fn more_capacity_starts_those_who_wait() {
+fn increased_capacity_starts_waiting_requests() {
     let mut admission = admission(1);
     run(admission.admit(at(0), arrival(0, 60_000)));
     let next = wait(admission.admit(at(0), arrival(0, 60_000)));
@@ -267,7 +271,7 @@
 }
 
 #[test]
-fn tolerated_share_of_late_requests_costs_no_capacity() {
+fn tolerated_share_of_late_requests_does_not_reduce_capacity() {
     let mut capacity = CapacityEstimator::new(10, CapacitySettings::default());
     (0..2_000).for_each(|n| {
         let took = if n % 25 == 24 { 2_000 } else { 100 };
@@ -277,7 +281,7 @@
 }
 
 #[test]
-fn unused_capacity_does_not_grow() {
+fn capacity_does_not_grow_while_unused() {
     let mut capacity = CapacityEstimator::new(10, CapacitySettings::default());
     (0..400).for_each(|n| {
         capacity.record(at(n), Duration::from_millis(100), 1);
--- a/crates/route/tests/headroom.rs
+++ b/crates/route/tests/headroom.rs
@@ -1,4 +1,4 @@
-//! Whether engines have room for a request in time.
+//! Headroom of engines, and the choice among engines with headroom.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use route::{Candidate, EngineSpeed, Headroom, InFlightLoad, Request, Warm, choose_with_headroom};
 use yare::parameterized;
 
-const AIM: Duration = Duration::from_millis(600);
+const TARGET_TTFT: Duration = Duration::from_millis(600);
 
 fn load(requests: u32, prefill_tokens: u64) -> InFlightLoad {
     InFlightLoad { requests, prefill_tokens: TokenCount::new(prefill_tokens) }
@@ -16,24 +16,25 @@
 
 #[parameterized(
     idle = { load(0, 0), 800, true },
-    some_reading = { load(5, 9_000), 800, true },
-    much_reading = { load(5, 30_000), 800, false },
+    some_prefill = { load(5, 9_000), 800, true },
+    much_prefill = { load(5, 30_000), 800, false },
     many_streams = { load(32, 0), 800, false },
     long_prompt_at_an_idle_engine = { load(0, 0), 60_000, true },
     long_prompt_behind_another = { load(1, 9_000), 60_000, false },
 )]
-fn room(load: InFlightLoad, cold: u64, enough: bool) {
-    let headroom = EngineSpeed::default().headroom(load, TokenCount::new(cold), AIM);
+fn headroom_by_load(load: InFlightLoad, cold: u64, enough: bool) {
+    let headroom = EngineSpeed::default().headroom(load, TokenCount::new(cold), TARGET_TTFT);
     assert_eq!(headroom == Headroom::Enough, enough, "{headroom:?}");
 }
 
 #[test]
-fn refused_caller_is_told_when_there_is_room() {
+fn refusal_has_the_time_until_there_is_headroom() {
     let speed = EngineSpeed::default();
-    let Headroom::After(wait) = speed.headroom(load(5, 30_000), TokenCount::new(800), AIM) else {
-        panic!("too much to read")
+    let Headroom::After(wait) = speed.headroom(load(5, 30_000), TokenCount::new(800), TARGET_TTFT)
+    else {
+        panic!("too much prefill for headroom")
     };
-    let left = speed.first_token(load(5, 30_000), TokenCount::new(800)) - AIM;
+    let left = speed.first_token(load(5, 30_000), TokenCount::new(800)) - TARGET_TTFT;
     assert_eq!(wait, left);
 }
 
@@ -43,14 +44,14 @@
     few_slots_taken = { 24, 24, false },
     many_slots = { 48, 32, false },
 )]
-fn room_among_slots(slots: u32, requests: u32, enough: bool) {
+fn headroom_by_slots(slots: u32, requests: u32, enough: bool) {
     let headroom =
-        EngineSpeed::with_slots(slots).headroom(load(requests, 0), TokenCount::ZERO, AIM);
+        EngineSpeed::with_slots(slots).headroom(load(requests, 0), TokenCount::ZERO, TARGET_TTFT);
     assert_eq!(headroom == Headroom::Enough, enough, "{headroom:?}");
 }
 
-/// Returns the choice among a home, a cold engine and one that holds most of the prompt.
-fn chosen(rooms: [Headroom; 3]) -> Result<Option<usize>, Duration> {
+/// Returns the choice among a home, a cold engine and one that has most of the prompt cached.
+fn chosen(headrooms: [Headroom; 3]) -> Result<Option<usize>, Duration> {
     let home = Candidate { rank: 9, warm_tokens: TokenCount::new(3_900), ..Candidate::default() };
     let warm = Candidate { warm_tokens: TokenCount::new(3_000), ..Candidate::default() };
     let req = Request { prompt_tokens: TokenCount::new(4_000), homes: 1 };
@@ -59,13 +60,13 @@
         &mut Warm::default(),
         &req,
         &candidates,
-        &rooms,
+        &headrooms,
         &mut Pcg64Mcg::seed_from_u64(1),
     )
 }
 
 #[test]
-fn prompt_whose_home_is_full_goes_to_the_next_warmest_engine_with_room() {
+fn full_home_falls_back_to_the_warmest_engine_with_headroom() {
     let full = |millis| Headroom::After(Duration::from_millis(millis));
     let enough = Headroom::Enough;
     assert_eq!(chosen([enough, enough, enough]), Ok(Some(0)));
--- a/crates/route/tests/outliers.rs
+++ b/crates/route/tests/outliers.rs
@@ -16,18 +16,18 @@
 
 fn tracker(endpoints: usize) -> OutlierDetector {
     let mut outliers = OutlierDetector::new(OutlierSettings {
-        max_share: 0.5,
-        first_ejection: Duration::from_secs(1),
+        max_ejected_share: 0.5,
+        initial_ejection_time: Duration::from_secs(1),
         ..OutlierSettings::default()
     });
     (0..endpoints).for_each(|n| outliers.join(at(0), id(n)));
     outliers
 }
 
-const GOOD: Outcome = Outcome::Answered(Duration::from_millis(100));
+const FAST: Outcome = Outcome::Answered(Duration::from_millis(100));
 const SLOW: Outcome = Outcome::Answered(Duration::from_millis(900));
 
-/// Records outcomes at the first endpoint while the others answer as usual.
+/// Records outcomes at the first endpoint while the others respond fast.
 fn record(
     outliers: &mut OutlierDetector,
     millis: u64,
@@ -35,30 +35,30 @@
 ) -> Option<EjectionChange> {
     let mut last = None;
     for &outcome in outcomes {
-        (1..4).for_each(|n| assert_eq!(outliers.record(at(millis), &id(n), GOOD), None));
+        (1..4).for_each(|n| assert_eq!(outliers.record(at(millis), &id(n), FAST), None));
         last = outliers.record(at(millis), &id(0), outcome).or(last);
     }
     last
 }
 
 macro_rules! ejection_cases {
-    ($($name:ident: $outcomes:expr => $standing:ident,)*) => {$(
+    ($($name:ident: $outcomes:expr => $state:ident,)*) => {$(
         #[test]
         fn $name() {
             let mut outliers = tracker(4);
             record(&mut outliers, 10, &$outcomes);
-            assert_eq!(outliers.ejection_state(at(20), &id(0)), EjectionState::$standing);
+            assert_eq!(outliers.ejection_state(at(20), &id(0)), EjectionState::$state);
             assert_eq!(outliers.ejection_state(at(20), &id(1)), EjectionState::Ready);
         }
     )*};
 }
 
 ejection_cases! {
-    answers_keep_it: [GOOD; 20] => Ready,
-    few_failures_keep_it: [Outcome::Failed; 4] => Ready,
-    failures_eject_it: [Outcome::Failed; 5] => Ejected,
-    slow_answers_eject_it: [SLOW; 8] => Ejected,
-    failures_below_the_share_keep_it: [GOOD, GOOD, Outcome::Failed, GOOD, Outcome::Failed] => Ready,
+    fast_responses_do_not_eject: [FAST; 20] => Ready,
+    too_few_failures_do_not_eject: [Outcome::Failed; 4] => Ready,
+    failures_eject: [Outcome::Failed; 5] => Ejected,
+    slow_responses_eject: [SLOW; 8] => Ejected,
+    failures_below_the_share_do_not_eject: [FAST, FAST, Outcome::Failed, FAST, Outcome::Failed] => Ready,
 }
 
 #[test]
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn probes_restore_it() {
+fn successful_probes_restore_an_endpoint() {
     let mut outliers = tracker(4);
     record(&mut outliers, 0, &[Outcome::Failed; 5]);
     assert_eq!(outliers.ejection_state(at(999), &id(0)), EjectionState::Ejected);
@@ -79,7 +79,7 @@
         assert_eq!(outliers.ejection_state(at(1_000), &id(0)), EjectionState::ProbeDue);
         outliers.sent(at(1_000), &id(0));
         assert_eq!(outliers.ejection_state(at(1_000), &id(0)), EjectionState::Ejected);
-        changes.extend(outliers.record(at(1_000), &id(0), GOOD));
+        changes.extend(outliers.record(at(1_000), &id(0), FAST));
     }
     assert_eq!(changes, [EjectionChange::Restored]);
     assert_eq!(
@@ -99,10 +99,10 @@
 }
 
 #[test]
-fn outcome_from_before_the_ejection_is_no_probe() {
+fn outcome_of_an_earlier_request_is_not_a_probe() {
     let mut outliers = tracker(4);
     record(&mut outliers, 0, &[Outcome::Failed; 5]);
-    (0..5).for_each(|_| assert_eq!(outliers.record(at(1), &id(0), GOOD), None));
+    (0..5).for_each(|_| assert_eq!(outliers.record(at(1), &id(0), FAST), None));
     assert_eq!(outliers.ejection_state(at(2), &id(0)), EjectionState::Ejected);
 }
 
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn new_incarnation_starts_afresh() {
+fn new_incarnation_clears_the_ejection() {
     let mut outliers = tracker(4);
     record(&mut outliers, 0, &[Outcome::Failed; 5]);
     outliers.join(at(1), id(0));
@@ -139,8 +139,8 @@
 }
 
 bound_cases! {
-    only_endpoint_stays: 1 => 0,
-    half_stays: 8 => 4,
+    only_endpoint_is_never_ejected: 1 => 0,
+    at_most_half_are_ejected: 8 => 4,
     odd_half_is_rounded_down: 3 => 1,
 }
 
@@ -151,7 +151,7 @@
     })]
 
     #[test]
-    fn ejected_stay_within_their_share(steps in proptest::collection::vec(any::<(u8, u8, u16)>(), 0..400)) {
+    fn ejections_stay_within_the_maximum_share(steps in proptest::collection::vec(any::<(u8, u8, u16)>(), 0..400)) {
         let mut outliers = tracker(6);
         let mut now = 0;
         for (op, n, pause) in steps {
@@ -160,7 +160,7 @@
             match op % 8 {
                 0 => outliers.join(at(now), endpoint),
                 1 => outliers.sent(at(now), &endpoint),
-                2 => { outliers.record(at(now), &endpoint, GOOD); }
+                2 => { outliers.record(at(now), &endpoint, FAST); }
                 _ => { outliers.record(at(now), &endpoint, Outcome::Failed); }
             }
             let ready = (0..6).filter(|&n| outliers.ejection_state(at(now), &id(n)) == EjectionState::Ready);
--- a/crates/route/tests/policies.rs
+++ b/crates/route/tests/policies.rs
@@ -1,4 +1,4 @@
-//! Which candidate each policy takes.
+//! Which candidate each policy chooses.
 
 use std::time::Duration;
 
@@ -50,12 +50,12 @@
 
 choice_cases! {
     round_robin_starts_at_the_first: RoundRobin, idle() => 0,
-    least_in_flight_takes_the_idle: LeastInFlight,
+    least_in_flight_chooses_the_idle_candidate: LeastInFlight,
         with(|c| [0, 1, 3].into_iter().for_each(|i| c[i].in_flight = 1)) => 2,
-    hash_takes_the_home_whatever_its_load: Hash, with(|c| c[2].in_flight = 99) => 2,
-    warm_v1_takes_the_home_when_nothing_is_known: WarmV1, idle() => 2,
-    warm_v1_takes_the_warm: WarmV1, with(|c| c[0].warm_tokens = tokens(1_000)) => 0,
-    home_wins_when_nothing_is_known: Warm, idle() => 2,
+    hash_chooses_the_home_regardless_of_load: Hash, with(|c| c[2].in_flight = 99) => 2,
+    warm_v1_chooses_the_home_without_warm_candidates: WarmV1, idle() => 2,
+    warm_v1_chooses_the_warm_candidate: WarmV1, with(|c| c[0].warm_tokens = tokens(1_000)) => 0,
+    home_wins_without_warm_candidates: Warm, idle() => 2,
     warm_wins_over_home: Warm, with(|c| c[0].warm_tokens = tokens(2_000)) => 0,
     warm_wins_over_slightly_less_busy: Warm, with(|c| {
         c[0].warm_tokens = tokens(2_000);
@@ -99,14 +99,14 @@
 }
 
 #[test]
-fn no_candidate_no_choice() {
+fn no_choice_without_candidates() {
     for kind in PolicyKind::ALL {
         assert_eq!(choose(kind, request(), &[], 1), None);
     }
 }
 
 #[test]
-fn names_read_back() {
+fn names_round_trip() {
     for kind in PolicyKind::ALL {
         assert_eq!(kind.to_string().parse(), Ok(kind));
         assert_eq!(AnyPolicy::new(kind, WarmSettings::default()).kind(), kind);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn settings_that_favour_hits_wait_longer_for_the_warm() {
+fn settings_favouring_hits_accept_a_longer_queue() {
     let busy = with(|c| {
         c[0].warm_tokens = tokens(2_000);
         c[0].own_prefill_tokens = tokens(3_500);
@@ -147,11 +147,11 @@
 }
 
 #[test]
-fn one_stale_low_report_draws_no_herd() {
+fn stale_low_report_does_not_attract_all_routers() {
     const ROUTERS: u64 = 8;
     const REQUESTS: u64 = 25;
     const ENGINES: u64 = 18;
-    let mut to_stale = 0;
+    let mut sent_to_stale = 0;
     for router in 0..ROUTERS {
         let mut rng = Pcg64Mcg::seed_from_u64(router);
         let mut policy = Warm::default();
@@ -171,11 +171,15 @@
             candidates[chosen].in_flight += 1;
             candidates[chosen].own_prefill_tokens =
                 tokens(candidates[chosen].own_prefill_tokens.as_u64() + 2_000);
-            to_stale += u64::from(chosen == 0);
+            sent_to_stale += u64::from(chosen == 0);
         }
     }
     let fair = ROUTERS * REQUESTS / ENGINES;
-    assert!(to_stale <= fair * 2, "{to_stale} of {} at the stale one", ROUTERS * REQUESTS);
+    assert!(
+        sent_to_stale <= fair * 2,
+        "{sent_to_stale} of {} at the stale one",
+        ROUTERS * REQUESTS
+    );
 }
 
 fn spread(n: u64) -> u64 {
--- a/crates/route/tests/regression/drained_report.rs
+++ b/crates/route/tests/regression/drained_report.rs
@@ -1,4 +1,4 @@
-//! A restarted router left a prefix's home for a prefill that had ended since the report.
+//! A restarted router avoided a prefix's home because of a reported prefill that had ended since.
 
 use std::time::Duration;
 
@@ -22,11 +22,11 @@
 }
 
 #[test]
-fn prefill_of_an_engine_without_a_queue_has_ended() {
+fn reported_prefill_without_a_queue_decays_with_age() {
     assert_eq!(chosen(1), Some(0));
 }
 
 #[test]
-fn queue_behind_full_slots_stays() {
+fn reported_prefill_behind_full_slots_does_not_decay() {
     assert_eq!(chosen(10), Some(1));
 }
--- a/crates/route/tests/regression/main.rs
+++ b/crates/route/tests/regression/main.rs
@@ -1,4 +1,4 @@
-//! Faults found before, one a module.
+//! Regression tests, one module per fault.
 
 mod drained_report;
 mod outgrown_queue;
--- a/crates/route/tests/regression/outgrown_queue.rs
+++ b/crates/route/tests/regression/outgrown_queue.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn queue_that_outgrew_its_share_is_refused_before_the_deadline() {
+fn queue_beyond_a_shrunken_share_is_refused_before_the_deadline() {
     let settings = AdmissionSettings { capacity: 1, ..AdmissionSettings::default() };
     let mut admission = Admission::new(settings);
     assert!(matches!(admission.admit(at(100), arrival("large", 60_000)), Decision::Run(_)));
--- a/crates/route/tests/retry.rs
+++ b/crates/route/tests/retry.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn requests_earn_their_share() {
+fn requests_add_retries_by_the_ratio() {
     let mut budget = budget(0.25, 0.0, 50.0);
     spend_all(&mut budget, START);
     (0..100).for_each(|_| budget.earn(START));
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn time_earns_the_least_rate() {
+fn time_adds_retries_at_the_minimum_rate() {
     let mut budget = budget(0.0, 2.0, 50.0);
     spend_all(&mut budget, START);
     assert_eq!(spend_all(&mut budget, START + ms(5_000)), 10);
 }
 
 #[test]
-fn clock_that_steps_back_earns_nothing() {
+fn clock_step_backwards_adds_no_retries() {
     let mut budget = budget(0.0, 2.0, 50.0);
     spend_all(&mut budget, START + ms(5_000));
     assert_eq!(spend_all(&mut budget, START), 0);
@@ -115,12 +115,12 @@
     early_call_waits: Idempotent, waited 30, burst 1.0 => HedgeDecision::Wait(ms(70)),
     late_call_is_hedged: Idempotent, waited 100, burst 1.0 => HedgeDecision::Send,
     empty_budget_hedges_nothing: Idempotent, waited 100, burst 0.0 => HedgeDecision::Never,
-    call_that_may_not_repeat_is_never_hedged:
+    non_idempotent_call_is_never_hedged:
         NotIdempotent, waited 900, burst 1.0 => HedgeDecision::Never,
 }
 
 #[test]
-fn reserve_is_left_to_those_that_need_it_more() {
+fn reserve_is_kept_for_other_retries() {
     let settings = BudgetSettings { ratio: 0.0, min_rate: 0.0, burst: 3.0 };
     let mut budget = RetryBudget::new(MonotonicTime::ZERO, settings);
     assert!(budget.try_spend_above_reserve(MonotonicTime::ZERO, 0.6));
@@ -130,9 +130,9 @@
     assert!(!budget.try_spend(MonotonicTime::ZERO));
 }
 
-/// A large fleet leaves each router few retries; a fixed reserve was more than all of them.
+/// In a large fleet each router has a small budget, which a fixed reserve exceeded.
 #[test]
-fn router_with_few_saved_retries_may_spend_beyond_the_reserve() {
+fn small_budget_allows_a_retry_above_the_reserve() {
     let settings = BudgetSettings { ratio: 0.0, min_rate: 0.0, burst: 2.1 };
     let mut budget = RetryBudget::new(MonotonicTime::ZERO, settings);
     assert!(budget.try_spend_above_reserve(MonotonicTime::ZERO, 0.36));
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn narrower_bounds_take_saved_retries_away() {
+fn lower_maximum_discards_saved_retries() {
     let wide = BudgetSettings { ratio: 0.0, min_rate: 0.0, burst: 40.0 };
     let mut budget = RetryBudget::new(MonotonicTime::ZERO, wide);
     budget.set_settings(BudgetSettings { burst: 1.0, ..wide });
--- a/crates/route/tests/trace.rs
+++ b/crates/route/tests/trace.rs
@@ -1,4 +1,4 @@
-//! Hit rate and time to first token of the policies over one trace of nested, shifting prefixes.
+//! Hit rate and time to first token of each policy on a trace of nested, shifting prefixes.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -18,16 +18,16 @@
 const ROUTERS: usize = 8;
 const CACHE_BLOCKS: usize = 2_000;
 const BLOCK_TOKENS: u64 = 64;
-const PREFILL_RATE: u64 = 8_000;
-const HOME_LEVEL: usize = 32;
-const REPORT_LAG: f64 = 0.5;
-const DECODE: f64 = 0.5;
+const PREFILL_TOKENS_PER_SEC: u64 = 8_000;
+const HOME_LEVEL_BLOCKS: usize = 32;
+const REPORT_INTERVAL_SECS: f64 = 0.5;
+const DECODE_SECS: f64 = 0.5;
 
 fn tokens(blocks: usize) -> TokenCount {
     TokenCount::new(blocks as u64 * BLOCK_TOKENS)
 }
 
-/// An engine: its cache by block with the time of last use, and when its prefill queue ends.
+/// A simulated engine: an LRU cache of blocks, and the time at which its prefill queue ends.
 #[derive(Default)]
 struct Engine {
     cache: HashMap<BlockHash, u64>,
@@ -39,7 +39,8 @@
 }
 
 impl Engine {
-    /// Runs a prompt that arrives at `now`; returns the cached blocks and the time to first token.
+    /// Runs a prompt that arrives at `now`; returns the number of cached blocks and the time to
+    /// first token.
     fn run(&mut self, now: f64, chain: &Chain) -> (usize, f64) {
         let blocks = chain.blocks();
         let cached = blocks.iter().take_while(|block| self.cache.contains_key(block)).count();
@@ -55,15 +56,15 @@
             }
         }
         let cold = (blocks.len() - cached) as u64 * BLOCK_TOKENS;
-        self.free_at = self.free_at.max(now) + cold as f64 / PREFILL_RATE as f64 + 0.002;
-        self.ends.push(self.free_at + DECODE);
+        self.free_at = self.free_at.max(now) + cold as f64 / PREFILL_TOKENS_PER_SEC as f64 + 0.002;
+        self.ends.push(self.free_at + DECODE_SECS);
         (cached, self.free_at - now)
     }
 
     fn report(&mut self, now: f64) -> (f64, u32, u64) {
         self.ends.retain(|&end| now < end);
-        if self.reported.0 + REPORT_LAG <= now {
-            let prefill = (self.free_at - now).max(0.0) * PREFILL_RATE as f64;
+        if self.reported.0 + REPORT_INTERVAL_SECS <= now {
+            let prefill = (self.free_at - now).max(0.0) * PREFILL_TOKENS_PER_SEC as f64;
             self.reported = (now, self.ends.len() as u32, prefill as u64);
         }
         self.reported
@@ -74,20 +75,22 @@
     index: WarmIndex,
     hot: HotPrefixes,
     policy: AnyPolicy,
-    /// End of prefill, end of the answer and cold blocks of own requests, for each engine.
+    /// End of prefill, end of the response and cold blocks of this router's requests, for each
+    /// engine.
     own: Vec<Vec<(f64, f64, usize)>>,
 }
 
 fn router(kind: PolicyKind, ids: &[EndpointId]) -> Router {
     let mut index = WarmIndex::new(IndexSettings::default());
     ids.iter().for_each(|id| assert!(index.bind(id, Incarnation::new(1)).is_some()));
-    let rate = TokenRate::new(PREFILL_RATE);
+    let rate = TokenRate::new(PREFILL_TOKENS_PER_SEC);
     let settings = WarmSettings { prefill_rate: rate, ..WarmSettings::default() };
     let hot = HotPrefixes::new(1_024, Duration::from_secs(5));
     Router { index, hot, policy: AnyPolicy::new(kind, settings), own: vec![vec![]; ENGINES] }
 }
 
-/// Draws a prompt: organisation, school and page, each with a few that are hot for five seconds.
+/// Draws a random prompt of an organisation, a school and a page; a few of each are hot for five
+/// seconds at a time.
 fn prompt(now: f64, n: usize, rng: &mut Pcg64Mcg) -> Chain {
     let mut skewed = |count: usize| (rng.random::<f64>().powi(3) * count as f64) as usize;
     let shift = (now / 5.0) as usize * 7;
@@ -108,18 +111,18 @@
     hit_rate: f64,
     /// The 99th percentile of the time to first token, in seconds.
     p99: f64,
-    /// Requests at the busiest engine against the mean.
+    /// Requests at the busiest engine divided by the mean.
     spread: f64,
 }
 
-/// Runs 30 seconds of load; all routers restart after `restart` seconds.
+/// Simulates 30 seconds of load; all routers restart after `restart` seconds.
 fn trace(kind: PolicyKind, rate: f64, seed: u64, restart: f64) -> Outcome {
     let ids: Vec<EndpointId> = (0..ENGINES).map(|n| format!("e{n}").parse().unwrap()).collect();
     let mut engines: Vec<_> = (0..ENGINES).map(|_| Engine::default()).collect();
     let mut routers: Vec<_> = (0..ROUTERS).map(|_| router(kind, &ids)).collect();
     let (mut load_rng, mut rng) = (Pcg64Mcg::seed_from_u64(seed), Pcg64Mcg::seed_from_u64(!seed));
     let (mut now, mut cached, mut all, mut ttft) = (0.0, 0, 0, Vec::new());
-    let (mut warmth, mut served) = (PrefixMatches::default(), [0; ENGINES]);
+    let (mut matches, mut served) = (PrefixMatches::default(), [0; ENGINES]);
     for n in 0..(rate * 30.0) as usize {
         now -= (1.0 - load_rng.random::<f64>()).ln() / rate;
         let chain = prompt(now, n, &mut load_rng);
@@ -128,9 +131,9 @@
         }
         let router = &mut routers[load_rng.random_range(0..ROUTERS)];
         let time = MonotonicTime::new(Duration::from_secs_f64(now));
-        let home = chain.at_level(HOME_LEVEL).unwrap();
+        let home = chain.at_level(HOME_LEVEL_BLOCKS).unwrap();
         let homes = Replication::default().homes(router.hot.record(time, home) * ROUTERS as f64);
-        router.index.match_prefix(time, &chain, &mut warmth);
+        router.index.match_prefix(time, &chain, &mut matches);
         let candidates: Vec<_> = (0..ENGINES)
             .map(|e| {
                 router.own[e].retain(|own| now < own.1);
@@ -138,8 +141,11 @@
                 let queued = router.own[e].iter().filter(|own| now < own.0).map(|own| own.2).sum();
                 Candidate {
                     rank: rank(home, &ids[e]),
-                    longer_prefix_rank: rank(chain.at_level(HOME_LEVEL + 2).unwrap(), &ids[e]),
-                    warm_tokens: tokens(warmth.blocks(router.index.slot(&ids[e]).unwrap())),
+                    longer_prefix_rank: rank(
+                        chain.at_level(HOME_LEVEL_BLOCKS + 2).unwrap(),
+                        &ids[e],
+                    ),
+                    warm_tokens: tokens(matches.blocks(router.index.slot(&ids[e]).unwrap())),
                     in_flight: router.own[e].len() as u32,
                     own_prefill_tokens: tokens(queued),
                     reported_requests: requests,
@@ -155,9 +161,9 @@
         let e = router.policy.choose(&req, &candidates, &mut rng).unwrap();
         let (hits, wait) = engines[e].run(now, &chain);
         let slot = router.index.slot(&ids[e]).unwrap();
-        let believed = warmth.blocks(slot);
-        router.index.record_response(time, slot, &chain, believed, hits);
-        router.own[e].push((now + wait, now + wait + DECODE, blocks - believed));
+        let expected = matches.blocks(slot);
+        router.index.record_response(time, slot, &chain, expected, hits);
+        router.own[e].push((now + wait, now + wait + DECODE_SECS, blocks - expected));
         served[e] += 1;
         (cached, all) = (cached + hits, all + blocks);
         ttft.push(wait + candidates[e].round_trip.as_secs_f64());
@@ -178,12 +184,12 @@
     Outcome { hit_rate, p99, spread }
 }
 
-const NEVER: f64 = 99.0;
+const NO_RESTART: f64 = 99.0;
 
 #[test]
-fn warm_beats_the_baselines() {
+fn warm_policy_outperforms_the_baselines() {
     let [round_robin, least, hash, warm_v1, warm] =
-        PolicyKind::ALL.map(|kind| mean_of_seeds(kind, NEVER));
+        PolicyKind::ALL.map(|kind| mean_of_seeds(kind, NO_RESTART));
     assert!([&round_robin, &least, &warm_v1].iter().all(|other| other.hit_rate < warm.hit_rate));
     assert!([&round_robin, &least, &hash, &warm_v1].iter().all(|other| warm.p99 < other.p99));
     assert!(hash.hit_rate * 0.95 < warm.hit_rate);
@@ -191,8 +197,8 @@
 }
 
 #[test]
-fn restarted_routers_route_as_before() {
-    let before = mean_of_seeds(PolicyKind::Warm, NEVER);
+fn restart_of_routers_keeps_the_hit_rate() {
+    let before = mean_of_seeds(PolicyKind::Warm, NO_RESTART);
     let restarted = mean_of_seeds(PolicyKind::Warm, 15.0);
     assert!(before.hit_rate - 0.01 < restarted.hit_rate);
 }
--- a/crates/route/tests/transfer.rs
+++ b/crates/route/tests/transfer.rs
@@ -1,4 +1,4 @@
-//! Whether blocks are fetched or computed again.
+//! Whether blocks are fetched or recomputed.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
 }
 
 choices! {
-    nothing_is_fetched_from_nowhere: 0, [] => None;
+    nothing_is_fetched_without_sources: 0, [] => None;
     held_blocks_are_not_fetched: 10, [source(10, 0)] => None;
     cheap_blocks_are_fetched: 0, [source(10, 1)] => Some(0);
     saving_equal_to_the_margin_is_enough: 0, [source(10, 5)] => Some(0);
@@ -35,5 +35,5 @@
     far_source_costs_more_than_computing: 0, [source(10, 30)] => None;
     only_missing_blocks_count: 9, [source(10, 1)] => None;
     nearer_of_two_equal_sources_wins: 0, [source(10, 3), source(10, 1)] => Some(1);
-    longer_prefix_outweighs_a_round_trip: 0, [source(10, 0), source(40, 10)] => Some(1);
+    longer_prefix_wins_despite_a_longer_round_trip: 0, [source(10, 0), source(40, 10)] => Some(1);
 }
