--- a/crates/prefix/src/index.rs
+++ b/crates/prefix/src/index.rs
@@ -70,7 +70,7 @@
     /// An older incarnation than the bound one is ignored. Returns `None` if 65,536 endpoints are
     /// bound.
     pub fn bind(&mut self, endpoint: &EndpointId, incarnation: Incarnation) -> Option<Slot> {
-        let ttl = span_millis(self.settings.max_ttl);
+        let ttl = duration_millis(self.settings.max_ttl);
         let Some(slot) = self.slots.get(endpoint) else {
             return self.slots.add(endpoint, incarnation, ttl);
         };
@@ -122,8 +122,8 @@
         expected: usize,
         cached: usize,
     ) {
-        let min_ttl = span_millis(self.settings.min_ttl);
-        let max_ttl = span_millis(self.settings.max_ttl);
+        let min_ttl = duration_millis(self.settings.min_ttl);
+        let max_ttl = duration_millis(self.settings.max_ttl);
         let Some(state) = self.slots.live_mut(slot) else { return };
         let ttl = match (cached < expected, expected == 0) {
             (true, _) => state.ttl / 4 * 3,
@@ -166,7 +166,7 @@
     pub fn match_prefix(&self, now: MonotonicTime, chain: &Chain, matches: &mut PrefixMatches) {
         matches.reset(self.slots.states().len());
         let now = millis(now);
-        let min_ttl = span_millis(self.settings.min_ttl);
+        let min_ttl = duration_millis(self.settings.min_ttl);
         for (depth, &block) in (0..).zip(chain.blocks()) {
             let mut extended = false;
             for entry in self.table.holders(block) {
@@ -261,7 +261,7 @@
     time.since_origin().as_millis() as u32
 }
 
-/// Returns a span in milliseconds, at most 2^32 - 1.
-fn span_millis(span: Duration) -> u32 {
-    u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
+/// Returns a duration in milliseconds, at most 2^32 - 1.
+fn duration_millis(duration: Duration) -> u32 {
+    u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
--- a/crates/route/src/admission.rs
+++ b/crates/route/src/admission.rs
@@ -65,8 +65,8 @@
     since: MonotonicTime,
 }
 
-/// Smoothing of the average hold time: each request has the weight 1 / `HOLD_TIME_SMOOTHING`.
-const HOLD_TIME_SMOOTHING: u32 = 16;
+/// Divisor of the weight of one request in the moving average of the hold time.
+const HOLD_TIME_WEIGHT_DIVISOR: u32 = 16;
 
 /// Factor by which the estimated wait must exceed the time to the deadline before a request that
 /// already waits is refused.
@@ -119,8 +119,8 @@
         let Some(running) = self.running.remove(&ticket) else { return Vec::new() };
         let held = now.saturating_since(running.since);
         let average = self.hold_time.unwrap_or(held);
-        let smoothing = HOLD_TIME_SMOOTHING;
-        self.hold_time = Some((average * (smoothing - 1) + held) / smoothing);
+        let divisor = HOLD_TIME_WEIGHT_DIVISOR;
+        self.hold_time = Some((average * (divisor - 1) + held) / divisor);
         let actions = self.start_waiting(now);
         if self.running.is_empty() && self.waiting.is_empty() {
             self.fair_queue.reset();
--- a/crates/route/src/outlier.rs
+++ b/crates/route/src/outlier.rs
@@ -109,7 +109,7 @@
 }
 
 /// Weight of one response in the moving average of the typical time to first token.
-const TYPICAL_TTFT_SMOOTHING: f64 = 0.02;
+const TYPICAL_TTFT_WEIGHT: f64 = 0.02;
 
 impl OutlierDetector {
     /// Creates a detector that tracks no endpoints.
@@ -196,7 +196,7 @@
         let Outcome::Answered(ttft) = outcome else { return true };
         let log = ttft.as_secs_f64().max(1e-6).ln();
         let typical = *self.typical_ttft_ln.get_or_insert(log);
-        self.typical_ttft_ln = Some(typical + (log - typical) * TYPICAL_TTFT_SMOOTHING);
+        self.typical_ttft_ln = Some(typical + (log - typical) * TYPICAL_TTFT_WEIGHT);
         self.settings.min_slow_ttft <= ttft && typical + self.settings.slow_factor.ln() <= log
     }
 
--- a/crates/route/tests/admission.rs
+++ b/crates/route/tests/admission.rs
@@ -320,9 +320,9 @@
             }
             for action in actions {
                 let (Action::Run(ticket) | Action::Refuse(ticket, _)) = action;
-                let place = waiting.iter().position(|&t| t == ticket);
-                prop_assert!(place.is_some());
-                waiting.swap_remove(place.unwrap());
+                let position = waiting.iter().position(|&t| t == ticket);
+                prop_assert!(position.is_some());
+                waiting.swap_remove(position.unwrap());
                 if matches!(action, Action::Run(_)) {
                     running.push(ticket);
                 }
