--- a/crates/prefix/src/lib.rs
+++ b/crates/prefix/src/lib.rs
@@ -1,8 +1,8 @@
-//! Prefix identity, the warm index and placement of prefixes on endpoints.
+//! Prefix identity, the index of warm (cached) prefixes and placement of prefixes on endpoints.
 //!
 //! A prompt is cut into blocks of equal size. Each block's [`BlockHash`] covers the block and all
 //! that precede it, starting from a [`Salt`] of organisation, model, weights version and adapter.
-//! So two hashes are equal only where an engine may reuse the cached block.
+//! Two hashes are therefore equal only if an engine may reuse the cached block.
 //!
 //! The [`WarmIndex`] tracks which endpoints are expected to have a block cached, in a fixed amount
 //! of memory. [`rank`] assigns each prefix a home endpoint by rendezvous hashing, without any
--- a/crates/route/tests/trace.rs
+++ b/crates/route/tests/trace.rs
@@ -89,8 +89,8 @@
     Router { index, hot, policy: AnyPolicy::new(kind, settings), own: vec![vec![]; ENGINES] }
 }
 
-/// Draws a random prompt of an organisation, a school and a page; a few of each are hot for five
-/// seconds at a time.
+/// Draws a random prompt of an organisation, a school and a page; a few of each are hot, and the
+/// hot schools and pages change every five seconds.
 fn prompt(now: f64, n: usize, rng: &mut Pcg64Mcg) -> Chain {
     let mut skewed = |count: usize| (rng.random::<f64>().powi(3) * count as f64) as usize;
     let shift = (now / 5.0) as usize * 7;
