--- a/crates/daemon/src/replica/followers.rs
+++ b/crates/daemon/src/replica/followers.rs
@@ -5,8 +5,8 @@
 use base::{HostId, ModelId, MonotonicTime, Term};
 use fleet::{EngineNews, Published, WeightsAge, WeightsHistory};
 use member::Leavers;
-use prefix::SentLog;
-use route::{LoadBoard, SentLoad};
+use prefix::SentPromptLog;
+use route::{LoadAggregator, SentLoad};
 use wire::leader::{Follow, PublishedView, Seen, ViewVersion};
 
 use super::waiting::Reply;
@@ -26,8 +26,8 @@
 pub(super) struct Followers {
     held: Vec<Held>,
     engines: Vec<EngineNews>,
-    loads: LoadBoard,
-    sent: SentLog,
+    loads: LoadAggregator,
+    sent: SentPromptLog,
     leavers: Leavers,
     /// When weights were named, as far as this host was there or was told.
     weights: BTreeMap<ModelId, WeightsHistory>,
@@ -47,8 +47,8 @@
         Self {
             held: Vec::new(),
             engines: Vec::new(),
-            loads: LoadBoard::new(LOAD_LIFETIME),
-            sent: SentLog::new(MAX_SENT),
+            loads: LoadAggregator::new(LOAD_LIFETIME),
+            sent: SentPromptLog::new(MAX_SENT),
             leavers: Leavers::default(),
             weights: BTreeMap::new(),
             changes: 0,
