--- a/crates/daemon/src/gateway/dialect.rs
+++ b/crates/daemon/src/gateway/dialect.rs
@@ -22,14 +22,14 @@
     /// # Errors
     ///
     /// Returns an error that says what can't be read or contradicts itself.
-    fn table(&self, content: &[u8]) -> Result<Table, Unreadable>;
+    fn table(&self, content: &[u8]) -> Result<Table, DecodeError>;
 
     /// Reads the head of a caller's request.
     ///
     /// # Errors
     ///
     /// Returns an error if a field that the dialect needs is missing or malformed.
-    fn arrival(&self, head: &request::Parts) -> Result<Arrival, Unreadable>;
+    fn arrival(&self, head: &request::Parts) -> Result<Arrival, DecodeError>;
 
     /// Writes the header fields of a request to an endpoint.
     ///
@@ -37,7 +37,7 @@
     fn outgoing(&self, from: &HeaderMap, attempt: &AttemptHead<'_>) -> HeaderMap;
 
     /// Reads the head of an endpoint's answer.
-    fn answer(&self, head: &response::Parts) -> AnswerHead;
+    fn answer(&self, head: &response::Parts) -> ResponseHead;
 
     /// Writes how long a refused caller should wait.
     fn retry_after(&self, wait: Duration) -> HeaderValue;
@@ -60,7 +60,7 @@
     /// # Errors
     ///
     /// Returns an error if the answer can't be read.
-    fn report(&self, status: StatusCode, body: &[u8]) -> Result<EngineReport, Unreadable>;
+    fn report(&self, status: StatusCode, body: &[u8]) -> Result<EngineReport, DecodeError>;
 
     /// Writes an order to load weights.
     fn load_call(&self, call: &LoadCall<'_>) -> Request<Bytes>;
@@ -78,22 +78,22 @@
 
 /// What a dialect can't read, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unreadable(String);
+pub struct DecodeError(String);
 
-impl Unreadable {
+impl DecodeError {
     /// Creates an error from a reason.
     pub fn new(reason: impl Into<String>) -> Self {
         Self(reason.into())
     }
 }
 
-impl fmt::Display for Unreadable {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl error::Error for Unreadable {}
+impl error::Error for DecodeError {}
 
 /// A caller's request, beside its method, path, host and body.
 #[derive(Clone, Debug, PartialEq)]
@@ -151,7 +151,7 @@
 
 /// What the head of an endpoint's answer says, beside its status.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// The request that it answers.
     pub request: Option<String>,
     /// The endpoint that answers, if it says.
@@ -190,7 +190,7 @@
     /// There is no such call.
     Unknown,
     /// The call's body can't be used.
-    Malformed(Unreadable),
+    Malformed(DecodeError),
 }
 
 /// The answer to a [`ControlCall`].
--- a/crates/daemon/src/gateway/exchange.rs
+++ b/crates/daemon/src/gateway/exchange.rs
@@ -17,7 +17,7 @@
 };
 
 use super::{
-    AnswerHead, Arrival, AttemptHead, Dialect, EngineHead, Gateway,
+    Arrival, AttemptHead, Dialect, EngineHead, Gateway, ResponseHead,
     follow::{InForce, NONE_NAMED},
     placement::{self, NoTarget, PromptWanted, Transfers, Wanted},
     targets::{InFlight, Target},
@@ -403,7 +403,7 @@
     }
 
     /// Learns that another process is there, or that the engine has other weights.
-    fn learn_from_refusal(&self, target: &Target, status: StatusCode, head: &AnswerHead) {
+    fn learn_from_refusal(&self, target: &Target, status: StatusCode, head: &ResponseHead) {
         if status != StatusCode::MISDIRECTED_REQUEST {
             return;
         }
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -50,8 +50,8 @@
 use targets::{Target, Targets};
 
 pub use dialect::{
-    AnswerHead, Arrival, AttemptHead, BadCall, ControlAnswer, ControlCall, Dialect, EngineHead,
-    EngineReport, LoadCall, Prompt, Unreadable,
+    Arrival, AttemptHead, BadCall, ControlAnswer, ControlCall, DecodeError, Dialect, EngineHead,
+    EngineReport, LoadCall, Prompt, ResponseHead,
 };
 pub use settings::{FleetRetries, GatewaySettings};
 
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -43,8 +43,8 @@
 pub use crate::{
     edge::EdgeEnd,
     gateway::{
-        AnswerHead, Arrival, AttemptHead, BadCall, ControlAnswer, ControlCall, Dialect, EngineHead,
-        EngineReport, FleetRetries, GatewaySettings, LoadCall, Prompt, Unreadable,
+        Arrival, AttemptHead, BadCall, ControlAnswer, ControlCall, DecodeError, Dialect,
+        EngineHead, EngineReport, FleetRetries, GatewaySettings, LoadCall, Prompt, ResponseHead,
     },
     peers::{PeerAnswer, PeerClient},
     run::{exit_code, gateway_exit_code, main, run, run_gateway},
