--- a/crates/daemon/src/gateway/control.rs
+++ b/crates/daemon/src/gateway/control.rs
@@ -11,7 +11,10 @@
 
 use crate::{leader_client::NoAnswer, roster::RosterInput};
 
-use super::{ActiveRequest, BadCall, ControlAnswer, ControlCall, Dialect, Gateway, body::Body};
+use super::{
+    ActiveRequest, ControlRequest, ControlRequestError, ControlResponse, Dialect, Gateway,
+    body::Body,
+};
 
 /// Largest body of a call, in bytes.
 const MAX_BODY: usize = 8 << 20;
@@ -32,59 +35,59 @@
     let answer = match Limited::new(body, MAX_BODY).collect().await {
         Ok(body) => match gateway.dialect.control(&head, &body.to_bytes()) {
             Ok(call) => carry_out(&gateway, call).await,
-            Err(BadCall::Unknown) => ControlAnswer::Unknown,
-            Err(BadCall::Malformed(e)) => ControlAnswer::Malformed(e.to_string()),
+            Err(ControlRequestError::Unknown) => ControlResponse::Unknown,
+            Err(ControlRequestError::Malformed(e)) => ControlResponse::Malformed(e.to_string()),
         },
-        Err(e) if e.is::<LengthLimitError>() => ControlAnswer::TooLarge,
-        Err(e) => ControlAnswer::Malformed(format!("the body can't be read: {e}")),
+        Err(e) if e.is::<LengthLimitError>() => ControlResponse::TooLarge,
+        Err(e) => ControlResponse::Malformed(format!("the body can't be read: {e}")),
     };
     log_refused(&answer, head.uri.path());
-    gateway.dialect.control_answer(&answer).map(Body::from)
+    gateway.dialect.control_response(&answer).map(Body::from)
 }
 
-fn log_refused(answer: &ControlAnswer, path: &str) {
+fn log_refused(answer: &ControlResponse, path: &str) {
     match answer {
-        ControlAnswer::Malformed(why) => log::warn!(path, why = why.as_str(); "call refused"),
-        ControlAnswer::Unavailable(why) => log::info!(path, why; "call not carried out"),
+        ControlResponse::Malformed(why) => log::warn!(path, why = why.as_str(); "call refused"),
+        ControlResponse::Unavailable(why) => log::info!(path, why; "call not carried out"),
         _ => {}
     }
 }
 
-async fn carry_out<D: Dialect>(gateway: &Rc<Gateway<D>>, call: ControlCall) -> ControlAnswer {
+async fn carry_out<D: Dialect>(gateway: &Rc<Gateway<D>>, call: ControlRequest) -> ControlResponse {
     match call {
-        ControlCall::Announce(announcement) => announce(gateway, *announcement),
-        ControlCall::Leave { endpoint, incarnation } => {
+        ControlRequest::Announce(announcement) => announce(gateway, *announcement),
+        ControlRequest::Leave { endpoint, incarnation } => {
             match leave(gateway, &endpoint, incarnation) {
                 Some(announcement) => announce(gateway, announcement),
                 // Nobody sends it anything.
-                None => ControlAnswer::Done,
+                None => ControlResponse::Done,
             }
         }
-        ControlCall::Publish(publication) => {
+        ControlRequest::Publish(publication) => {
             let number = publication.number;
             let answer = command(gateway, Command::Publish(publication)).await;
             log::info!(number:%, answer:? = answer; "configuration submitted");
             answer
         }
-        ControlCall::NameWeights(named) => {
+        ControlRequest::NameWeights(named) => {
             let (model, version) = (named.model.clone(), named.version);
             let answer = command(gateway, Command::NameWeights(named)).await;
             log::info!(model:%, version, answer:? = answer; "weights submitted");
             answer
         }
-        ControlCall::ReadConfiguration => read_configuration(gateway).await,
+        ControlRequest::ReadConfiguration => read_configuration(gateway).await,
     }
 }
 
 /// Passes an announcement on to the roster, unless this host can't spread it.
-fn announce<D: Dialect>(gateway: &Gateway<D>, mut announcement: Announcement) -> ControlAnswer {
+fn announce<D: Dialect>(gateway: &Gateway<D>, mut announcement: Announcement) -> ControlResponse {
     announcement.lease = announcement.lease.max(MIN_LEASE);
     if gateway.latest.load().is_some_and(|roster| roster.isolated) {
-        return ControlAnswer::Unavailable("this host hears no other router");
+        return ControlResponse::Unavailable("this host hears no other router");
     }
     match gateway.roster.try_send(RosterInput::Announced(announcement)) {
-        Ok(()) => ControlAnswer::Done,
-        Err(_) => ControlAnswer::Unavailable("the router is busy or ending"),
+        Ok(()) => ControlResponse::Done,
+        Err(_) => ControlResponse::Unavailable("the router is busy or ending"),
     }
 }
 
@@ -106,23 +109,23 @@
 }
 
 /// Brings a command to the leader; it may be sent again, as each one is idempotent.
-async fn command<D: Dialect>(gateway: &Gateway<D>, command: Command) -> ControlAnswer {
+async fn command<D: Dialect>(gateway: &Gateway<D>, command: Command) -> ControlResponse {
     let asked = gateway.leader.ask(&LeaderRequest::Command(command), LEADER_TIMEOUT).await;
     match asked {
-        Ok(LeaderAnswer::Reply(Reply::Publish(_) | Reply::Weights(_))) => ControlAnswer::Done,
-        Ok(_) => ControlAnswer::Unavailable("the leader's answer is of another kind"),
-        Err(NoAnswer::NotTaken) => ControlAnswer::Unavailable("no leader took it"),
-        Err(NoAnswer::Unknown) => ControlAnswer::Unavailable("no leader confirmed it"),
+        Ok(LeaderAnswer::Reply(Reply::Publish(_) | Reply::Weights(_))) => ControlResponse::Done,
+        Ok(_) => ControlResponse::Unavailable("the leader's answer is of another kind"),
+        Err(NoAnswer::NotTaken) => ControlResponse::Unavailable("no leader took it"),
+        Err(NoAnswer::Unknown) => ControlResponse::Unavailable("no leader confirmed it"),
     }
 }
 
-async fn read_configuration<D: Dialect>(gateway: &Gateway<D>) -> ControlAnswer {
+async fn read_configuration<D: Dialect>(gateway: &Gateway<D>) -> ControlResponse {
     match gateway.leader.ask(&LeaderRequest::ReadPublished, LEADER_TIMEOUT).await {
         Ok(LeaderAnswer::Published(view)) => match view.content {
-            Some(content) => ControlAnswer::Configuration(Arc::clone(&content)),
-            None => ControlAnswer::NoConfiguration,
+            Some(content) => ControlResponse::Configuration(Arc::clone(&content)),
+            None => ControlResponse::NoConfiguration,
         },
-        Ok(_) => ControlAnswer::Unavailable("the leader's answer is of another kind"),
-        Err(_) => ControlAnswer::Unavailable("no leader confirms which configuration is newest"),
+        Ok(_) => ControlResponse::Unavailable("the leader's answer is of another kind"),
+        Err(_) => ControlResponse::Unavailable("no leader confirms which configuration is newest"),
     }
 }
--- a/crates/daemon/src/gateway/dialect.rs
+++ b/crates/daemon/src/gateway/dialect.rs
@@ -47,10 +47,14 @@
     /// # Errors
     ///
     /// Returns an error if there is no such call or its body is malformed.
-    fn control(&self, head: &request::Parts, body: &Bytes) -> Result<ControlCall, BadCall>;
+    fn control(
+        &self,
+        head: &request::Parts,
+        body: &Bytes,
+    ) -> Result<ControlRequest, ControlRequestError>;
 
     /// Writes the answer to a call of an operator or an endpoint.
-    fn control_answer(&self, answer: &ControlAnswer) -> Response<Bytes>;
+    fn control_response(&self, answer: &ControlResponse) -> Response<Bytes>;
 
     /// Writes the question for an engine's state.
     fn report_call(&self) -> Request<Bytes>;
@@ -166,7 +170,7 @@
 
 /// A call of an operator or an endpoint.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ControlCall {
+pub enum ControlRequest {
     /// An endpoint announces itself.
     Announce(Box<Announcement>),
     /// An endpoint takes no more requests and ends.
@@ -184,18 +188,18 @@
     NameWeights(NamedWeights),
 }
 
-/// Why there is no [`ControlCall`].
+/// Why there is no [`ControlRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BadCall {
+pub enum ControlRequestError {
     /// There is no such call.
     Unknown,
     /// The call's body can't be used.
     Malformed(DecodeError),
 }
 
-/// The answer to a [`ControlCall`].
+/// The answer to a [`ControlRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ControlAnswer {
+pub enum ControlResponse {
     /// It is done, or was before.
     Done,
     /// The configuration in force, as it came.
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -50,8 +50,8 @@
 use targets::{Target, Targets};
 
 pub use dialect::{
-    Arrival, AttemptHead, BadCall, ControlAnswer, ControlCall, DecodeError, Dialect, EngineHead,
-    EngineReport, LoadCall, Prompt, ResponseHead,
+    Arrival, AttemptHead, ControlRequest, ControlRequestError, ControlResponse, DecodeError,
+    Dialect, EngineHead, EngineReport, LoadCall, Prompt, ResponseHead,
 };
 pub use settings::{FleetRetries, GatewaySettings};
 
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -43,8 +43,9 @@
 pub use crate::{
     edge::EdgeEnd,
     gateway::{
-        Arrival, AttemptHead, BadCall, ControlAnswer, ControlCall, DecodeError, Dialect,
-        EngineHead, EngineReport, FleetRetries, GatewaySettings, LoadCall, Prompt, ResponseHead,
+        Arrival, AttemptHead, ControlRequest, ControlRequestError, ControlResponse, DecodeError,
+        Dialect, EngineHead, EngineReport, FleetRetries, GatewaySettings, LoadCall, Prompt,
+        ResponseHead,
     },
     peers::{PeerAnswer, PeerClient},
     run::{exit_code, gateway_exit_code, main, run, run_gateway},
