--- a/crates/daemon/src/gateway/dialect.rs
+++ b/crates/daemon/src/gateway/dialect.rs
@@ -57,7 +57,7 @@
     fn control_response(&self, answer: &ControlResponse) -> Response<Bytes>;
 
     /// Writes the question for an engine's state.
-    fn report_call(&self) -> Request<Bytes>;
+    fn report_request(&self) -> Request<Bytes>;
 
     /// Reads an engine's state.
     ///
@@ -67,10 +67,10 @@
     fn report(&self, status: StatusCode, body: &[u8]) -> Result<EngineReport, DecodeError>;
 
     /// Writes an order to load weights.
-    fn load_call(&self, call: &LoadCall<'_>) -> Request<Bytes>;
+    fn load_weights_request(&self, call: &LoadWeightsRequest<'_>) -> Request<Bytes>;
 
     /// Reads an engine's answer to an order to load weights.
-    fn load_answer(&self, head: &response::Parts) -> OrderOutcome;
+    fn load_weights_outcome(&self, head: &response::Parts) -> OrderOutcome;
 
     /// Reads again where other routers can be found.
     ///
@@ -229,7 +229,7 @@
 
 /// An order to load weights, with who gives it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LoadCall<'a> {
+pub struct LoadWeightsRequest<'a> {
     /// What is to be loaded, and where.
     pub order: &'a LoadOrder,
     /// Who gives the order.
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -51,7 +51,7 @@
 
 pub use dialect::{
     Arrival, AttemptHead, ControlRequest, ControlRequestError, ControlResponse, DecodeError,
-    Dialect, EngineHead, EngineReport, LoadCall, Prompt, ResponseHead,
+    Dialect, EngineHead, EngineReport, LoadWeightsRequest, Prompt, ResponseHead,
 };
 pub use settings::{FleetRetries, GatewaySettings};
 
--- a/crates/daemon/src/gateway/weights.rs
+++ b/crates/daemon/src/gateway/weights.rs
@@ -19,7 +19,7 @@
     replica::{ReplicaInput, ReplicaView},
 };
 
-use super::{Dialect, EngineReport, Gateway, LoadCall, targets};
+use super::{Dialect, EngineReport, Gateway, LoadWeightsRequest, targets};
 
 /// Time between looks at what is to be ordered.
 const PERIOD: Duration = Duration::from_millis(50);
@@ -252,7 +252,7 @@
     expected_orders: u64,
 ) -> OrderOutcome {
     let holder = &gateway.host;
-    let call = LoadCall { order, holder, fencing: term, expected_orders };
+    let call = LoadWeightsRequest { order, holder, fencing: term, expected_orders };
     let Some(connection) = connect(gateway, address).await else { return OrderOutcome::Refused };
     // The lead may have been lost since the order was decided, also while it was connected.
     let leads_still = gateway
@@ -262,8 +262,8 @@
     if !leads_still {
         return OrderOutcome::Refused;
     }
-    match exchange(connection, address, gateway.dialect.load_call(&call)).await {
-        Some((head, _)) => gateway.dialect.load_answer(&head),
+    match exchange(connection, address, gateway.dialect.load_weights_request(&call)).await {
+        Some((head, _)) => gateway.dialect.load_weights_outcome(&head),
         None => OrderOutcome::Unknown,
     }
 }
@@ -301,7 +301,7 @@
 
 async fn ask<D: Dialect>(gateway: &Gateway<D>, address: SocketAddr) -> Option<EngineReport> {
     let connection = connect(gateway, address).await?;
-    let (head, body) = exchange(connection, address, gateway.dialect.report_call()).await?;
+    let (head, body) = exchange(connection, address, gateway.dialect.report_request()).await?;
     match gateway.dialect.report(head.status, &body) {
         Ok(report) => Some(report),
         Err(e) => {
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -44,8 +44,8 @@
     edge::EdgeEnd,
     gateway::{
         Arrival, AttemptHead, ControlRequest, ControlRequestError, ControlResponse, DecodeError,
-        Dialect, EngineHead, EngineReport, FleetRetries, GatewaySettings, LoadCall, Prompt,
-        ResponseHead,
+        Dialect, EngineHead, EngineReport, FleetRetries, GatewaySettings, LoadWeightsRequest,
+        Prompt, ResponseHead,
     },
     peers::{PeerAnswer, PeerClient},
     run::{exit_code, gateway_exit_code, main, run, run_gateway},
