--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -79,7 +79,7 @@
 const STALE_PROOF: Duration = Duration::from_millis(2_500);
 
 /// What joins the gateway's thread to the others.
-pub(crate) struct GatewayRings {
+pub(crate) struct GatewayChannels {
     /// Newest view of the endpoints.
     pub rosters: flume::Receiver<Arc<Roster>>,
     /// The same, for those who look now and then.
@@ -175,7 +175,7 @@
         dialect: D,
         identity: Identity,
         clock: Clock,
-        rings: &GatewayRings,
+        rings: &GatewayChannels,
     ) -> Self {
         Self {
             cfg,
@@ -327,7 +327,7 @@
     identity: Identity,
     clock: Clock,
     listeners: GatewayListeners,
-    rings: GatewayRings,
+    rings: GatewayChannels,
 ) -> io::Result<JoinHandle<EdgeEnd>> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     std::thread::Builder::new().name("gateway".into()).spawn(move || {
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -16,12 +16,12 @@
     configurations::Configurations,
     directory::Directory,
     edge::{self, Control, EdgeEnd, Inquiry, Rings},
-    gateway::{self, Dialect, GatewayListeners, GatewayRings, GatewaySettings, Identity},
+    gateway::{self, Dialect, GatewayChannels, GatewayListeners, GatewaySettings, Identity},
     leader_client::LeaderClient,
     net,
     peers::{self, Addressed, Inbox, PeersConfig},
     readiness::{self, News, Readiness},
-    replica::{self, ReplicaConfig, ReplicaInput, ReplicaRings, ReplicaState},
+    replica::{self, ReplicaChannels, ReplicaConfig, ReplicaInput, ReplicaState},
     roster::{self, Latest, RosterInput, RosterRings},
 };
 
@@ -128,7 +128,7 @@
         // Questions that need the own interface stay without an answer.
         let _ = shared.start_admin(leader.clone())?;
         let (control, control_rx) = flume::bounded(RING);
-        let rings = GatewayRings {
+        let rings = GatewayChannels {
             rosters,
             latest: shared.latest.clone(),
             roster: shared.roster.clone(),
@@ -213,7 +213,7 @@
             data_dir: data_dir.clone(),
             healing: self.cfg.healing,
         };
-        let rings = ReplicaRings {
+        let rings = ReplicaChannels {
             inputs,
             outbox: self.outbox.clone(),
             directory: self.directory.clone(),
--- a/crates/daemon/src/replica/driver.rs
+++ b/crates/daemon/src/replica/driver.rs
@@ -22,7 +22,7 @@
 };
 
 use super::{
-    ReplicaConfig, ReplicaInput, ReplicaRings, ReplicaView,
+    ReplicaChannels, ReplicaConfig, ReplicaInput, ReplicaView,
     followers::{Followers, Held},
     reads::Readable,
     voters::{self, Healing},
@@ -59,7 +59,7 @@
     applied_bytes: usize,
     waiting: Waiting,
     actions: Vec<Action>,
-    rings: ReplicaRings,
+    rings: ReplicaChannels,
     failure: Option<String>,
     /// Told once this host leads no more.
     handing_over: Option<flume::Sender<()>>,
@@ -93,7 +93,7 @@
         rng: Pcg64Mcg,
         log: Log<D>,
         restored: Restored,
-        rings: ReplicaRings,
+        rings: ReplicaChannels,
     ) -> eyre::Result<Self> {
         let fleet = match &restored.snapshot {
             Some(snapshot) => Fleet::from_snapshot(&snapshot.data)?,
@@ -208,7 +208,7 @@
             ReplicaInput::Learners(hosts) => self.step(Input::Learners(hosts)),
             ReplicaInput::EngineNews(engines) => self.followers.set_engines(engines),
             ReplicaInput::WeightAges { at, ages } => self.followers.note_ages(at, &ages),
-            ReplicaInput::HandOver(done) => {
+            ReplicaInput::TransferLeadership(done) => {
                 self.step(Input::Transfer);
                 self.handing_over = Some(done);
             }
--- a/crates/daemon/src/replica/mod.rs
+++ b/crates/daemon/src/replica/mod.rs
@@ -56,7 +56,7 @@
         ages: Vec<WeightsAge>,
     },
     /// The process is about to end; a leader hands over, and tells when it leads no more.
-    HandOver(flume::Sender<()>),
+    TransferLeadership(flume::Sender<()>),
 }
 
 /// What the thread needs.
@@ -74,7 +74,7 @@
 
 /// What joins the thread to the others.
 #[derive(Clone)]
-pub(crate) struct ReplicaRings {
+pub(crate) struct ReplicaChannels {
     /// What others tell it.
     pub inputs: flume::Receiver<ReplicaInput>,
     /// Messages to other routers.
@@ -129,12 +129,12 @@
 /// # Errors
 ///
 /// Returns an error if the folder is damaged or in use, or the thread can't be made.
-pub(crate) fn spawn(cfg: ReplicaConfig, clock: Clock, rings: ReplicaRings) -> eyre::Result<()> {
+pub(crate) fn spawn(cfg: ReplicaConfig, clock: Clock, rings: ReplicaChannels) -> eyre::Result<()> {
     let driver = open(&cfg, clock, &rings)?;
     spawn_thread(cfg, clock, rings, driver).wrap_err("could not start the replica thread")
 }
 
-fn open(cfg: &ReplicaConfig, clock: Clock, rings: &ReplicaRings) -> eyre::Result<Driver> {
+fn open(cfg: &ReplicaConfig, clock: Clock, rings: &ReplicaChannels) -> eyre::Result<Driver> {
     let folder = cfg.data_dir.join(LOG_FOLDER);
     let fresh = quorum::FolderId::new(rand::random());
     let (log, restored) =
@@ -146,7 +146,7 @@
 fn spawn_thread(
     cfg: ReplicaConfig,
     clock: Clock,
-    rings: ReplicaRings,
+    rings: ReplicaChannels,
     mut driver: Driver,
 ) -> io::Result<()> {
     std::thread::Builder::new().name("replica".into()).spawn(move || {
@@ -160,7 +160,7 @@
 }
 
 /// Opens the data folder again until that succeeds; what arrived meanwhile is dropped.
-fn reopen(cfg: &ReplicaConfig, clock: Clock, rings: &ReplicaRings) -> Driver {
+fn reopen(cfg: &ReplicaConfig, clock: Clock, rings: &ReplicaChannels) -> Driver {
     loop {
         std::thread::sleep(REOPEN_PERIOD);
         match open(cfg, clock, rings) {
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -241,7 +241,7 @@
 fn hand_over(replica: Option<&flume::Sender<ReplicaInput>>) {
     let Some(replica) = replica else { return };
     let (done, handed_over) = flume::bounded(1);
-    if replica.send(ReplicaInput::HandOver(done)).is_ok() {
+    if replica.send(ReplicaInput::TransferLeadership(done)).is_ok() {
         let _ = handed_over.recv_timeout(HAND_OVER_TIMEOUT);
     }
 }
