--- a/crates/daemon/src/gateway/dialect.rs
+++ b/crates/daemon/src/gateway/dialect.rs
@@ -235,7 +235,7 @@
     /// Who gives the order.
     pub holder: &'a HostId,
     /// The fencing number.
-    pub fencing: Term,
+    pub fencing_token: Term,
     /// The number of orders that the engine must have accepted so far.
     pub expected_orders: u64,
 }
--- a/crates/daemon/src/gateway/relay.rs
+++ b/crates/daemon/src/gateway/relay.rs
@@ -86,7 +86,7 @@
 /// Logs that an engine began a request after the bound on its weights.
 fn note_outdated_start<D: Dialect>(exchange: &Exchange<D>, opened: &Opened, now: MonotonicTime) {
     let outdated = exchange.outdated_for(opened.sent.weights, now);
-    if outdated < exchange.gateway.cfg.weights_bound {
+    if outdated < exchange.gateway.cfg.max_weights_staleness {
         return;
     }
     log::warn!(request:% = exchange.arrival.id, endpoint:% = opened.in_flight.target().endpoint,
--- a/crates/daemon/src/gateway/settings.rs
+++ b/crates/daemon/src/gateway/settings.rs
@@ -26,31 +26,32 @@
     /// Where operators and endpoints connect.
     pub control: Option<SocketAddr>,
     /// Longest time for which a revoked key may still be used.
-    pub revocation_bound: Duration,
+    pub max_revocation_delay: Duration,
     /// Longest time for which requests may begin on weights that are no longer the newest.
-    pub weights_bound: Duration,
+    pub max_weights_staleness: Duration,
     /// Time between the last order of one holder and the first of the next.
     pub order_lease: Duration,
     /// Bounds on what all hosts together send again.
     pub retries: FleetRetries,
     /// Time from the signal to end until the process is killed.
-    pub grace: Duration,
+    pub grace_period: Duration,
 }
 
 impl GatewaySettings {
     /// Returns how long a proof that the configuration is the newest counts.
     pub(super) fn key_lease(&self) -> Duration {
-        self.revocation_bound.saturating_sub(KEY_LEASE_MARGIN)
+        self.max_revocation_delay.saturating_sub(KEY_LEASE_MARGIN)
     }
 
     /// Returns the age of newer weights from which older ones serve nothing.
     pub(super) fn weights_age(&self) -> Duration {
-        self.weights_bound.saturating_sub(WEIGHTS_MARGIN.min(self.weights_bound / 2))
+        self.max_weights_staleness
+            .saturating_sub(WEIGHTS_MARGIN.min(self.max_weights_staleness / 2))
     }
 
     /// Returns the age of newer weights at which requests that wait for older ones are called back.
     pub(super) fn latest_begin(&self) -> Duration {
-        self.weights_bound.saturating_sub(CALL_BACK_MARGIN)
+        self.max_weights_staleness.saturating_sub(CALL_BACK_MARGIN)
     }
 
     /// Returns how long a new holder waits before its first order.
@@ -61,7 +62,7 @@
     /// Returns the time from the end of accepting, which comes `notice` after the signal, to the end
     /// of the process, whatever is under way.
     pub(super) fn drain_limit(&self, notice: Duration) -> Duration {
-        self.grace.saturating_sub(notice + END_MARGIN)
+        self.grace_period.saturating_sub(notice + END_MARGIN)
     }
 }
 
--- a/crates/daemon/src/gateway/weights.rs
+++ b/crates/daemon/src/gateway/weights.rs
@@ -252,7 +252,7 @@
     expected_orders: u64,
 ) -> OrderOutcome {
     let holder = &gateway.host;
-    let call = LoadWeightsRequest { order, holder, fencing: term, expected_orders };
+    let call = LoadWeightsRequest { order, holder, fencing_token: term, expected_orders };
     let Some(connection) = connect(gateway, address).await else { return OrderOutcome::Refused };
     // The lead may have been lost since the order was decided, also while it was connected.
     let leads_still = gateway
