--- a/crates/daemon/src/gateway/control.rs
+++ b/crates/daemon/src/gateway/control.rs
@@ -33,7 +33,7 @@
     let _active = ActiveRequest::begin(&gateway);
     let (head, body) = req.into_parts();
     let answer = match Limited::new(body, MAX_BODY).collect().await {
-        Ok(body) => match gateway.dialect.control(&head, &body.to_bytes()) {
+        Ok(body) => match gateway.dialect.control_request(&head, &body.to_bytes()) {
             Ok(call) => carry_out(&gateway, call).await,
             Err(ControlRequestError::Unknown) => ControlResponse::Unknown,
             Err(ControlRequestError::Malformed(e)) => ControlResponse::Malformed(e.to_string()),
--- a/crates/daemon/src/gateway/dialect.rs
+++ b/crates/daemon/src/gateway/dialect.rs
@@ -29,15 +29,15 @@
     /// # Errors
     ///
     /// Returns an error if a field that the dialect needs is missing or malformed.
-    fn arrival(&self, head: &request::Parts) -> Result<Arrival, DecodeError>;
+    fn caller_request(&self, head: &request::Parts) -> Result<Arrival, DecodeError>;
 
     /// Writes the header fields of a request to an endpoint.
     ///
     /// `from` holds the caller's fields, without those that concern its connection.
-    fn outgoing(&self, from: &HeaderMap, attempt: &AttemptHead<'_>) -> HeaderMap;
+    fn endpoint_headers(&self, from: &HeaderMap, attempt: &AttemptHead<'_>) -> HeaderMap;
 
     /// Reads the head of an endpoint's answer.
-    fn answer(&self, head: &response::Parts) -> ResponseHead;
+    fn response_head(&self, head: &response::Parts) -> ResponseHead;
 
     /// Writes how long a refused caller should wait.
     fn retry_after(&self, wait: Duration) -> HeaderValue;
@@ -47,7 +47,7 @@
     /// # Errors
     ///
     /// Returns an error if there is no such call or its body is malformed.
-    fn control(
+    fn control_request(
         &self,
         head: &request::Parts,
         body: &Bytes,
--- a/crates/daemon/src/gateway/exchange.rs
+++ b/crates/daemon/src/gateway/exchange.rs
@@ -382,7 +382,7 @@
         response: Response<Incoming>,
     ) -> Result<Response<Incoming>, Unanswered> {
         let (parts, body) = response.into_parts();
-        let head = self.gateway.dialect.answer(&parts);
+        let head = self.gateway.dialect.response_head(&parts);
         let status = parts.status;
         if head.not_run {
             self.learn_from_refusal(target, status, &head);
@@ -466,7 +466,7 @@
         let mut req = Request::new(Full::new(self.body.clone()));
         *req.method_mut() = self.method.clone();
         *req.uri_mut() = self.uri.clone();
-        *req.headers_mut() = self.gateway.dialect.outgoing(&self.headers, &head);
+        *req.headers_mut() = self.gateway.dialect.endpoint_headers(&self.headers, &head);
         if !req.headers().contains_key(HOST) {
             req.headers_mut().insert(HOST, net::host_value(target.address));
         }
--- a/crates/daemon/src/gateway/forward.rs
+++ b/crates/daemon/src/gateway/forward.rs
@@ -55,7 +55,7 @@
     let active = ActiveRequest::begin(&gateway);
     let arrived = gateway.clock.now();
     let (head, body) = req.into_parts();
-    let arrival = gateway.dialect.arrival(&head);
+    let arrival = gateway.dialect.caller_request(&head);
     let id = arrival.as_ref().map_or("-", |arrival| arrival.id.as_str()).to_owned();
     let mut recorder = gateway.recorder(None);
     let answer = match arrival {
