--- a/crates/daemon/src/gateway/dialect.rs
+++ b/crates/daemon/src/gateway/dialect.rs
@@ -29,7 +29,7 @@
     /// # Errors
     ///
     /// Returns an error if a field that the dialect needs is missing or malformed.
-    fn caller_request(&self, head: &request::Parts) -> Result<Arrival, DecodeError>;
+    fn caller_request(&self, head: &request::Parts) -> Result<CallerRequest, DecodeError>;
 
     /// Writes the header fields of a request to an endpoint.
     ///
@@ -101,7 +101,7 @@
 
 /// A caller's request, beside its method, path, host and body.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Arrival {
+pub struct CallerRequest {
     /// The request's name, its own for each attempt of the caller.
     pub id: RequestId,
     /// The caller's key.
--- a/crates/daemon/src/gateway/exchange.rs
+++ b/crates/daemon/src/gateway/exchange.rs
@@ -17,7 +17,7 @@
 };
 
 use super::{
-    Arrival, AttemptHead, Dialect, EngineHead, Gateway, ResponseHead,
+    AttemptHead, CallerRequest, Dialect, EngineHead, Gateway, ResponseHead,
     follow::{InForce, NONE_NAMED},
     placement::{self, NoTarget, PromptWanted, Transfers, Wanted},
     targets::{InFlight, Target},
@@ -70,7 +70,7 @@
     pub gateway: Rc<Gateway<D>>,
     pub route: Arc<Route>,
     pub organisation: Option<Arc<Organisation>>,
-    pub arrival: Arrival,
+    pub arrival: CallerRequest,
     pub in_force: Rc<InForce>,
     pub method: Method,
     pub uri: Uri,
--- a/crates/daemon/src/gateway/forward.rs
+++ b/crates/daemon/src/gateway/forward.rs
@@ -19,7 +19,7 @@
 use crate::failure::Failure;
 
 use super::{
-    ActiveRequest, Arrival, Dialect, Gateway,
+    ActiveRequest, CallerRequest, Dialect, Gateway,
     body::Body,
     exchange::{Exchange, Opened, Progress},
     follow::InForce,
@@ -102,7 +102,7 @@
     gateway: &Rc<Gateway<D>>,
     head: request::Parts,
     body: Incoming,
-    arrival: Arrival,
+    arrival: CallerRequest,
     active: ActiveRequest,
     recorder: &mut Recorder,
 ) -> Result<Response<Body>, Failure> {
@@ -153,7 +153,7 @@
     gateway: &Gateway<D>,
     in_force: &InForce,
     route: &Route,
-    arrival: &Arrival,
+    arrival: &CallerRequest,
 ) -> Result<Option<Arc<Organisation>>, Failure> {
     let key = arrival.key.as_deref();
     let holder = key.and_then(|key| in_force.table.organisation(key)).cloned();
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -50,7 +50,7 @@
 use targets::{Target, Targets};
 
 pub use dialect::{
-    Arrival, AttemptHead, ControlRequest, ControlRequestError, ControlResponse, DecodeError,
+    AttemptHead, CallerRequest, ControlRequest, ControlRequestError, ControlResponse, DecodeError,
     Dialect, EngineHead, EngineReport, LoadWeightsRequest, Prompt, ResponseHead,
 };
 pub use settings::{FleetRetries, GatewaySettings};
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -43,9 +43,9 @@
 pub use crate::{
     edge::EdgeEnd,
     gateway::{
-        Arrival, AttemptHead, ControlRequest, ControlRequestError, ControlResponse, DecodeError,
-        Dialect, EngineHead, EngineReport, FleetRetries, GatewaySettings, LoadWeightsRequest,
-        Prompt, ResponseHead,
+        AttemptHead, CallerRequest, ControlRequest, ControlRequestError, ControlResponse,
+        DecodeError, Dialect, EngineHead, EngineReport, FleetRetries, GatewaySettings,
+        LoadWeightsRequest, Prompt, ResponseHead,
     },
     peers::{PeerAnswer, PeerClient},
     run::{exit_code, gateway_exit_code, main, run, run_gateway},
