--- a/crates/daemon/src/gateway/body.rs
+++ b/crates/daemon/src/gateway/body.rs
@@ -1,3 +1,5 @@
+//! Bodies of responses to callers.
+
 use std::{
     error, fmt,
     pin::Pin,
@@ -13,28 +15,28 @@
 
 use super::ActiveRequest;
 
-/// The body of an answer to a caller.
+/// The body of a response to a caller.
 pub(super) enum Body {
-    /// A body that is there as a whole.
+    /// A body that is fully buffered.
     Whole(Full<Bytes>),
-    /// A body that is written as it arrives.
+    /// A body that is streamed as it arrives.
     Relayed(RelayedBody),
 }
 
-/// A body that a task writes into a ring.
+/// A body that a task writes into a channel.
 pub(super) struct RelayedBody {
     rx: flume::r#async::RecvStream<'static, Result<Bytes, Truncated>>,
     _task: AbortOnDrop,
     _active: ActiveRequest,
 }
 
-/// The end of an answer that is not whole; the caller's connection is closed without its end.
+/// The error that ends a truncated response: the caller's connection closes without its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Truncated;
 
 impl fmt::Display for Truncated {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the answer broke off")
+        f.write_str("the response was truncated")
     }
 }
 
--- a/crates/daemon/src/gateway/control.rs
+++ b/crates/daemon/src/gateway/control.rs
@@ -1,4 +1,4 @@
-//! Calls of operators and endpoints.
+//! Control requests of operators and endpoints.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -16,16 +16,16 @@
     body::Body,
 };
 
-/// Largest body of a call, in bytes.
+/// Largest body of a control request, in bytes.
 const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// Longest wait for the leader, a little below the callers' own.
+/// Longest wait for the leader, a little shorter than the clients' own timeout.
 const LEADER_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Shortest time for which an announcement counts; heartbeats may be seconds late.
+/// Shortest lease of an announcement; heartbeats may be seconds late.
 const MIN_ANNOUNCEMENT_LEASE: Duration = Duration::from_secs(6);
 
-/// Answers a call.
+/// Handles a control request.
 pub(super) async fn handle<D: Dialect>(
     gateway: Rc<Gateway<D>>,
     req: Request<Incoming>,
@@ -39,7 +39,7 @@
             Err(ControlRequestError::Malformed(e)) => ControlResponse::Malformed(e.to_string()),
         },
         Err(e) if e.is::<LengthLimitError>() => ControlResponse::TooLarge,
-        Err(e) => ControlResponse::Malformed(format!("the body can't be read: {e}")),
+        Err(e) => ControlResponse::Malformed(format!("can't read the body: {e}")),
     };
     log_rejected(&answer, head.uri.path());
     gateway.dialect.control_response(&answer).map(Body::from)
@@ -47,8 +47,10 @@
 
 fn log_rejected(answer: &ControlResponse, path: &str) {
     match answer {
-        ControlResponse::Malformed(why) => log::warn!(path, why = why.as_str(); "call refused"),
-        ControlResponse::Unavailable(why) => log::info!(path, why; "call not carried out"),
+        ControlResponse::Malformed(why) => {
+            log::warn!(path, why = why.as_str(); "control request rejected")
+        }
+        ControlResponse::Unavailable(why) => log::info!(path, why; "control request failed"),
         _ => {}
     }
 }
@@ -59,7 +61,7 @@
         ControlRequest::Leave { endpoint, incarnation } => {
             match leave(gateway, &endpoint, incarnation) {
                 Some(announcement) => announce(gateway, announcement),
-                // Nobody sends it anything.
+                // No request is routed to an unknown endpoint.
                 None => ControlResponse::Done,
             }
         }
@@ -79,19 +81,19 @@
     }
 }
 
-/// Passes an announcement on to the roster, unless this host can't spread it.
+/// Passes an announcement to the roster, unless this host is isolated and can't gossip it.
 fn announce<D: Dialect>(gateway: &Gateway<D>, mut announcement: Announcement) -> ControlResponse {
     announcement.lease = announcement.lease.max(MIN_ANNOUNCEMENT_LEASE);
     if gateway.latest.load().is_some_and(|roster| roster.isolated) {
-        return ControlResponse::Unavailable("this host hears no other router");
+        return ControlResponse::Unavailable("this host can't reach any other router");
     }
     match gateway.roster.try_send(RosterInput::Announced(announcement)) {
         Ok(()) => ControlResponse::Done,
-        Err(_) => ControlResponse::Unavailable("the router is busy or ending"),
+        Err(_) => ControlResponse::Unavailable("the router is overloaded or shutting down"),
     }
 }
 
-/// Returns the last word of an endpoint that is known here.
+/// Returns the announcement that removes an endpoint, if it is known here.
 fn leave<D: Dialect>(
     gateway: &Gateway<D>,
     endpoint: &EndpointId,
@@ -108,14 +110,14 @@
     Some(announcement)
 }
 
-/// Brings a command to the leader; it may be sent again, as each one is idempotent.
+/// Sends a command to the leader, if need be again: each command is idempotent.
 async fn command<D: Dialect>(gateway: &Gateway<D>, command: Command) -> ControlResponse {
-    let asked = gateway.leader.ask(&LeaderRequest::Command(command), LEADER_TIMEOUT).await;
-    match asked {
+    let response = gateway.leader.ask(&LeaderRequest::Command(command), LEADER_TIMEOUT).await;
+    match response {
         Ok(LeaderAnswer::Reply(Reply::Publish(_) | Reply::Weights(_))) => ControlResponse::Done,
-        Ok(_) => ControlResponse::Unavailable("the leader's answer is of another kind"),
-        Err(NoAnswer::NotTaken) => ControlResponse::Unavailable("no leader took it"),
-        Err(NoAnswer::Unknown) => ControlResponse::Unavailable("no leader confirmed it"),
+        Ok(_) => ControlResponse::Unavailable("unexpected response from the leader"),
+        Err(NoAnswer::NotTaken) => ControlResponse::Unavailable("no leader accepted the command"),
+        Err(NoAnswer::Unknown) => ControlResponse::Unavailable("no leader confirmed the command"),
     }
 }
 
@@ -125,7 +127,7 @@
             Some(content) => ControlResponse::Configuration(Arc::clone(&content)),
             None => ControlResponse::NoConfiguration,
         },
-        Ok(_) => ControlResponse::Unavailable("the leader's answer is of another kind"),
-        Err(_) => ControlResponse::Unavailable("no leader confirms which configuration is newest"),
+        Ok(_) => ControlResponse::Unavailable("unexpected response from the leader"),
+        Err(_) => ControlResponse::Unavailable("no leader confirmed the newest configuration"),
     }
 }
--- a/crates/daemon/src/gateway/dialect.rs
+++ b/crates/daemon/src/gateway/dialect.rs
@@ -1,3 +1,5 @@
+//! Translation between a deployment's wire formats and the gateway's types.
+
 use std::{error, fmt, net::SocketAddr, sync::Arc, time::Duration};
 
 use base::{EndpointId, HostId, Incarnation, ModelId, RequestId, Term, TokenCount};
@@ -12,67 +14,67 @@
 use prefix::Part;
 use routes::Table;
 
-/// How a deployment's callers, endpoints and operators speak.
+/// Wire formats of a deployment's callers, endpoints and operators.
 ///
-/// A dialect translates and decides nothing: each method turns bytes or header fields into typed
-/// messages, or back.
+/// A dialect only translates: each method decodes bytes or header fields into typed messages, or
+/// encodes them.
 pub trait Dialect: Clone + Send + 'static {
-    /// Reads the content of a configuration.
+    /// Decodes the content of a configuration.
     ///
     /// # Errors
     ///
-    /// Returns an error that says what can't be read or contradicts itself.
+    /// Returns an error if the content is malformed or contradicts itself.
     fn table(&self, content: &[u8]) -> Result<Table, DecodeError>;
 
-    /// Reads the head of a caller's request.
+    /// Decodes the head of a caller's request.
     ///
     /// # Errors
     ///
     /// Returns an error if a field that the dialect needs is missing or malformed.
     fn caller_request(&self, head: &request::Parts) -> Result<CallerRequest, DecodeError>;
 
-    /// Writes the header fields of a request to an endpoint.
+    /// Encodes the header fields of a request to an endpoint.
     ///
-    /// `from` holds the caller's fields, without those that concern its connection.
+    /// `from` holds the end-to-end fields of the caller's request.
     fn endpoint_headers(&self, from: &HeaderMap, attempt: &AttemptHead<'_>) -> HeaderMap;
 
-    /// Reads the head of an endpoint's answer.
+    /// Decodes the head of an endpoint's response.
     fn response_head(&self, head: &response::Parts) -> ResponseHead;
 
-    /// Writes how long a refused caller should wait.
+    /// Encodes the `Retry-After` of a rejected request.
     fn retry_after(&self, wait: Duration) -> HeaderValue;
 
-    /// Reads a call of an operator or an endpoint.
+    /// Decodes a control request of an operator or an endpoint.
     ///
     /// # Errors
     ///
-    /// Returns an error if there is no such call or its body is malformed.
+    /// Returns an error if the request is unknown or its body is malformed.
     fn control_request(
         &self,
         head: &request::Parts,
         body: &Bytes,
     ) -> Result<ControlRequest, ControlRequestError>;
 
-    /// Writes the answer to a call of an operator or an endpoint.
+    /// Encodes the response to a control request.
     fn control_response(&self, answer: &ControlResponse) -> Response<Bytes>;
 
-    /// Writes the question for an engine's state.
+    /// Encodes a request for an engine's state.
     fn report_request(&self) -> Request<Bytes>;
 
-    /// Reads an engine's state.
+    /// Decodes an engine's state.
     ///
     /// # Errors
     ///
-    /// Returns an error if the answer can't be read.
+    /// Returns an error if the response can't be decoded.
     fn report(&self, status: StatusCode, body: &[u8]) -> Result<EngineReport, DecodeError>;
 
-    /// Writes an order to load weights.
+    /// Encodes an order to load weights.
     fn load_weights_request(&self, call: &LoadWeightsRequest<'_>) -> Request<Bytes>;
 
-    /// Reads an engine's answer to an order to load weights.
+    /// Decodes an engine's response to an order to load weights.
     fn load_weights_outcome(&self, head: &response::Parts) -> OrderOutcome;
 
-    /// Reads again where other routers can be found.
+    /// Reloads the addresses of the seed routers.
     ///
     /// # Errors
     ///
@@ -80,7 +82,7 @@
     fn seeds(&self) -> eyre::Result<Vec<SocketAddr>>;
 }
 
-/// What a dialect can't read, and why.
+/// The error of input that a dialect can't decode.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DecodeError(String);
 
@@ -99,142 +101,142 @@
 
 impl error::Error for DecodeError {}
 
-/// A caller's request, beside its method, path, host and body.
+/// The metadata of a caller's request, apart from its method, path, host and body.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallerRequest {
-    /// The request's name, its own for each attempt of the caller.
+    /// The request id, unique for each attempt of the caller.
     pub id: RequestId,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: Option<String>,
-    /// How long the caller waits.
+    /// The time until the caller's deadline.
     pub deadline: Option<Duration>,
-    /// What a model is to read and write.
+    /// The prompt, if the request is for a model.
     pub prompt: Option<Prompt>,
 }
 
-/// What a model is to read and write.
+/// A prompt for a model.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Prompt {
     /// The model.
     pub model: ModelId,
-    /// The prompt in parts, the last of which belongs to the request itself.
+    /// The prompt's parts, the last of which is specific to the request.
     pub parts: Vec<Part>,
-    /// Most tokens that it writes.
+    /// Most tokens that the model generates.
     pub output_tokens: TokenCount,
 }
 
-/// What an endpoint is told of a request, beside what the caller said.
+/// The metadata that an attempt adds to the caller's fields.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptHead<'a> {
-    /// The endpoint that is meant; any other refuses.
+    /// The intended endpoint; any other refuses the request.
     pub endpoint: &'a EndpointId,
-    /// The organisation that holds the caller's key.
+    /// The organisation that owns the caller's key.
     pub organisation: Option<&'a str>,
-    /// How long the endpoint may work.
+    /// The time until the request's deadline.
     pub deadline: Duration,
-    /// Urgency; 0 comes first.
+    /// Urgency; 0 is the most urgent.
     pub urgency: u8,
-    /// What an engine is told besides.
+    /// Additional metadata for an engine.
     pub engine: Option<EngineHead<'a>>,
-    /// The id of the last event delivered, if a stream goes on after it.
+    /// The id of the last delivered event, if the attempt resumes a stream.
     pub resume_after: Option<&'a str>,
 }
 
-/// What an engine is told of a request.
+/// The metadata of an attempt at an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineHead<'a> {
-    /// The version of the weights that is meant; an engine with any other refuses.
+    /// The expected version of the weights; an engine with any other refuses the request.
     pub weights: u32,
-    /// The text under which cached parts are kept apart from others.
+    /// The salt that isolates cached parts.
     pub salt: &'a str,
-    /// Where the engine may fetch cached parts.
+    /// Address from which the engine may fetch cached parts.
     pub fetch_from: Option<SocketAddr>,
-    /// Where the engine is to save the parts that it reads.
+    /// Address at which the engine saves the parts that it prefills.
     pub save_to: Option<SocketAddr>,
 }
 
-/// What the head of an endpoint's answer says, beside its status.
+/// The metadata in the head of an endpoint's response, apart from its status.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The request that it answers.
+    /// The id of the request that the response belongs to.
     pub request: Option<String>,
-    /// The endpoint that answers, if it says.
+    /// The endpoint that sent the response, if named.
     pub endpoint: Option<String>,
-    /// Whether it bears an endpoint's signature.
+    /// Whether the response carries an endpoint's signature.
     pub signed: bool,
-    /// Whether the endpoint says that it has not run the request.
+    /// Whether the endpoint reports that it has not run the request.
     pub not_run: bool,
-    /// The version of the weights that it was made with.
+    /// The version of the weights that produced the response.
     pub weights: Option<u32>,
 }
 
-/// A call of an operator or an endpoint.
+/// A control request of an operator or an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlRequest {
     /// An endpoint announces itself.
     Announce(Box<Announcement>),
-    /// An endpoint takes no more requests and ends.
+    /// An endpoint stops accepting requests and shuts down.
     Leave {
         /// The endpoint.
         endpoint: EndpointId,
-        /// The life that ends, if the call names it.
+        /// The incarnation that leaves, if the request names it.
         incarnation: Option<Incarnation>,
     },
-    /// A numbered configuration, whose content has been read without fault.
+    /// Publishes a numbered configuration whose content is valid.
     Publish(Publication),
-    /// Reads the configuration in force.
+    /// Reads the active configuration.
     ReadConfiguration,
-    /// Names weights.
+    /// Names the weights that a model should serve.
     NameWeights(NamedWeights),
 }
 
-/// Why there is no [`ControlRequest`].
+/// The error of a control request that can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlRequestError {
-    /// There is no such call.
+    /// There is no such request.
     Unknown,
-    /// The call's body can't be used.
+    /// The request's body is malformed.
     Malformed(DecodeError),
 }
 
-/// The answer to a [`ControlRequest`].
+/// The response to a [`ControlRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlResponse {
-    /// It is done, or was before.
+    /// The request was carried out, now or earlier.
     Done,
-    /// The configuration in force, as it came.
+    /// The active configuration, as it was published.
     Configuration(Arc<[u8]>),
-    /// Nothing is in force yet.
+    /// No configuration was published yet.
     NoConfiguration,
-    /// The call is wrong, and always will be.
+    /// The request is malformed; a retry can't succeed.
     Malformed(String),
-    /// There is no such call.
+    /// There is no such request.
     Unknown,
-    /// The call can't be carried out now, or its outcome is unknown.
+    /// The request can't be carried out now, or its outcome is unknown.
     Unavailable(&'static str),
     /// The body is too large.
     TooLarge,
 }
 
-/// An engine's state, in its own words.
+/// An engine's state, as it reports it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineReport {
     /// The version of each model's weights.
     pub weights: Vec<NamedWeights>,
-    /// Whether it carries out an order.
+    /// Whether it is carrying out an order.
     pub busy: bool,
     /// The number of orders that it has accepted.
     pub orders: u64,
 }
 
-/// An order to load weights, with who gives it.
+/// An order to load weights, with its issuer and fencing token.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadWeightsRequest<'a> {
-    /// What is to be loaded, and where.
+    /// The weights to load, and the engine.
     pub order: &'a LoadOrder,
-    /// Who gives the order.
+    /// The host that holds the order lease.
     pub holder: &'a HostId,
-    /// The fencing number.
+    /// The fencing token.
     pub fencing_token: Term,
     /// The number of orders that the engine must have accepted so far.
     pub expected_orders: u64,
--- a/crates/daemon/src/gateway/follow.rs
+++ b/crates/daemon/src/gateway/follow.rs
@@ -1,4 +1,4 @@
-//! What is published, as far as this host knows.
+//! Long polls of the leader for the published configuration, weights and loads.
 
 use std::{collections::BTreeMap, rc::Rc, sync::Arc, time::Duration};
 
@@ -12,41 +12,41 @@
 
 use super::{Dialect, Gateway};
 
-/// Longest wait for the leader's answer before the loss of the leader is noted.
+/// Longest wait for the leader's response to a poll before the leader counts as lost.
 const FOLLOW_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a question may be held where the answer's loads place callers' requests.
+/// How long the leader may hold a poll of a host that places callers' requests by its loads.
 const CALLERS_POLL_HOLD: Duration = Duration::from_millis(150);
 
-/// How long a question may be held elsewhere.
+/// How long the leader may hold the poll of any other host.
 const IDLE_POLL_HOLD: Duration = Duration::from_millis(300);
 
-/// Time from which an answer is late: longer than questions are held, and a way there and back.
+/// Time from which a response counts as late: the longest hold plus a round trip.
 const LATE_RESPONSE: Duration = Duration::from_millis(700);
 
-/// Pause after a question without an answer.
+/// Pause after a failed poll.
 const RETRY_BACKOFF: Duration = Duration::from_millis(30);
 
-/// The configuration in force here, with the proof of its age.
+/// The configuration that this host applies, and when the leader last confirmed it.
 pub(super) struct ActiveConfiguration {
     pub number: ConfigurationNumber,
     pub table: Arc<Table>,
     pub weights: BTreeMap<ModelId, WeightsHistory>,
-    /// When the question was sent whose answer said that nothing newer was in force.
+    /// When the poll was sent whose response confirmed that nothing newer was published.
     pub confirmed: MonotonicTime,
 }
 
-/// What is known of a model of which no version was named.
+/// History of a model for which no version was named.
 pub(super) static NO_NAMED_WEIGHTS: WeightsHistory = WeightsHistory::new();
 
 impl ActiveConfiguration {
-    /// Returns how old the proof is that nothing newer is in force.
+    /// Returns the time since the last confirmation that nothing newer was published.
     pub(super) fn age(&self, now: MonotonicTime) -> Duration {
         now.saturating_since(self.confirmed)
     }
 }
 
-/// Follows what the leader says is published until the thread ends.
+/// Polls the leader for what is published until the thread ends.
 pub(super) async fn run<D: Dialect>(gateway: Rc<Gateway<D>>) {
     let (mut version, mut next_sent) = (ViewVersion::default(), 0);
     let mut lost = false;
@@ -68,7 +68,7 @@
         match gateway.leader.ask(&request, FOLLOW_TIMEOUT).await {
             Ok(LeaderAnswer::Published(view)) => {
                 if std::mem::take(&mut lost) {
-                    log::info!(term:% = view.version.term; "the leader answers again");
+                    log::info!(term:% = view.version.term; "leader reachable again");
                 }
                 let now = gateway.clock.now();
                 log_late_response(now.saturating_since(sent));
@@ -77,13 +77,13 @@
                 gateway.apply_view(sent, &view);
             }
             Ok(other) => {
-                log::warn!(answer:? = other; "the leader's answer is of another kind");
+                log::warn!(answer:? = other; "unexpected response from leader");
                 tokio::time::sleep(RETRY_BACKOFF).await;
             }
             Err(why) => {
                 gateway.unreported_prompts.borrow_mut().restore(reported);
                 if !std::mem::replace(&mut lost, true) {
-                    log::warn!(why:? = why; "no leader answers");
+                    log::warn!(why:? = why; "leader poll failed");
                 }
                 tokio::time::sleep(RETRY_BACKOFF).await;
             }
@@ -91,21 +91,21 @@
     }
 }
 
-/// Logs an answer that took longer than questions are held.
+/// Logs a response that took longer than polls are held.
 fn log_late_response(took: Duration) {
     if LATE_RESPONSE <= took {
-        log::info!(took_ms = took.as_millis() as u64; "the leader's answer was late");
+        log::info!(took_ms = took.as_millis() as u64; "leader poll response late");
     }
 }
 
 impl<D: Dialect> Gateway<D> {
-    /// Takes the answer to a question sent at `sent`; what is in force never goes back.
+    /// Applies the response to a poll sent at `sent`; the configuration never goes back.
     fn apply_view(&self, sent: MonotonicTime, view: &PublishedView) {
         let current = self.active_configuration();
         let current_number = current.as_ref().map(|current| current.number);
         if current_number.is_some_and(|current| view.number < current) {
-            let (current, told) = (current_number.unwrap_or_default(), view.number);
-            log::error!(current:%, told:%; "the leader knows an older configuration");
+            let (current, received) = (current_number.unwrap_or_default(), view.number);
+            log::error!(current:%, received:%; "leader published an older configuration");
             return;
         }
         let table = match (&view.content, current) {
@@ -124,7 +124,7 @@
         self.published.replace(Some(Rc::new(active_configuration)));
     }
 
-    /// Returns the lives of endpoints that this host has heard to leave.
+    /// Returns the incarnations of endpoints that announced to this host that they leave.
     fn leaving_endpoints(&self) -> Vec<LifeKey> {
         let Some(roster) = self.latest.load() else { return Vec::new() };
         let leaving = roster.endpoints.iter().filter(|known| known.state == EndpointState::Leaving);
@@ -135,7 +135,7 @@
         let table = match self.dialect.table(content) {
             Ok(table) => table,
             Err(e) => {
-                log::error!(number:%, error:% = e; "a published configuration can't be read");
+                log::error!(number:%, error:% = e; "invalid published configuration");
                 return None;
             }
         };
@@ -147,14 +147,14 @@
             }
         }
         self.label_organisations(&table);
-        log::info!(number:%, routes = table.routes().count(); "configuration in force");
+        log::info!(number:%, routes = table.routes().count(); "configuration applied");
         Some(Arc::new(table))
     }
 
-    /// Returns the weights named so far, and tells the replica how old they are.
+    /// Returns the weights named so far, and reports their ages to the replica.
     ///
-    /// Ages count from now rather than from the question: a leader that hears its own ages again
-    /// must not raise them.
+    /// Ages count from now rather than from the poll: a leader that receives its own ages back must
+    /// not raise them.
     fn merge_named_weights(&self, view: &PublishedView) -> BTreeMap<ModelId, WeightsHistory> {
         let now = self.clock.now();
         let mut weights =
@@ -168,14 +168,14 @@
             known.note(now, received.version, received.age);
         }
         if let Some(replica) = &self.replica {
-            // A full ring loses ages that the next view brings again.
+            // Ages lost to a full channel come again with the next view.
             let ages = weights.iter().flat_map(|(model, history)| history.ages(model, now));
             let _ = replica.try_send(ReplicaInput::WeightAges { at: now, ages: ages.collect() });
         }
         weights
     }
 
-    /// Returns what is in force, if anything is.
+    /// Returns the configuration that this host applies, if it has one.
     pub(super) fn active_configuration(&self) -> Option<Rc<ActiveConfiguration>> {
         self.published.borrow().clone()
     }
--- a/crates/daemon/src/gateway/headers.rs
+++ b/crates/daemon/src/gateway/headers.rs
@@ -9,7 +9,7 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Fields that concern one connection or the framing of one message.
+/// Hop-by-hop fields, and those that frame one message.
 const HOP_BY_HOP: [HeaderName; 10] = [
     CONNECTION,
     KEEP_ALIVE,
@@ -23,7 +23,7 @@
     CONTENT_LENGTH,
 ];
 
-/// Returns the fields that concern the request or answer itself, not one connection.
+/// Returns the end-to-end fields of a request or response.
 pub(super) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -31,7 +31,7 @@
         .filter_map(|value| value.to_str().ok())
         .flat_map(|names| names.split(','))
         .filter_map(|name| name.trim().parse().ok())
-        // A caller may not have fields dropped that say where the request goes.
+        // A caller must not have the field dropped that routes the request.
         .filter(|name| *name != HOST)
         .collect();
     let mut kept = headers.clone();
--- a/crates/daemon/src/gateway/listen.rs
+++ b/crates/daemon/src/gateway/listen.rs
@@ -1,4 +1,4 @@
-//! The gateway's listeners, and its end.
+//! The gateway's listeners and its shutdown.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -16,19 +16,19 @@
 /// Most header fields in a request.
 const MAX_HEADERS: usize = 100;
 
-/// Largest head of a call of an operator or an endpoint, in bytes.
+/// Largest head of a control request, in bytes.
 const CONTROL_HEADER_BYTES: usize = 16 << 10;
 
 /// Time for which a connection of an operator or an endpoint may be idle.
 const CONTROL_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Callers.
+/// Serves callers.
 struct Callers<D: Dialect>(Rc<Gateway<D>>);
 
-/// Operators and endpoints.
+/// Serves control requests of operators and endpoints.
 struct ControlClients<D: Dialect>(Rc<Gateway<D>>);
 
-/// The balancer, which asks whether callers may be sent here.
+/// Serves the load balancer's readiness checks.
 struct LoadBalancer<D: Dialect> {
     gateway: Rc<Gateway<D>>,
     connections: Cell<u64>,
@@ -41,7 +41,7 @@
         let limits =
             self.0.active_configuration().map(|active| *active.table.limits()).unwrap_or_default();
         ConnectionBounds {
-            // The library counts the time between two requests as time for the second one's head.
+            // hyper counts the idle time before a request as time for that request's head.
             header_timeout: limits.header_timeout.max(limits.idle_timeout),
             header_bytes: usize::try_from(limits.header_bytes.as_u64()).unwrap_or(usize::MAX),
             headers: MAX_HEADERS,
@@ -101,7 +101,7 @@
     }
 }
 
-/// Serves until told to end.
+/// Serves until the shutdown is complete.
 pub(super) async fn run<D: Dialect>(
     gateway: Rc<Gateway<D>>,
     listeners: GatewayListeners,
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -1,7 +1,7 @@
-//! Requests forwarded by a table of routes, in the dialect of a deployment.
+//! Reverse proxy that forwards requests by a routing table and speaks a deployment's dialect.
 //!
-//! One thread serves callers, the balancer's question for readiness, and the calls of operators and
-//! endpoints, each where the settings name an address for it.
+//! One thread serves callers, the load balancer's readiness checks, and the control requests of
+//! operators and endpoints, each on the address that the settings name for it.
 
 mod body;
 mod control;
@@ -55,68 +55,67 @@
 };
 pub use settings::{FleetRetries, GatewaySettings};
 
-/// Part of the fleet's retries that hosts spend, so that restarts don't exceed the whole.
+/// Share of the fleet's retry budget that hosts spend, so that restarts don't exceed the budget.
 const HOST_RETRY_SHARE: f64 = 0.8;
 
-/// Part of the retries that are there at once which comes again over a window, where there are no
-/// requests.
+/// Share of the retry burst that refills over a window while there are no requests.
 const IDLE_REFILL_SHARE: f64 = 0.3;
 
-/// Part of the saved retries that is left to requests that fail when streams leave engines that
-/// load.
+/// Share of the saved retries that is reserved for failed requests while streams migrate away from
+/// engines that load weights.
 const RETRY_RESERVE_SHARE: f64 = 0.36;
 
-/// Age from which the view of the endpoints is not believed, as after a pause of the process.
+/// Age from which the roster counts as stale, as after a pause of the process.
 const MAX_ROSTER_AGE: Duration = Duration::from_millis(1_500);
 
-/// Time after the start in which configuration and endpoints become known.
+/// Time after the start in which the configuration and the endpoints are discovered.
 const STARTUP_PERIOD: Duration = Duration::from_millis(2_500);
 
-/// When a refused caller may come again.
+/// Shortest `Retry-After` for a rejected caller.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Age of the proof of the newest configuration from which this host is not ready.
+/// Age of the last confirmation of the configuration from which this host is not ready.
 const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(2_500);
 
-/// What joins the gateway's thread to the others.
+/// Channels and shared state that connect the gateway's thread to the others.
 pub(crate) struct GatewayChannels {
-    /// Newest view of the endpoints.
+    /// New rosters.
     pub rosters: flume::Receiver<Arc<Roster>>,
-    /// The same, for those who look now and then.
+    /// The latest roster, for readers that poll.
     pub latest: Latest,
-    /// Takes announcements.
+    /// Receives announcements.
     pub roster: flume::Sender<RosterInput>,
-    /// Orders to drain or to end.
+    /// Commands to drain or to stop.
     pub control: flume::Receiver<Control>,
-    /// The way to the quorum's leader.
+    /// Client of the quorum's leader.
     pub leader: LeaderClient,
     /// The replica thread, on a host with a vote.
     pub replica: Option<flume::Sender<ReplicaInput>>,
     /// The replica thread's state.
     pub replica_state: ReplicaState,
-    /// Counts what befalls requests.
+    /// Metrics of requests.
     pub metrics: Arc<Metrics>,
 }
 
 /// The addresses that the gateway's thread listens on.
 pub(crate) struct GatewayListeners {
-    /// For callers.
+    /// Requests of callers.
     pub callers: Option<TcpListener>,
-    /// For the balancer.
+    /// Readiness checks of the load balancer.
     pub readiness: Option<TcpListener>,
-    /// For operators and endpoints.
+    /// Control requests of operators and endpoints.
     pub control: Option<TcpListener>,
 }
 
-/// Who the gateway is.
+/// The host that the gateway runs on, and its addresses.
 pub(crate) struct Identity {
     /// This host.
     pub host: HostId,
-    /// The data centre it stands in.
+    /// The host's data centre.
     pub data_centre: DataCentreId,
-    /// The address that connections to endpoints come from.
+    /// Source address of connections to endpoints.
     pub source: IpAddr,
-    /// Time from the signal to end to the end of accepting.
+    /// Time from the shutdown signal until the listeners close.
     pub drain_notice: Duration,
 }
 
@@ -132,18 +131,18 @@
     started: MonotonicTime,
     published: RefCell<Option<Rc<ActiveConfiguration>>>,
     targets: RefCell<Targets>,
-    /// Prompts sent that other hosts don't know of yet.
+    /// Prompts sent to engines that were not reported to the leader yet.
     unreported_prompts: RefCell<Untold>,
-    /// When the view of the endpoints was made.
+    /// Timestamp of the latest roster.
     roster_updated_at: Cell<MonotonicTime>,
-    /// Hosts that share the fleet's retries.
+    /// Number of hosts that share the fleet's retry budget.
     router_count: Cell<u32>,
     budgets: RefCell<HashMap<ServiceId, RetryBudget>>,
     warm: RefCell<Warm>,
     rng: RefCell<Pcg64Mcg>,
     active: Rc<Cell<u64>>,
     connections: Cell<u64>,
-    /// Whether answers ask callers to use other hosts.
+    /// Whether responses close their connections, so that callers use other hosts.
     is_draining: Cell<bool>,
     leader: LeaderClient,
     roster: flume::Sender<RosterInput>,
@@ -153,7 +152,7 @@
     metrics: Arc<Metrics>,
 }
 
-/// Counts a request as under way; ends on drop.
+/// Counts a request as in flight until it is dropped.
 struct ActiveRequest(Rc<Cell<u64>>);
 
 impl ActiveRequest {
@@ -211,7 +210,7 @@
         placement::choose(&self.targets.borrow(), requirements, &mut warm, &mut *rng)
     }
 
-    /// Notes that an engine reads a prompt, here and soon at all other hosts.
+    /// Records that an engine prefills a prompt, and queues the record for the other hosts.
     fn record_sent(&self, target: &Target, chain: &PartChain, saved: bool) {
         let (now, weights) = (self.clock.now(), target.version());
         target.record_prompt(now, chain);
@@ -222,13 +221,13 @@
         self.unreported_prompts.borrow_mut().push(sent);
     }
 
-    /// Gives the organisations of a configuration their own series.
+    /// Creates a metric series for each organisation of a configuration.
     fn label_organisations(&self, table: &Table) {
         let ids: Vec<_> = table.organisations().filter_map(|named| metrics_id(named)).collect();
         self.metrics.label_organisations(&ids);
     }
 
-    /// Returns the recorder of a caller's requests; strangers share one.
+    /// Returns the recorder of a caller's requests; callers without an organisation share one.
     fn recorder(&self, organisation: Option<&Organisation>) -> Recorder {
         match organisation.and_then(metrics_id) {
             Some(id) => self.metrics.recorder(&id),
@@ -236,17 +235,17 @@
         }
     }
 
-    /// Counts a request, which earns its part of a retry.
+    /// Credits the retry budget for a request.
     fn count_request(&self, route: &Route) {
         self.with_budget(route, RetryBudget::earn);
     }
 
-    /// Takes a retry from this host's part of the fleet's budget, if there is one.
+    /// Spends a retry from this host's share of the fleet's budget, if one is left.
     fn try_retry(&self, route: &Route) -> bool {
         self.with_budget(route, RetryBudget::try_spend)
     }
 
-    /// Takes a retry for a stream that could stay, if enough are left for requests that fail.
+    /// Spends a retry to migrate a healthy stream, if the reserve for failed requests stays untouched.
     fn try_migration_retry(&self, route: &Route) -> bool {
         self.with_budget(route, |budget, now| budget.try_spend_beyond(now, RETRY_RESERVE_SHARE))
     }
@@ -269,7 +268,7 @@
     fn budget_settings(&self) -> BudgetSettings {
         let retries = &self.cfg.retries;
         let router_count = f64::from(self.router_count.get().max(1));
-        // A host that starts doesn't know yet how many share the extra retries.
+        // A starting host doesn't know yet how many hosts share the extra retries.
         let extra = match self.is_starting() {
             true => 0.0,
             false => f64::from(retries.extra) * HOST_RETRY_SHARE / router_count,
@@ -281,18 +280,18 @@
         }
     }
 
-    /// Returns whether this process has just started and still hears of what it needs.
+    /// Returns whether the process is still in its startup period.
     fn is_starting(&self) -> bool {
         self.clock.now().saturating_since(self.started) < STARTUP_PERIOD
     }
 
-    /// Returns when a caller that is refused now may come again with a better chance.
+    /// Returns the `Retry-After` for a caller that is rejected now; it covers the startup period.
     fn retry_after(&self) -> Duration {
         let up = self.clock.now().saturating_since(self.started);
         MIN_RETRY_AFTER.max(STARTUP_PERIOD.saturating_sub(up))
     }
 
-    /// Returns whether callers may be sent here.
+    /// Returns whether the load balancer may send callers to this host.
     fn is_ready(&self) -> bool {
         let now = self.clock.now();
         let longest = MAX_CONFIRMATION_AGE.min(self.cfg.key_lease());
@@ -306,12 +305,12 @@
     }
 }
 
-/// Returns an organisation's id in metrics; one whose name can't be an id has none.
+/// Returns an organisation's id in metrics, or `None` if its name isn't a valid id.
 fn metrics_id(organisation: &Organisation) -> Option<OrganisationId> {
     organisation.name.parse().ok()
 }
 
-/// Returns how engines are scored: each stream slows the others of its engine down.
+/// Returns how engines are scored: each stream slows down the others on its engine.
 fn warm_settings() -> WarmSettings {
     WarmSettings {
         prefill_rate: EngineSpeed::default().prefill_rate,
@@ -324,7 +323,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the thread or its runtime can't be made.
+/// Returns an error if the thread or its runtime can't be created.
 pub(crate) fn spawn<D: Dialect>(
     cfg: GatewaySettings,
     dialect: D,
@@ -355,10 +354,10 @@
     while let Ok(roster) = rosters.recv_async().await {
         let changes = gateway.targets.borrow_mut().update(&roster);
         for endpoint in &changes.joined {
-            log::debug!(endpoint:%; "endpoint may get requests");
+            log::debug!(endpoint:%; "endpoint added to routing");
         }
         for endpoint in &changes.left {
-            log::debug!(endpoint:%; "endpoint gets no more requests");
+            log::debug!(endpoint:%; "endpoint removed from routing");
         }
         gateway.roster_updated_at.set(roster.at);
         let others = roster.peers.iter().filter(|peer| !peer.update.votes).count();
--- a/crates/daemon/src/gateway/settings.rs
+++ b/crates/daemon/src/gateway/settings.rs
@@ -1,77 +1,79 @@
+//! Settings of the gateway.
+
 use std::{net::SocketAddr, time::Duration};
 
-/// Time before the end of a lease on keys from which a host doesn't count on it.
+/// Time by which a host ends its lease on keys early.
 const KEY_LEASE_MARGIN: Duration = Duration::from_millis(250);
 
-/// Time before the end of the bound from which a request would often wait too long at an engine
-/// with outdated weights.
+/// Time before the staleness bound from which engines with outdated weights get no requests, which
+/// would often wait there beyond the bound.
 const OUTDATED_WEIGHTS_MARGIN: Duration = Duration::from_millis(3_000);
 
-/// Time that it takes to call a request back from an engine that has not begun it.
+/// Time that it takes to cancel a request at an engine that has not started it.
 const CANCELLATION_MARGIN: Duration = Duration::from_millis(400);
 
-/// Time after which no order of an earlier holder is under way any more.
+/// Time after which no order of an earlier lease holder is in flight.
 const ORDER_MARGIN: Duration = Duration::from_millis(500);
 
-/// Time that the end of the process itself takes.
+/// Time that the shutdown of the process itself takes.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(900);
 
-/// Settings of the gateway, beside those of the daemon.
+/// Settings of the gateway, in addition to those of the daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewaySettings {
-    /// Where callers connect.
+    /// Listen address for callers.
     pub callers: Option<SocketAddr>,
-    /// Where the balancer asks whether callers may be sent here.
+    /// Listen address for the load balancer's readiness checks.
     pub readiness: Option<SocketAddr>,
-    /// Where operators and endpoints connect.
+    /// Listen address for control requests of operators and endpoints.
     pub control: Option<SocketAddr>,
     /// Longest time for which a revoked key may still be used.
     pub max_revocation_delay: Duration,
-    /// Longest time for which requests may begin on weights that are no longer the newest.
+    /// Longest time for which requests may start on weights that are no longer the newest.
     pub max_weights_staleness: Duration,
-    /// Time between the last order of one holder and the first of the next.
+    /// Time between the last order of one lease holder and the first of the next.
     pub order_lease: Duration,
-    /// Bounds on what all hosts together send again.
+    /// Retry budget of all hosts together.
     pub retries: FleetRetries,
-    /// Time from the signal to end until the process is killed.
+    /// Time from the shutdown signal until the process is killed.
     pub grace_period: Duration,
 }
 
 impl GatewaySettings {
-    /// Returns how long a proof that the configuration is the newest counts.
+    /// Returns for how long a confirmation that the configuration is the newest is valid.
     pub(super) fn key_lease(&self) -> Duration {
         self.max_revocation_delay.saturating_sub(KEY_LEASE_MARGIN)
     }
 
-    /// Returns the age of newer weights from which older ones serve nothing.
+    /// Returns the age of newer weights from which older ones get no requests.
     pub(super) fn max_outdated_at_send(&self) -> Duration {
         self.max_weights_staleness
             .saturating_sub(OUTDATED_WEIGHTS_MARGIN.min(self.max_weights_staleness / 2))
     }
 
-    /// Returns the age of newer weights at which requests that wait for older ones are called back.
+    /// Returns the age of newer weights at which requests queued for older ones are cancelled.
     pub(super) fn max_outdated_at_start(&self) -> Duration {
         self.max_weights_staleness.saturating_sub(CANCELLATION_MARGIN)
     }
 
-    /// Returns how long a new holder waits before its first order.
+    /// Returns how long a new lease holder waits before its first order.
     pub(super) fn first_order_delay(&self) -> Duration {
         self.order_lease + ORDER_MARGIN
     }
 
-    /// Returns the time from the end of accepting, which comes `notice` after the signal, to the end
-    /// of the process, whatever is under way.
+    /// Returns how long the process drains after its listeners close, which is `notice` after the
+    /// shutdown signal; requests still in flight then are dropped.
     pub(super) fn drain_limit(&self, notice: Duration) -> Duration {
         self.grace_period.saturating_sub(notice + SHUTDOWN_MARGIN)
     }
 }
 
-/// Bounds on what all hosts together send again to one service.
+/// Retry budget of all hosts together for one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetRetries {
-    /// Retries for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Retries in each window beyond those.
+    /// Additional retries per window.
     pub extra: u32,
     /// The window.
     pub window: Duration,
