--- a/crates/daemon/src/gateway/control.rs
+++ b/crates/daemon/src/gateway/control.rs
@@ -32,7 +32,7 @@
 ) -> Response<Body> {
     let _active = ActiveRequest::begin(&gateway);
     let (head, body) = req.into_parts();
-    let answer = match Limited::new(body, MAX_BODY_BYTES).collect().await {
+    let response = match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => match gateway.dialect.control_request(&head, &body.to_bytes()) {
             Ok(call) => execute(&gateway, call).await,
             Err(ControlRequestError::Unknown) => ControlResponse::Unknown,
@@ -41,12 +41,12 @@
         Err(e) if e.is::<LengthLimitError>() => ControlResponse::TooLarge,
         Err(e) => ControlResponse::Malformed(format!("can't read the body: {e}")),
     };
-    log_rejected(&answer, head.uri.path());
-    gateway.dialect.control_response(&answer).map(Body::from)
+    log_rejected(&response, head.uri.path());
+    gateway.dialect.control_response(&response).map(Body::from)
 }
 
-fn log_rejected(answer: &ControlResponse, path: &str) {
-    match answer {
+fn log_rejected(response: &ControlResponse, path: &str) {
+    match response {
         ControlResponse::Malformed(why) => {
             log::warn!(path, why = why.as_str(); "control request rejected")
         }
@@ -67,15 +67,15 @@
         }
         ControlRequest::Publish(publication) => {
             let number = publication.number;
-            let answer = submit(gateway, Command::Publish(publication)).await;
-            log::info!(number:%, answer:? = answer; "configuration submitted");
-            answer
+            let response = submit(gateway, Command::Publish(publication)).await;
+            log::info!(number:%, answer:? = response; "configuration submitted");
+            response
         }
         ControlRequest::NameWeights(named) => {
             let (model, version) = (named.model.clone(), named.version);
-            let answer = submit(gateway, Command::NameWeights(named)).await;
-            log::info!(model:%, version, answer:? = answer; "weights submitted");
-            answer
+            let response = submit(gateway, Command::NameWeights(named)).await;
+            log::info!(model:%, version, answer:? = response; "weights submitted");
+            response
         }
         ControlRequest::ReadConfiguration => read_configuration(gateway).await,
     }
--- a/crates/daemon/src/gateway/exchange.rs
+++ b/crates/daemon/src/gateway/exchange.rs
@@ -71,7 +71,7 @@
     pub gateway: Rc<Gateway<D>>,
     pub route: Arc<Route>,
     pub organisation: Option<Arc<Organisation>>,
-    pub arrival: CallerRequest,
+    pub caller_request: CallerRequest,
     pub active_configuration: Rc<ActiveConfiguration>,
     pub method: Method,
     pub uri: Uri,
@@ -148,7 +148,7 @@
     /// Returns whether the request may be sent again although it may have run.
     ///
     /// A permitted retry is spent from the budget.
-    pub(super) fn may_repeat(&self) -> bool {
+    pub(super) fn try_repeat(&self) -> bool {
         self.may_attempt_again() && self.try_retry()
     }
 
@@ -161,7 +161,7 @@
     /// Returns whether a resumable stream may migrate although its engine still serves it.
     ///
     /// A permitted migration is spent from the budget.
-    pub(super) fn may_migrate(&self) -> bool {
+    pub(super) fn try_migrate(&self) -> bool {
         self.may_attempt_again() && self.count_retry(self.gateway.try_migration_retry(&self.route))
     }
 
@@ -198,7 +198,7 @@
         target: &Target,
         error: AttemptError,
     ) -> Result<(), Failure> {
-        let request = &self.arrival.id;
+        let request = &self.caller_request.id;
         let endpoint = &target.endpoint;
         let now = self.gateway.clock.now();
         let (why, may_have_run) = match error {
@@ -220,7 +220,7 @@
             }
             AttemptError::MayHaveRun(why) => {
                 log::info!(request:%, endpoint:%, why; "attempt failed, request may have run");
-                if self.may_repeat() {
+                if self.try_repeat() {
                     return Ok(());
                 }
                 (why, true)
@@ -300,9 +300,10 @@
         gateway.choose(&requirements)
     }
 
-    /// Returns a hash of the request id in `0.0..1.0`, the same for each attempt, to choose a service.
+    /// Hashes the request id to `0.0..1.0`, the same for each attempt, to choose a service.
     fn service_draw(&self) -> f64 {
-        let digest = base::Hasher::default().field(self.arrival.id.as_str().as_bytes()).finish();
+        let digest =
+            base::Hasher::default().field(self.caller_request.id.as_str().as_bytes()).finish();
         let bytes: [u8; 4] = std::array::from_fn(|i| digest.as_bytes()[i]);
         f64::from(u32::from_le_bytes(bytes)) / (f64::from(u32::MAX) + 1.0)
     }
@@ -312,7 +313,7 @@
         &'a self,
         newest: &'a Option<Rc<ActiveConfiguration>>,
     ) -> Option<PromptRequirements<'a>> {
-        let prompt = self.arrival.prompt.as_ref()?;
+        let prompt = self.caller_request.prompt.as_ref()?;
         let named = newest.as_ref().and_then(|active| active.weights.get(&prompt.model));
         Some(PromptRequirements {
             model: &prompt.model,
@@ -350,7 +351,9 @@
             biased;
             sent = sending => match sent {
                 Ok(Ok(response)) => response,
-                Ok(Err(e)) if e.is_canceled() => return Err(AttemptError::Unreachable(e.to_string())),
+                Ok(Err(e)) if e.is_canceled() => {
+                    return Err(AttemptError::Unreachable(e.to_string()));
+                }
                 Ok(Err(e)) => return Err(self.may_have_run(format!("no response: {e}"))),
                 Err(_) => return Err(self.may_have_run("no response in time".to_owned())),
             },
@@ -404,7 +407,7 @@
             self.handle_refusal(target, status, &head);
             return Err(AttemptError::Refused(status));
         }
-        if head.request.as_deref() != Some(self.arrival.id.as_str()) {
+        if head.request.as_deref() != Some(self.caller_request.id.as_str()) {
             self.recorder.crossed_answer();
             return Err(self.may_have_run("the response belongs to another request".to_owned()));
         }
--- a/crates/daemon/src/gateway/follow.rs
+++ b/crates/daemon/src/gateway/follow.rs
@@ -22,7 +22,7 @@
 const IDLE_POLL_HOLD: Duration = Duration::from_millis(300);
 
 /// Time from which a response counts as late: the longest hold plus a round trip.
-const LATE_RESPONSE: Duration = Duration::from_millis(700);
+const LATE_RESPONSE_THRESHOLD: Duration = Duration::from_millis(700);
 
 /// Pause after a failed poll.
 const RETRY_BACKOFF: Duration = Duration::from_millis(30);
@@ -49,7 +49,7 @@
 /// Polls the leader for what is published until the thread ends.
 pub(super) async fn run<D: Dialect>(gateway: Rc<Gateway<D>>) {
     let (mut version, mut next_sent) = (ViewVersion::default(), 0);
-    let mut lost = false;
+    let mut is_leader_lost = false;
     loop {
         let sent = gateway.clock.now();
         let number = gateway
@@ -67,7 +67,7 @@
         });
         match gateway.leader.ask(&request, FOLLOW_TIMEOUT).await {
             Ok(LeaderAnswer::Published(view)) => {
-                if std::mem::take(&mut lost) {
+                if std::mem::take(&mut is_leader_lost) {
                     log::info!(term:% = view.version.term; "leader reachable again");
                 }
                 let now = gateway.clock.now();
@@ -82,7 +82,7 @@
             }
             Err(why) => {
                 gateway.unreported_prompts.borrow_mut().restore(reported);
-                if !std::mem::replace(&mut lost, true) {
+                if !std::mem::replace(&mut is_leader_lost, true) {
                     log::warn!(why:? = why; "leader poll failed");
                 }
                 tokio::time::sleep(RETRY_BACKOFF).await;
@@ -93,7 +93,7 @@
 
 /// Logs a response that took longer than polls are held.
 fn log_late_response(took: Duration) {
-    if LATE_RESPONSE <= took {
+    if LATE_RESPONSE_THRESHOLD <= took {
         log::info!(took_ms = took.as_millis() as u64; "leader poll response late");
     }
 }
@@ -121,7 +121,7 @@
         let weights = self.merge_named_weights(view);
         let active_configuration =
             ActiveConfiguration { number: view.number, table, weights, confirmed: sent };
-        self.published.replace(Some(Rc::new(active_configuration)));
+        self.active_configuration.replace(Some(Rc::new(active_configuration)));
     }
 
     /// Returns the incarnations of endpoints that announced to this host that they leave.
@@ -177,6 +177,6 @@
 
     /// Returns the configuration that this host applies, if it has one.
     pub(super) fn active_configuration(&self) -> Option<Rc<ActiveConfiguration>> {
-        self.published.borrow().clone()
+        self.active_configuration.borrow().clone()
     }
 }
--- a/crates/daemon/src/gateway/forward.rs
+++ b/crates/daemon/src/gateway/forward.rs
@@ -55,14 +55,17 @@
     let active = ActiveRequest::begin(&gateway);
     let arrived = gateway.clock.now();
     let (head, body) = req.into_parts();
-    let arrival = gateway.dialect.caller_request(&head);
-    let id = arrival.as_ref().map_or("-", |arrival| arrival.id.as_str()).to_owned();
+    let caller_request = gateway.dialect.caller_request(&head);
+    let id =
+        caller_request.as_ref().map_or("-", |caller_request| caller_request.id.as_str()).to_owned();
     let mut recorder = gateway.recorder(None);
-    let answer = match arrival {
-        Ok(arrival) => answer(&gateway, head, body, arrival, active, &mut recorder).await,
+    let result = match caller_request {
+        Ok(caller_request) => {
+            respond(&gateway, head, body, caller_request, active, &mut recorder).await
+        }
         Err(e) => Err(Failure::bad_request(e.to_string())),
     };
-    let mut response = answer.unwrap_or_else(|failure| {
+    let mut response = result.unwrap_or_else(|failure| {
         let took = gateway.clock.now().saturating_since(arrived).as_millis() as u64;
         log::info!(request = id, status = failure.status.as_u16(), verdict:% = failure.verdict,
             took_ms = took, why = failure.detail; "request failed");
@@ -99,30 +102,30 @@
     }
 }
 
-async fn answer<D: Dialect>(
+async fn respond<D: Dialect>(
     gateway: &Rc<Gateway<D>>,
     head: request::Parts,
     body: Incoming,
-    arrival: CallerRequest,
+    caller_request: CallerRequest,
     active: ActiveRequest,
     recorder: &mut Recorder,
 ) -> Result<Response<Body>, Failure> {
     let started = Instant::now();
-    let active_configuration = wait_for_configuration(gateway, arrival.deadline).await?;
+    let active_configuration = wait_for_configuration(gateway, caller_request.deadline).await?;
     let route = route(&active_configuration.table, &head)?;
-    let organisation = organisation(gateway, &active_configuration, &route, &arrival)?;
+    let organisation = organisation(gateway, &active_configuration, &route, &caller_request)?;
     *recorder = gateway.recorder(organisation.as_deref());
-    let caller_deadline = started + arrival.deadline.unwrap_or(DEFAULT_DEADLINE);
+    let caller_deadline = started + caller_request.deadline.unwrap_or(DEFAULT_DEADLINE);
     let deadline = caller_deadline.min(started + route.timeout);
     let body = tokio::time::timeout_at(deadline, read(&active_configuration.table, body)).await;
     let body = body.map_err(|_| Failure::slow_body(route.timeout))??;
     gateway.count_request(&route);
     let exchange = Exchange {
-        chain: arrival.prompt.as_ref().map(|prompt| chain(prompt, organisation.as_deref())),
+        chain: caller_request.prompt.as_ref().map(|prompt| chain(prompt, organisation.as_deref())),
         gateway: Rc::clone(gateway),
         route: Arc::clone(&route),
         organisation,
-        arrival,
+        caller_request,
         active_configuration,
         method: head.method,
         uri: path_and_query(&head.uri)?,
@@ -137,8 +140,8 @@
     if route.repetition.is_stream() {
         return stream(exchange, active).await;
     }
-    let answer = buffered_response(exchange).await?;
-    Ok(answer.into_response())
+    let response = buffered_response(exchange).await?;
+    Ok(response.into_response())
 }
 
 fn route(table: &Table, head: &request::Parts) -> Result<Arc<Route>, Failure> {
@@ -154,9 +157,9 @@
     gateway: &Gateway<D>,
     active_configuration: &ActiveConfiguration,
     route: &Route,
-    arrival: &CallerRequest,
+    caller_request: &CallerRequest,
 ) -> Result<Option<Arc<Organisation>>, Failure> {
-    let key = arrival.key.as_deref();
+    let key = caller_request.key.as_deref();
     let holder = key.and_then(|key| active_configuration.table.organisation(key)).cloned();
     if route.public || !active_configuration.table.has_organisations() {
         return Ok(holder);
@@ -205,14 +208,14 @@
         let fetched = tokio::time::timeout_at(deadline, fetch(&mut exchange)).await;
         let fetched = fetched.unwrap_or_else(|_| Err(FetchError::Failed(timed_out(&exchange))));
         match fetched {
-            Ok(answer) if answer.head.status.is_server_error() && exchange.may_repeat() => {
-                failed = Some(answer);
+            Ok(response) if response.head.status.is_server_error() && exchange.try_repeat() => {
+                failed = Some(response);
             }
-            Ok(answer) => {
-                log_completed(&exchange, answer.head.status);
-                return Ok(answer);
+            Ok(response) => {
+                log_completed(&exchange, response.head.status);
+                return Ok(response);
             }
-            Err(FetchError::Truncated(_)) if exchange.may_repeat() => {}
+            Err(FetchError::Truncated(_)) if exchange.try_repeat() => {}
             Err(why) => return failed.ok_or_else(|| why.into_failure()),
         }
     }
@@ -273,17 +276,17 @@
     let opened = opening.unwrap_or_else(|_| Err(timed_out(&exchange)))?;
     if opened.response.status() != StatusCode::OK {
         let collected = tokio::time::timeout_at(deadline, collect(opened)).await;
-        let answer = collected.unwrap_or_else(|_| Err(FetchError::Failed(timed_out(&exchange))));
-        let answer = answer.map_err(FetchError::into_failure)?;
-        log_completed(&exchange, answer.head.status);
-        return Ok(answer.into_response());
+        let response = collected.unwrap_or_else(|_| Err(FetchError::Failed(timed_out(&exchange))));
+        let response = response.map_err(FetchError::into_failure)?;
+        log_completed(&exchange, response.head.status);
+        return Ok(response.into_response());
     }
     Ok(relay::start(exchange, opened, active))
 }
 
 pub(super) fn log_completed<D: Dialect>(exchange: &Exchange<D>, status: StatusCode) {
     let took = exchange.finish();
-    log::info!(request:% = exchange.arrival.id, route = &*exchange.route.name,
+    log::info!(request:% = exchange.caller_request.id, route = &*exchange.route.name,
         status = status.as_u16(), attempts = exchange.attempts(),
         took_ms = took.as_millis() as u64; "request completed");
 }
--- a/crates/daemon/src/gateway/listen.rs
+++ b/crates/daemon/src/gateway/listen.rs
@@ -115,7 +115,7 @@
     start(balancer, readiness, &drain_rx);
     let limit = gateway.cfg.drain_limit(gateway.drain_notice);
     serve::until_ended(&*gateway, &orders, &drain_tx, Some(limit)).await;
-    EdgeEnd { cut: gateway.active.get() }
+    EdgeEnd { cut: gateway.active_requests.get() }
 }
 
 fn start<S: Serve>(
@@ -134,6 +134,6 @@
     }
 
     fn is_idle(&self) -> bool {
-        self.active.get() == 0 && self.connections.get() == 0
+        self.active_requests.get() == 0 && self.connections.get() == 0
     }
 }
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -129,7 +129,7 @@
     drain_notice: Duration,
     clock: Clock,
     started: MonotonicTime,
-    published: RefCell<Option<Rc<ActiveConfiguration>>>,
+    active_configuration: RefCell<Option<Rc<ActiveConfiguration>>>,
     targets: RefCell<Targets>,
     /// Prompts sent to engines that were not reported to the leader yet.
     unreported_prompts: RefCell<Untold>,
@@ -140,7 +140,7 @@
     budgets: RefCell<HashMap<ServiceId, RetryBudget>>,
     warm: RefCell<Warm>,
     rng: RefCell<Pcg64Mcg>,
-    active: Rc<Cell<u64>>,
+    active_requests: Rc<Cell<u64>>,
     connections: Cell<u64>,
     /// Whether responses close their connections, so that callers use other hosts.
     is_draining: Cell<bool>,
@@ -157,8 +157,8 @@
 
 impl ActiveRequest {
     fn begin<D: Dialect>(gateway: &Gateway<D>) -> Self {
-        gateway.active.set(gateway.active.get() + 1);
-        Self(Rc::clone(&gateway.active))
+        gateway.active_requests.set(gateway.active_requests.get() + 1);
+        Self(Rc::clone(&gateway.active_requests))
     }
 }
 
@@ -185,7 +185,7 @@
             drain_notice: identity.drain_notice,
             clock,
             started: clock.now(),
-            published: RefCell::new(None),
+            active_configuration: RefCell::new(None),
             targets: RefCell::default(),
             unreported_prompts: RefCell::default(),
             roster_updated_at: Cell::new(MonotonicTime::ZERO),
@@ -193,7 +193,7 @@
             budgets: RefCell::default(),
             warm: RefCell::new(Warm::new(warm_settings())),
             rng: RefCell::new(Pcg64Mcg::seed_from_u64(rand::random())),
-            active: Rc::default(),
+            active_requests: Rc::default(),
             connections: Cell::new(0),
             is_draining: Cell::new(false),
             leader: channels.leader.clone(),
@@ -245,7 +245,7 @@
         self.with_budget(route, RetryBudget::try_spend)
     }
 
-    /// Spends a retry to migrate a healthy stream, if the reserve for failed requests stays untouched.
+    /// Spends a retry to migrate a healthy stream, if the reserve for failed requests is left.
     fn try_migration_retry(&self, route: &Route) -> bool {
         self.with_budget(route, |budget, now| budget.try_spend_beyond(now, RETRY_RESERVE_SHARE))
     }
@@ -287,16 +287,16 @@
 
     /// Returns the `Retry-After` for a caller that is rejected now; it covers the startup period.
     fn retry_after(&self) -> Duration {
-        let up = self.clock.now().saturating_since(self.started);
-        MIN_RETRY_AFTER.max(STARTUP_PERIOD.saturating_sub(up))
+        let uptime = self.clock.now().saturating_since(self.started);
+        MIN_RETRY_AFTER.max(STARTUP_PERIOD.saturating_sub(uptime))
     }
 
     /// Returns whether the load balancer may send callers to this host.
     fn is_ready(&self) -> bool {
         let now = self.clock.now();
-        let longest = MAX_CONFIRMATION_AGE.min(self.cfg.key_lease());
+        let max_age = MAX_CONFIRMATION_AGE.min(self.cfg.key_lease());
         let is_confirmed =
-            self.active_configuration().is_some_and(|active| active.age(now) < longest);
+            self.active_configuration().is_some_and(|active| active.age(now) < max_age);
         let has_recent_roster = now.saturating_since(self.roster_updated_at.get()) < MAX_ROSTER_AGE;
         is_confirmed
             && has_recent_roster
--- a/crates/daemon/src/gateway/placement.rs
+++ b/crates/daemon/src/gateway/placement.rs
@@ -179,10 +179,10 @@
     let report_age = targets.loads_age(requirements.now);
     let long_prompt_engines = LongPromptEngines::of(targets, requirements);
     let is_long = MIN_LONG_PROMPT_TOKENS <= prompt.chain.tokens();
-    let holders = CachedTokensByVersion::of(targets, requirements, prompt);
+    let cached_tokens = CachedTokensByVersion::of(targets, requirements, prompt);
     let candidates = usable.iter().map(|target| {
-        let misplaced = long_prompt_engines.misplaced_cost(target, is_long);
-        candidate(target, requirements, prompt, report_age, &holders, misplaced)
+        let misplaced_cost = long_prompt_engines.misplaced_cost(target, is_long);
+        candidate(target, requirements, prompt, report_age, &cached_tokens, misplaced_cost)
     });
     candidates.collect()
 }
@@ -192,13 +192,13 @@
     requirements: &Requirements<'_>,
     prompt: &PromptRequirements<'_>,
     report_age: Duration,
-    holders: &CachedTokensByVersion,
-    misplaced: Duration,
+    cached_tokens: &CachedTokensByVersion,
+    misplaced_cost: Duration,
 ) -> Candidate {
     let other_load = target.other_load();
     let own_prefill = target.prefill_tokens().as_u64();
-    let mut cost = misplaced;
-    let place = prompt.chain.shared_hash().map_or(0, |hash| rank(hash, &target.endpoint));
+    let mut cost = misplaced_cost;
+    let home_rank = prompt.chain.shared_hash().map_or(0, |hash| rank(hash, &target.endpoint));
     if target.data_centre != *requirements.local_data_centre {
         let bytes = u32::try_from(requirements.body.as_u64()).unwrap_or(u32::MAX);
         cost += REMOTE_COST + REMOTE_COST_PER_BYTE.saturating_mul(bytes);
@@ -207,9 +207,10 @@
         cost += OUTDATED_WEIGHTS_COST;
     }
     Candidate {
-        rank: place,
-        fine_rank: place,
-        warm_tokens: holders.effective_tokens(target.version(), target.warm_tokens(prompt.chain)),
+        rank: home_rank,
+        fine_rank: home_rank,
+        warm_tokens: cached_tokens
+            .effective_tokens(target.version(), target.warm_tokens(prompt.chain)),
         in_flight: target.in_flight(),
         own_prefill_tokens: target.prefill_tokens(),
         reported_requests: target.in_flight().saturating_add(other_load.requests),
@@ -356,6 +357,6 @@
             + if is_remote { REMOTE_REQUEST_PENALTY } else { 0 }
     };
     let least = usable.iter().map(|target| load(target)).min()?;
-    let equals: Vec<_> = usable.iter().filter(|target| load(target) == least).collect();
-    Some(equals[rng.random_range(0..equals.len())])
+    let tied: Vec<_> = usable.iter().filter(|target| load(target) == least).collect();
+    Some(tied[rng.random_range(0..tied.len())])
 }
--- a/crates/daemon/src/gateway/relay.rs
+++ b/crates/daemon/src/gateway/relay.rs
@@ -20,7 +20,7 @@
 };
 
 /// Chunks that are buffered for a slow caller.
-const CHUNK_BUFFER: usize = 16;
+const CHUNK_BUFFER_LEN: usize = 16;
 
 /// Longest wait for another engine to start while the current one still serves the stream.
 const MIGRATION_TIMEOUT: Duration = Duration::from_millis(300);
@@ -33,10 +33,10 @@
     /// The endpoint ended the stream.
     Complete,
     /// The caller has disconnected.
-    CallerGone,
+    CallerDisconnected,
     /// The stream broke off, or no event arrived in time.
-    Broken(String),
-    /// The stream should migrate, as its engine is about to load weights; the retry is already spent.
+    Interrupted(String),
+    /// The engine is about to load weights and the retry is spent, so the stream migrates.
     Migrate,
     /// The request's deadline has passed.
     TimedOut,
@@ -80,7 +80,7 @@
     timing: &StreamTiming,
 ) {
     let took = exchange.finish();
-    log::info!(request:% = exchange.arrival.id, route = &*exchange.route.name,
+    log::info!(request:% = exchange.caller_request.id, route = &*exchange.route.name,
         endpoint:% = opened.in_flight.target().endpoint, attempts = exchange.attempts(),
         weights = opened.sent.weights, outdated_ms = millis(opened.sent.outdated),
         first_ms = millis(timing.first.unwrap_or_default()), gap_ms = millis(timing.longest_gap),
@@ -97,8 +97,9 @@
     if outdated < exchange.gateway.cfg.max_weights_staleness {
         return;
     }
-    log::warn!(request:% = exchange.arrival.id, endpoint:% = opened.in_flight.target().endpoint,
-        weights = opened.sent.weights, sent_outdated_ms = millis(opened.sent.outdated),
+    log::warn!(request:% = exchange.caller_request.id,
+        endpoint:% = opened.in_flight.target().endpoint, weights = opened.sent.weights,
+        sent_outdated_ms = millis(opened.sent.outdated),
         waited_ms = millis(now.saturating_since(opened.sent.at)), outdated_ms = millis(outdated);
         "stream started on outdated weights");
 }
@@ -113,7 +114,7 @@
     opened: StartedResponse,
     active: ActiveRequest,
 ) -> Response<Body> {
-    let (tx, rx) = flume::bounded(CHUNK_BUFFER);
+    let (tx, rx) = flume::bounded(CHUNK_BUFFER_LEN);
     let headers = headers::end_to_end(opened.response.headers());
     let task = AbortOnDrop(tokio::task::spawn_local(relay_events(exchange, opened, tx)));
     let mut response = Response::new(Body::relayed(rx, task, active));
@@ -134,8 +135,8 @@
         let end = relay_segment(&exchange, &mut segment, &tx, &mut last_id, &mut timing).await;
         let why = match end {
             SegmentEnd::Complete => return log_complete(&exchange, &segment.opened, &timing),
-            SegmentEnd::CallerGone => {
-                log::info!(request:% = exchange.arrival.id; "caller disconnected");
+            SegmentEnd::CallerDisconnected => {
+                log::info!(request:% = exchange.caller_request.id; "caller disconnected");
                 return;
             }
             SegmentEnd::Migrate => {
@@ -143,9 +144,10 @@
                 continue;
             }
             SegmentEnd::TimedOut => "the request's deadline passed".to_owned(),
-            SegmentEnd::Broken(why) => {
+            SegmentEnd::Interrupted(why) => {
                 let endpoint = segment.opened.in_flight.target().endpoint.clone();
-                log::info!(request:% = exchange.arrival.id, endpoint:%, why; "stream interrupted");
+                log::info!(request:% = exchange.caller_request.id, endpoint:%, why;
+                    "stream interrupted");
                 // Closes the endpoint's connection before the stream resumes elsewhere.
                 drop(segment);
                 match resume(&mut exchange, last_id.as_deref()).await {
@@ -158,7 +160,8 @@
             }
         };
         let last_id = last_id.unwrap_or_default();
-        log::warn!(request:% = exchange.arrival.id, last_event = last_id, why; "stream truncated");
+        log::warn!(request:% = exchange.caller_request.id, last_event = last_id, why;
+            "stream truncated");
         exchange.recorder.verdict(Verdict::MayHaveRun);
         let _ = tx.send_async(Err(Truncated)).await;
         return;
@@ -202,7 +205,7 @@
         Err(_) => "no other engine started in time".to_owned(),
     };
     let to = &segment.opened.in_flight.target().endpoint;
-    log::info!(request:% = exchange.arrival.id, from:%, to:%, outcome;
+    log::info!(request:% = exchange.caller_request.id, from:%, to:%, outcome;
         "stream migration from loading engine");
 }
 
@@ -210,7 +213,7 @@
     exchange: &mut Exchange<D>,
     last_id: Option<&str>,
 ) -> Result<StartedResponse, String> {
-    if !exchange.may_repeat() {
+    if !exchange.try_repeat() {
         return Err("the request may not be retried".to_owned());
     }
     open_continuation(exchange, last_id).await
@@ -255,34 +258,36 @@
         let framed = tokio::select! {
             biased;
             framed = tokio::time::timeout_at(until, body.frame()) => framed,
-            () = exchange::wait_until_paused(opened.in_flight.target()), if *may_migrate && last_id.is_some() => {
-                if exchange.may_migrate() {
+            () = exchange::wait_until_paused(opened.in_flight.target()),
+                if *may_migrate && last_id.is_some() =>
+            {
+                if exchange.try_migrate() {
                     return SegmentEnd::Migrate;
                 }
                 *may_migrate = false;
                 continue;
             }
             () = exchange.wait_until_start_overdue(opened.sent.weights), if !*is_started => {
-                return SegmentEnd::Broken(exchange::NOT_STARTED_IN_TIME.to_owned());
+                return SegmentEnd::Interrupted(exchange::NOT_STARTED_IN_TIME.to_owned());
             }
             () = unreachable => {
-                return SegmentEnd::Broken("the endpoint became unreachable".to_owned());
+                return SegmentEnd::Interrupted("the endpoint became unreachable".to_owned());
             }
         };
         let frame = match framed {
             Err(_) if exchange.deadline <= Instant::now() => return SegmentEnd::TimedOut,
-            Err(_) => return SegmentEnd::Broken("no event in time".to_owned()),
+            Err(_) => return SegmentEnd::Interrupted("no event in time".to_owned()),
             Ok(None) if cutter.is_within_event() => {
-                return SegmentEnd::Broken("the stream ended within an event".to_owned());
+                return SegmentEnd::Interrupted("the stream ended within an event".to_owned());
             }
             Ok(None) => return SegmentEnd::Complete,
-            Ok(Some(Err(e))) => return SegmentEnd::Broken(e.to_string()),
+            Ok(Some(Err(e))) => return SegmentEnd::Interrupted(e.to_string()),
             Ok(Some(Ok(frame))) => frame,
         };
         let Ok(data) = frame.into_data() else { continue };
         let cut = match cutter.push(&data) {
             Ok(cut) => cut,
-            Err(e) => return SegmentEnd::Broken(e.to_string()),
+            Err(e) => return SegmentEnd::Interrupted(e.to_string()),
         };
         if cut.events == 0 {
             continue;
@@ -297,7 +302,7 @@
             *last_id = Some(id);
         }
         if tx.send_async(Ok(Bytes::from(cut.bytes))).await.is_err() {
-            return SegmentEnd::CallerGone;
+            return SegmentEnd::CallerDisconnected;
         }
     }
 }
--- a/crates/daemon/src/gateway/targets.rs
+++ b/crates/daemon/src/gateway/targets.rs
@@ -22,7 +22,7 @@
 const MAX_UNREACHABLE_AVOIDANCE: Duration = Duration::from_secs(5);
 
 /// Time for which an endpoint is avoided after it refused a request as misdirected.
-const SUSPENSION: Duration = Duration::from_millis(400);
+const SUSPENSION_PERIOD: Duration = Duration::from_millis(400);
 
 /// Largest error in the age of an announcement.
 const ANNOUNCEMENT_AGE_ERROR: Duration = Duration::from_millis(100);
@@ -199,7 +199,7 @@
 
     /// Avoids it briefly, as its state here is known to be wrong.
     pub(super) fn suspend(&self, now: MonotonicTime) {
-        self.suspended_until.set(now + SUSPENSION);
+        self.suspended_until.set(now + SUSPENSION_PERIOD);
     }
 
     /// Marks it reachable.
@@ -218,7 +218,7 @@
     loads_at: MonotonicTime,
     stores: Vec<Store>,
     /// Incarnations of endpoints that announced to any host that they leave.
-    leaving_endpoints: Leavers,
+    leavers: Leavers,
 }
 
 /// Changes of the set of endpoints.
@@ -232,9 +232,7 @@
     /// Applies a newer roster.
     pub(super) fn update(&mut self, roster: &Roster) -> TargetChanges {
         let mut usable = usable(&roster.endpoints);
-        usable.retain(|id, known| {
-            !self.leaving_endpoints.contains(id, known.announcement.incarnation)
-        });
+        usable.retain(|id, known| !self.leavers.contains(id, known.announcement.incarnation));
         let mut changes = TargetChanges::default();
         self.by_id.retain(|id, target| {
             let stays = usable
@@ -336,9 +334,9 @@
     ///
     /// A new leader may know of none yet, so those known here stay removed.
     fn remove_leaving(&mut self, now: MonotonicTime, leaving: &[LifeKey]) {
-        self.leaving_endpoints.hear(now, leaving);
+        self.leavers.hear(now, leaving);
         self.by_id.retain(|id, target| {
-            let leaves = self.leaving_endpoints.contains(id, target.incarnation);
+            let leaves = self.leavers.contains(id, target.incarnation);
             if leaves {
                 log::info!(endpoint:% = id; "endpoint removed, leave reported by another host");
             }
--- a/crates/daemon/src/gateway/weights.rs
+++ b/crates/daemon/src/gateway/weights.rs
@@ -112,7 +112,7 @@
     *active = leading.map(|term| ActiveRollout::new(term, gateway.cfg.max_outdated_at_send()));
     match leading {
         Some(term) => {
-            log::info!(term:%; "weights rollout started, orders wait for the earlier holder's lease");
+            log::info!(term:%; "weights rollout started, orders delayed by order lease");
         }
         None => log::info!("weights rollout stopped"),
     }
@@ -258,7 +258,7 @@
     expected_orders: u64,
 ) -> OrderOutcome {
     let holder = &gateway.host;
-    let call = LoadWeightsRequest { order, holder, fencing_token: term, expected_orders };
+    let request = LoadWeightsRequest { order, holder, fencing_token: term, expected_orders };
     let Some(connection) = connect(gateway, address).await else { return OrderOutcome::Refused };
     // The leadership may have been lost since the order was decided, also during the connect.
     let still_leads = gateway
@@ -268,7 +268,7 @@
     if !still_leads {
         return OrderOutcome::Refused;
     }
-    match send_request(connection, address, gateway.dialect.load_weights_request(&call)).await {
+    match send_request(connection, address, gateway.dialect.load_weights_request(&request)).await {
         Some((head, _)) => gateway.dialect.load_weights_outcome(&head),
         None => OrderOutcome::Unknown,
     }
@@ -332,14 +332,14 @@
 async fn send_request(
     connection: FreshConnection,
     address: SocketAddr,
-    call: Request<Bytes>,
+    request: Request<Bytes>,
 ) -> Option<(response::Parts, Bytes)> {
     let _driver = AbortOnDrop(connection.driver);
     let mut sender = connection.sender;
-    let mut call = call.map(Full::new);
-    call.headers_mut().insert(HOST, net::host_value(address));
+    let mut request = request.map(Full::new);
+    request.headers_mut().insert(HOST, net::host_value(address));
     let response = async {
-        let response: Response<_> = sender.send_request(call).await.ok()?;
+        let response: Response<_> = sender.send_request(request).await.ok()?;
         let (head, body) = response.into_parts();
         let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await.ok()?;
         Some((head, body.to_bytes()))
--- a/crates/daemon/src/replica/driver.rs
+++ b/crates/daemon/src/replica/driver.rs
@@ -274,7 +274,7 @@
         self.execute_actions();
     }
 
-    /// Records when this host starts or stops to lead.
+    /// Tracks whether this host leads, and logs changes.
     fn update_leadership(&mut self) {
         if self.node.role() != Role::Leader {
             if self.leading.take().is_some() {
@@ -301,7 +301,8 @@
         let Some(voters) = due else { return };
         let hosts: Vec<_> = voters.folders.keys().map(ToString::to_string).collect();
         let before = self.node.status().voters;
-        log::info!(voters = hosts.join(","), before = before.folders.len(); "voters change proposed");
+        log::info!(voters = hosts.join(","), before = before.folders.len();
+            "change of voters proposed");
         let (reply, _) = flume::bounded(1);
         self.propose_voters(voters, ReplySender::new(reply));
         self.execute_actions();
--- a/crates/daemon/src/replica/mod.rs
+++ b/crates/daemon/src/replica/mod.rs
@@ -55,8 +55,8 @@
         /// The ages.
         ages: Vec<WeightsAge>,
     },
-    /// The process is shutting down: a leader transfers its leadership, and drops the sender once it
-    /// no longer leads.
+    /// Requests a leadership transfer before shutdown; the sender is dropped once this host no
+    /// longer leads.
     TransferLeadership(flume::Sender<()>),
 }
 
--- a/crates/daemon/src/replica/pending.rs
+++ b/crates/daemon/src/replica/pending.rs
@@ -68,7 +68,7 @@
     /// Records that a proposal was appended to the log.
     pub(super) fn accepted(&mut self, id: ProposalId, index: LogIndex, term: Term) {
         let Some(reply) = self.proposed.remove(&id) else { return };
-        // An earlier entry at `index` may survive elsewhere and still commit, so its reply sender is
+        // An earlier entry at `index` may survive elsewhere and still commit: its reply sender is
         // dropped here without an outcome.
         self.appended.insert(index, AppendedProposal { term, reply });
     }
