--- a/crates/daemon/src/gateway/dialect.rs
+++ b/crates/daemon/src/gateway/dialect.rs
@@ -56,7 +56,7 @@
     ) -> Result<ControlRequest, ControlRequestError>;
 
     /// Encodes the response to a control request.
-    fn control_response(&self, answer: &ControlResponse) -> Response<Bytes>;
+    fn control_response(&self, response: &ControlResponse) -> Response<Bytes>;
 
     /// Encodes a request for an engine's state.
     fn report_request(&self) -> Request<Bytes>;
@@ -69,7 +69,7 @@
     fn report(&self, status: StatusCode, body: &[u8]) -> Result<EngineReport, DecodeError>;
 
     /// Encodes an order to load weights.
-    fn load_weights_request(&self, call: &LoadWeightsRequest<'_>) -> Request<Bytes>;
+    fn load_weights_request(&self, request: &LoadWeightsRequest<'_>) -> Request<Bytes>;
 
     /// Decodes an engine's response to an order to load weights.
     fn load_weights_outcome(&self, head: &response::Parts) -> OrderOutcome;
--- a/crates/daemon/src/gateway/forward.rs
+++ b/crates/daemon/src/gateway/forward.rs
@@ -225,7 +225,7 @@
 enum FetchError {
     /// The response was truncated.
     Truncated(String),
-    /// No response started.
+    /// The request failed before a response started, or timed out.
     Failed(Failure),
 }
 
--- a/crates/daemon/src/gateway/settings.rs
+++ b/crates/daemon/src/gateway/settings.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-/// Time by which a host ends its lease on keys early.
+/// Time by which a host stops relying on its key lease before the lease ends.
 const KEY_LEASE_MARGIN: Duration = Duration::from_millis(250);
 
 /// Time before the staleness bound from which engines with outdated weights get no requests, which
