--- a/crates/daemon/src/gateway/relay.rs
+++ b/crates/daemon/src/gateway/relay.rs
@@ -42,7 +42,7 @@
     TimedOut,
 }
 
-/// Arrival times of a stream's events.
+/// Times at which a stream's events arrived.
 struct StreamTiming {
     arrived: MonotonicTime,
     /// Time from the request's arrival to the first event.
