--- a/crates/daemon/src/gateway/follow.rs
+++ b/crates/daemon/src/gateway/follow.rs
@@ -4,7 +4,7 @@
 
 use base::{ModelId, MonotonicTime};
 use fleet::{ConfigurationNumber, WeightsHistory};
-use member::{EndpointState, LifeKey};
+use member::{EndpointState, IncarnationKey};
 use routes::Table;
 use wire::leader::{Follow, LeaderAnswer, LeaderRequest, PublishedView, Seen, ViewVersion};
 
@@ -122,10 +122,10 @@
     }
 
     /// Returns the lives of endpoints that this host has heard to leave.
-    fn leaving_endpoints(&self) -> Vec<LifeKey> {
+    fn leaving_endpoints(&self) -> Vec<IncarnationKey> {
         let Some(roster) = self.latest.load() else { return Vec::new() };
         let leaving = roster.endpoints.iter().filter(|known| known.state == EndpointState::Leaving);
-        leaving.map(|known| LifeKey::of(&known.announcement)).collect()
+        leaving.map(|known| IncarnationKey::of(&known.announcement)).collect()
     }
 
     fn read_table(&self, number: ConfigurationNumber, content: &[u8]) -> Option<Arc<Table>> {
--- a/crates/daemon/src/gateway/targets.rs
+++ b/crates/daemon/src/gateway/targets.rs
@@ -8,7 +8,7 @@
 
 use base::{DataCentreId, EndpointId, Incarnation, ModelId, MonotonicTime, ServiceId, TokenCount};
 use fleet::EngineNews;
-use member::{Announcement, EndpointKind, EndpointState, Known, Leavers, LifeKey, Roster};
+use member::{Announcement, EndpointKind, EndpointState, IncarnationKey, Known, Leavers, Roster};
 use prefix::{PartChain, PartMemory, Sent, rank_by_name};
 use route::{EndpointKey, SentLoad, UnderWay};
 use routes::KvStore;
@@ -325,7 +325,7 @@
     /// Takes which endpoints leave by any host's word; they get nothing from now on.
     ///
     /// A leader that has just begun may know of none yet, so what was heard counts on.
-    fn hear_leavers(&mut self, now: MonotonicTime, lives: &[LifeKey]) {
+    fn hear_leavers(&mut self, now: MonotonicTime, lives: &[IncarnationKey]) {
         self.leavers.hear(now, lives);
         self.by_id.retain(|id, target| {
             let leaves = self.leavers.contains(id, target.incarnation);
--- a/crates/member/src/endpoints.rs
+++ b/crates/member/src/endpoints.rs
@@ -2,7 +2,7 @@
 
 use base::{EndpointId, HostId, MonotonicTime, Sequence};
 
-use crate::{Announcement, EndpointKind, LifeKey, Load};
+use crate::{Announcement, EndpointKind, IncarnationKey, Load};
 
 /// Time for which the end of a life is remembered.
 pub const TOMBSTONE_TIME: Duration = Duration::from_secs(3600);
@@ -17,7 +17,7 @@
 #[derive(Debug, Default)]
 pub struct Endpoints {
     known: BTreeMap<EndpointId, Known>,
-    lives: BTreeMap<LifeKey, EndpointId>,
+    lives: BTreeMap<IncarnationKey, EndpointId>,
     lease_floor: Duration,
     live: usize,
 }
@@ -210,7 +210,7 @@
     }
 
     /// Returns what is known of the life that `key` names, if it is the endpoint's newest.
-    pub fn find_life(&self, key: &LifeKey) -> Option<&Known> {
+    pub fn find_life(&self, key: &IncarnationKey) -> Option<&Known> {
         self.known.get(self.lives.get(key)?)
     }
 
@@ -240,10 +240,10 @@
         let was_live = known.is_some_and(|known| !known.state.has_ended());
         let replaced = known.filter(|k| k.announcement.incarnation != announcement.incarnation);
         if let Some(known) = replaced {
-            self.lives.remove(&LifeKey::of(&known.announcement));
+            self.lives.remove(&IncarnationKey::of(&known.announcement));
         }
         self.live += usize::from(!was_live);
-        self.lives.insert(LifeKey::of(&announcement), endpoint.clone());
+        self.lives.insert(IncarnationKey::of(&announcement), endpoint.clone());
         let lease = announcement.lease.max(self.lease_floor);
         let known = Known { announcement, written, relayed_by, state, lease, ended: now };
         self.known.insert(endpoint, known);
@@ -293,7 +293,7 @@
                 return;
             }
             let Some(known) = self.known.remove(&endpoint) else { continue };
-            self.lives.remove(&LifeKey::of(&known.announcement));
+            self.lives.remove(&IncarnationKey::of(&known.announcement));
         }
     }
 }
@@ -302,7 +302,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct RenewedLife {
     /// The life.
-    pub life: LifeKey,
+    pub life: IncarnationKey,
     /// The position of the newest announcement.
     pub sequence: Sequence,
     /// The announcement's age on arrival.
--- a/crates/member/src/exchange.rs
+++ b/crates/member/src/exchange.rs
@@ -3,8 +3,8 @@
 use base::{HostId, MonotonicTime};
 
 use crate::{
-    Checksums, EndpointState, EndpointUpdate, Endpoints, Gossip, LifeKey, Membership, Outgoing,
-    Renewal, RenewedLife, Want,
+    Checksums, EndpointState, EndpointUpdate, Endpoints, Gossip, IncarnationKey, Membership,
+    Outgoing, Renewal, RenewedLife, Want,
     budget::{LOAD_BYTES, RENEWAL_COPIES},
     catch_up::CatchUp,
     checksum::Sums,
@@ -333,7 +333,7 @@
 /// Bounds the encoded length of a message before news is added, in bytes.
 fn fixed_bytes(message: &Gossip) -> usize {
     const SUM: usize = 5;
-    const WANT: usize = LifeKey::BYTES + 10;
+    const WANT: usize = IncarnationKey::BYTES + 10;
     let peers: usize = message.peers.iter().map(peer_bytes).sum();
     let endpoints: usize = message.endpoints.iter().map(|e| endpoint_bytes(&e.announcement)).sum();
     let sums = message.checksums.as_ref().map_or(0, |sums| sums.sums.len() * SUM + SUM);
@@ -350,7 +350,7 @@
 fn renewal(
     endpoints: &Endpoints,
     now: MonotonicTime,
-    life: &LifeKey,
+    life: &IncarnationKey,
     with_load: bool,
 ) -> Option<Renewal> {
     let known = endpoints.find_life(life).filter(|known| known.state == EndpointState::Ready)?;
--- a/crates/member/src/leavers.rs
+++ b/crates/member/src/leavers.rs
@@ -2,7 +2,7 @@
 
 use base::{EndpointId, Incarnation, MonotonicTime};
 
-use crate::LifeKey;
+use crate::IncarnationKey;
 
 /// Time for which a life counts after the last word of it: longer than gossip takes to reach all.
 const MEMORY: Duration = Duration::from_secs(30);
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 pub struct Leavers {
     memory: Duration,
-    heard: BTreeMap<LifeKey, MonotonicTime>,
+    heard: BTreeMap<IncarnationKey, MonotonicTime>,
 }
 
 impl Default for Leavers {
@@ -30,7 +30,7 @@
     }
 
     /// Takes a router's word; returns whether any of the lives was not known to leave.
-    pub fn hear(&mut self, now: MonotonicTime, lives: &[LifeKey]) -> bool {
+    pub fn hear(&mut self, now: MonotonicTime, lives: &[IncarnationKey]) -> bool {
         self.forget(now);
         let before = self.heard.len();
         self.heard.extend(lives.iter().map(|life| (*life, now)));
@@ -39,11 +39,12 @@
 
     /// Returns whether a life is known to leave.
     pub fn contains(&self, endpoint: &EndpointId, incarnation: Incarnation) -> bool {
-        !self.heard.is_empty() && self.heard.contains_key(&LifeKey::new(endpoint, incarnation))
+        !self.heard.is_empty()
+            && self.heard.contains_key(&IncarnationKey::new(endpoint, incarnation))
     }
 
     /// Returns the lives that leave, and forgets those not heard of for long.
-    pub fn lives(&mut self, now: MonotonicTime) -> Vec<LifeKey> {
+    pub fn lives(&mut self, now: MonotonicTime) -> Vec<IncarnationKey> {
         self.forget(now);
         self.heard.keys().copied().collect()
     }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -67,8 +67,8 @@
     leavers::Leavers,
     membership::{Membership, Outgoing, Roster, TICK},
     message::{
-        Checksums, EndpointUpdate, Gossip, LifeKey, PeerState, PeerUpdate, Pull, Renewal, Rumour,
-        Want,
+        Checksums, EndpointUpdate, Gossip, IncarnationKey, PeerState, PeerUpdate, Pull, Renewal,
+        Rumour, Want,
     },
     peers::{DEAD_TIME, MAX_PEERS, PROBE_PERIOD, Peer, Peers},
 };
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -9,9 +9,9 @@
 use rand::{Rng, seq::IndexedRandom};
 
 use crate::{
-    Announcement, Budget, Change, Endpoints, Gossip, Known, LifeKey, MAX_ENDPOINTS, PROBE_PERIOD,
-    Peer, PeerUpdate, Peers, Rumour, Stale, Want, budget::Allowance, catch_up::CatchUp,
-    checksum::Sums, spread::Spread,
+    Announcement, Budget, Change, Endpoints, Gossip, IncarnationKey, Known, MAX_ENDPOINTS,
+    PROBE_PERIOD, Peer, PeerUpdate, Peers, Rumour, Stale, Want, budget::Allowance,
+    catch_up::CatchUp, checksum::Sums, spread::Spread,
 };
 
 /// Time between two calls of [`Membership::tick`].
@@ -36,7 +36,7 @@
     pub(crate) steady: Allowance,
     pub(crate) reserve: Allowance,
     pub(crate) queues: Queues,
-    pub(crate) wanted: BTreeSet<LifeKey>,
+    pub(crate) wanted: BTreeSet<IncarnationKey>,
     pub(crate) vouching: BTreeMap<HostId, Vouching>,
     pub(crate) changes: Vec<Change>,
     pub(crate) sums: Option<Sums>,
@@ -44,7 +44,7 @@
     pub(crate) catch_up: Option<CatchUp>,
     pub(crate) pulled_at: MonotonicTime,
     pub(crate) heard_count: u32,
-    relayed: BTreeMap<LifeKey, MonotonicTime>,
+    relayed: BTreeMap<IncarnationKey, MonotonicTime>,
     seeds: Vec<SocketAddr>,
     ticked: MonotonicTime,
     next_period: MonotonicTime,
@@ -55,7 +55,7 @@
 pub(crate) struct Queues {
     pub(crate) leaving: Spread<EndpointId>,
     pub(crate) joined: Spread<EndpointId>,
-    pub(crate) renewed: Spread<LifeKey>,
+    pub(crate) renewed: Spread<IncarnationKey>,
     /// Rounds in which the newest revision is still worth a message of its own.
     pub(crate) rumour_rounds: u32,
 }
@@ -272,7 +272,7 @@
         | Change::Leaving(endpoint)
         | Change::Expired(endpoint)) = change;
         let Some(known) = self.endpoints.find(endpoint).cloned() else { return };
-        let life = LifeKey::of(&known.announcement);
+        let life = IncarnationKey::of(&known.announcement);
         match change {
             Change::Leaving(_) if old.is_some_and(|old| is_same_leave(old, &known)) => {}
             Change::Leaving(_) => {
@@ -294,7 +294,7 @@
     }
 
     /// Queues a renewal; one that the endpoint made here only if others had none for a while.
-    fn relay_renewal(&mut self, known: &Known, life: LifeKey) {
+    fn relay_renewal(&mut self, known: &Known, life: IncarnationKey) {
         let spacing = self.budget.renewal_spacing(self.endpoint_count()) * 3 / 4;
         let last = self.relayed.get(&life);
         let is_early = last.is_some_and(|&last| known.written.saturating_since(last) < spacing);
@@ -414,7 +414,7 @@
             let left = known.lease_left(now);
             !left.is_zero() && left < known.lease / LOW_PART
         });
-        let lives = low.map(|known| LifeKey::of(&known.announcement));
+        let lives = low.map(|known| IncarnationKey::of(&known.announcement));
         let wanted: Vec<_> = lives.take(MAX_WANTED).collect();
         self.wanted.extend(wanted);
     }
--- a/crates/member/src/message.rs
+++ b/crates/member/src/message.rs
@@ -95,7 +95,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Renewal {
     /// The life that renewed.
-    pub life: LifeKey,
+    pub life: IncarnationKey,
     /// The position of its newest announcement.
     pub sequence: Sequence,
     /// The announcement's age when the message was sent, in milliseconds, rounded up.
@@ -117,16 +117,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Want {
     /// The life.
-    pub life: LifeKey,
+    pub life: IncarnationKey,
     /// The position of the newest announcement that the sender has; zero if it has none.
     pub sequence: Sequence,
 }
 
 /// A short name for one life of one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct LifeKey([u8; LifeKey::BYTES]);
+pub struct IncarnationKey([u8; IncarnationKey::BYTES]);
 
-impl LifeKey {
+impl IncarnationKey {
     /// Length, in bytes: two of 1,800 lives share a name with a chance below 1 in 10⁸.
     pub const BYTES: usize = 6;
 
--- a/crates/member/tests/leavers.rs
+++ b/crates/member/tests/leavers.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use base::{EndpointId, Incarnation, MonotonicTime};
-use member::{Leavers, LifeKey};
+use member::{IncarnationKey, Leavers};
 
 fn endpoint() -> EndpointId {
     "desk-1".parse().unwrap()
 }
 
-fn life(incarnation: u64) -> LifeKey {
-    LifeKey::new(&endpoint(), Incarnation::new(incarnation))
+fn life(incarnation: u64) -> IncarnationKey {
+    IncarnationKey::new(&endpoint(), Incarnation::new(incarnation))
 }
 
 fn at(millis: u64) -> MonotonicTime {
--- a/crates/wire/src/leader.rs
+++ b/crates/wire/src/leader.rs
@@ -6,7 +6,7 @@
 use fleet::{
     Call, CallKey, ChangeRecord, Command, ConfigurationNumber, EngineNews, Reply, WeightsAge,
 };
-use member::LifeKey;
+use member::IncarnationKey;
 use prefix::Sent;
 use quorum::{FolderId, VoterSet};
 use route::SentLoad;
@@ -61,7 +61,7 @@
     /// The prompts that it has sent since the last question.
     pub sent: Vec<Sent>,
     /// Lives of endpoints that it has heard to leave.
-    pub leaving: Vec<LifeKey>,
+    pub leaving: Vec<IncarnationKey>,
 }
 
 /// What a follower of the published state has seen.
@@ -100,7 +100,7 @@
     /// What all routers have under way at endpoints, the asker included.
     pub loads: Vec<SentLoad>,
     /// Lives of endpoints that any router has heard to leave.
-    pub leaving: Vec<LifeKey>,
+    pub leaving: Vec<IncarnationKey>,
     /// Prompts that other routers have sent since the last answer.
     pub sent: Vec<Sent>,
     /// The position after those.
