--- a/crates/daemon/src/gateway/targets.rs
+++ b/crates/daemon/src/gateway/targets.rs
@@ -8,7 +8,9 @@
 
 use base::{DataCentreId, EndpointId, Incarnation, ModelId, MonotonicTime, ServiceId, TokenCount};
 use fleet::EngineNews;
-use member::{Announcement, EndpointKind, EndpointState, IncarnationKey, Known, Leavers, Roster};
+use member::{
+    Announcement, EndpointKind, EndpointState, IncarnationKey, Known, LeavingSet, Roster,
+};
 use prefix::{PartChain, PartMemory, Sent, rank_by_name};
 use route::{EndpointKey, SentLoad, UnderWay};
 use routes::KvStore;
@@ -216,7 +218,7 @@
     loads_at: MonotonicTime,
     stores: Vec<Store>,
     /// Lives of endpoints that any host has heard to leave.
-    leavers: Leavers,
+    leavers: LeavingSet,
 }
 
 /// How the endpoints changed.
@@ -326,7 +328,7 @@
     ///
     /// A leader that has just begun may know of none yet, so what was heard counts on.
     fn hear_leavers(&mut self, now: MonotonicTime, lives: &[IncarnationKey]) {
-        self.leavers.hear(now, lives);
+        self.leavers.record_leaving(now, lives);
         self.by_id.retain(|id, target| {
             let leaves = self.leavers.contains(id, target.incarnation);
             if leaves {
--- a/crates/daemon/src/replica/followers.rs
+++ b/crates/daemon/src/replica/followers.rs
@@ -4,7 +4,7 @@
 
 use base::{HostId, ModelId, MonotonicTime, Term};
 use fleet::{EngineNews, Published, WeightsAge, WeightsHistory};
-use member::Leavers;
+use member::LeavingSet;
 use prefix::SentLog;
 use route::{LoadBoard, SentLoad};
 use wire::leader::{Follow, PublishedView, Seen, ViewVersion};
@@ -28,7 +28,7 @@
     engines: Vec<EngineNews>,
     loads: LoadBoard,
     sent: SentLog,
-    leavers: Leavers,
+    leavers: LeavingSet,
     /// When weights were named, as far as this host was there or was told.
     weights: BTreeMap<ModelId, WeightsHistory>,
     /// How often what followers are told at once has changed.
@@ -49,7 +49,7 @@
             engines: Vec::new(),
             loads: LoadBoard::new(LOAD_LIFETIME),
             sent: SentLog::new(MAX_SENT),
-            leavers: Leavers::default(),
+            leavers: LeavingSet::default(),
             weights: BTreeMap::new(),
             changes: 0,
         }
@@ -61,7 +61,7 @@
     pub(super) fn hold(&mut self, now: MonotonicTime, mut question: Follow, reply: Reply) {
         self.loads.report(now, question.from.clone(), std::mem::take(&mut question.loads));
         self.sent.extend(&question.from, std::mem::take(&mut question.sent));
-        if self.leavers.hear(now, &question.leaving) {
+        if self.leavers.record_leaving(now, &question.leaving) {
             self.changes += 1;
         }
         let until = now + question.hold.min(MAX_HOLD);
@@ -139,7 +139,7 @@
             weights: self.weight_ages(now),
             engines: self.engines.clone(),
             loads: self.loads.totals(now),
-            leaving: self.leavers.lives(now),
+            leaving: self.leavers.leaving(now),
             sent: sent.unwrap_or_default(),
             next_sent: self.sent.next(),
         }
--- a/crates/member/src/leavers.rs
+++ b/crates/member/src/leavers.rs
@@ -12,25 +12,25 @@
 /// It answers sites that promise when a leaving endpoint gets its last request: gossip reaches
 /// every router soon, but by chance, and now and then one hears of it seconds late.
 #[derive(Clone, Debug)]
-pub struct Leavers {
+pub struct LeavingSet {
     memory: Duration,
     heard: BTreeMap<IncarnationKey, MonotonicTime>,
 }
 
-impl Default for Leavers {
+impl Default for LeavingSet {
     fn default() -> Self {
         Self::new(MEMORY)
     }
 }
 
-impl Leavers {
+impl LeavingSet {
     /// Creates an empty set that remembers a life for `memory` after the last word of it.
     pub fn new(memory: Duration) -> Self {
         Self { memory, heard: BTreeMap::new() }
     }
 
     /// Takes a router's word; returns whether any of the lives was not known to leave.
-    pub fn hear(&mut self, now: MonotonicTime, lives: &[IncarnationKey]) -> bool {
+    pub fn record_leaving(&mut self, now: MonotonicTime, lives: &[IncarnationKey]) -> bool {
         self.forget(now);
         let before = self.heard.len();
         self.heard.extend(lives.iter().map(|life| (*life, now)));
@@ -44,7 +44,7 @@
     }
 
     /// Returns the lives that leave, and forgets those not heard of for long.
-    pub fn lives(&mut self, now: MonotonicTime) -> Vec<IncarnationKey> {
+    pub fn leaving(&mut self, now: MonotonicTime) -> Vec<IncarnationKey> {
         self.forget(now);
         self.heard.keys().copied().collect()
     }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -64,7 +64,7 @@
         Change, EndpointState, Endpoints, Known, MAX_ENDPOINTS, MAX_TOMBSTONES, RenewedLife, Stale,
         TOMBSTONE_TIME,
     },
-    leavers::Leavers,
+    leavers::LeavingSet,
     membership::{Membership, Outgoing, Roster, TICK},
     message::{
         Checksums, EndpointUpdate, Gossip, IncarnationKey, PeerState, PeerUpdate, Pull, Renewal,
