--- a/crates/daemon/src/admin/status.rs
+++ b/crates/daemon/src/admin/status.rs
@@ -1,7 +1,7 @@
 use std::{sync::Arc, time::Duration};
 
 use base::{LogIndex, Term};
-use member::{EndpointKind, Known, PeerState as MemberState, Roster};
+use member::{EndpointKind, EndpointRecord, PeerState as MemberState, Roster};
 use telemetry::QuorumRole as Role;
 use wire::operator::{
     Counts, EndpointState, EndpointStatus, Endpoints, Peer, PeerState, QuorumRole, QuorumStatus,
@@ -134,7 +134,7 @@
     }
 }
 
-fn endpoint(pages: &Pages, known: &Known, load: &Load) -> Option<EndpointStatus> {
+fn endpoint(pages: &Pages, known: &EndpointRecord, load: &Load) -> Option<EndpointStatus> {
     let now = pages.sources.clock.now();
     let announcement = &known.announcement;
     let state = match known.state {
--- a/crates/daemon/src/edge/router.rs
+++ b/crates/daemon/src/edge/router.rs
@@ -10,7 +10,7 @@
     WeightsVersion,
 };
 use fleet::setting::KvTransfer as KvTransferSetting;
-use member::{Announcement, EndpointKind, EndpointState, Known, PeerState, Roster};
+use member::{Announcement, EndpointKind, EndpointRecord, EndpointState, PeerState, Roster};
 use prefix::{BlockBytes, Chain, Salt};
 use rand::RngExt as _;
 use rand_pcg::Pcg64Mcg;
@@ -319,7 +319,7 @@
         Ok((able.id.clone(), InFlight::begin(able.target, TokenCount::ZERO)))
     }
 
-    fn join(&mut self, now: MonotonicTime, known: &Known) -> Target {
+    fn join(&mut self, now: MonotonicTime, known: &EndpointRecord) -> Target {
         let announcement = &known.announcement;
         let endpoint = &announcement.endpoint;
         let slot = match &announcement.kind {
--- a/crates/daemon/src/edge/targets.rs
+++ b/crates/daemon/src/edge/targets.rs
@@ -6,7 +6,7 @@
 };
 
 use base::{DataCentreId, MonotonicTime, TokenCount, WeightsVersion};
-use member::{Announcement, EndpointKind, Known, Load, ServedModel};
+use member::{Announcement, EndpointKind, EndpointRecord, Load, ServedModel};
 use prefix::Slot;
 
 use crate::in_flight::{self, Busy, Work};
@@ -36,7 +36,7 @@
 
 impl Target {
     /// Creates the view of an endpoint whose warm prefixes are known under `slot`.
-    pub(super) fn new(source: IpAddr, known: &Known, slot: Option<Slot>) -> Self {
+    pub(super) fn new(source: IpAddr, known: &EndpointRecord, slot: Option<Slot>) -> Self {
         let pool = Pool::new(source, known.announcement.address);
         Self {
             announcement: RefCell::new(Arc::clone(&known.announcement)),
@@ -98,7 +98,7 @@
     }
 
     /// Takes a newer announcement; returns whether it is of the same process.
-    pub(super) fn renew(&self, newer: &Known) -> bool {
+    pub(super) fn renew(&self, newer: &EndpointRecord) -> bool {
         let mut known = self.announcement.borrow_mut();
         let announcement = &newer.announcement;
         let same =
--- a/crates/daemon/src/gateway/targets.rs
+++ b/crates/daemon/src/gateway/targets.rs
@@ -9,7 +9,7 @@
 use base::{DataCentreId, EndpointId, Incarnation, ModelId, MonotonicTime, ServiceId, TokenCount};
 use fleet::EngineNews;
 use member::{
-    Announcement, EndpointKind, EndpointState, IncarnationKey, Known, LeavingSet, Roster,
+    Announcement, EndpointKind, EndpointRecord, EndpointState, IncarnationKey, LeavingSet, Roster,
 };
 use prefix::{PartChain, PartMemory, Sent, rank_by_name};
 use route::{EndpointKey, SentLoad, UnderWay};
@@ -106,7 +106,7 @@
 }
 
 impl Target {
-    fn new(known: &Known, service: ServiceId, kv_tokens: TokenCount) -> Self {
+    fn new(known: &EndpointRecord, service: ServiceId, kv_tokens: TokenCount) -> Self {
         let (announcement, written) = (known.announcement.as_ref(), known.written);
         let model = served(announcement);
         Self {
@@ -390,7 +390,7 @@
 /// Returns the announcements of endpoints that want requests.
 ///
 /// Of two at one address only the younger process can be there.
-fn usable(endpoints: &[Known]) -> BTreeMap<&EndpointId, &Known> {
+fn usable(endpoints: &[EndpointRecord]) -> BTreeMap<&EndpointId, &EndpointRecord> {
     let mut youngest: HashMap<SocketAddr, &Announcement> = HashMap::new();
     for known in endpoints.iter().filter(|known| is_running(known)) {
         let announcement = known.announcement.as_ref();
@@ -409,7 +409,7 @@
         .collect()
 }
 
-fn is_running(known: &Known) -> bool {
+fn is_running(known: &EndpointRecord) -> bool {
     matches!(known.state, EndpointState::Ready | EndpointState::Leaving)
 }
 
--- a/crates/member/src/checksum.rs
+++ b/crates/member/src/checksum.rs
@@ -1,4 +1,4 @@
-use crate::{Checksums, EndpointState, Known, PeerState, PeerUpdate};
+use crate::{Checksums, EndpointRecord, EndpointState, PeerState, PeerUpdate};
 
 /// Number of buckets over which records are spread by their identifier.
 pub(crate) const BUCKETS: u16 = 256;
@@ -14,7 +14,7 @@
     /// Sums up the peers that are not dead and the endpoints whose lease runs.
     pub(crate) fn new<'a>(
         peers: impl Iterator<Item = &'a PeerUpdate>,
-        endpoints: impl Iterator<Item = &'a Known>,
+        endpoints: impl Iterator<Item = &'a EndpointRecord>,
     ) -> Self {
         let mut sums = Self(vec![0; usize::from(BUCKETS)]);
         for peer in peers.filter(|peer| peer.state != PeerState::Dead) {
--- a/crates/member/src/endpoints.rs
+++ b/crates/member/src/endpoints.rs
@@ -16,7 +16,7 @@
 /// Tracks which endpoints may get new work.
 #[derive(Debug, Default)]
 pub struct Endpoints {
-    known: BTreeMap<EndpointId, Known>,
+    known: BTreeMap<EndpointId, EndpointRecord>,
     lives: BTreeMap<IncarnationKey, EndpointId>,
     lease_floor: Duration,
     live: usize,
@@ -24,7 +24,7 @@
 
 /// What is known of an endpoint.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Known {
+pub struct EndpointRecord {
     /// Its newest announcement.
     pub announcement: Arc<Announcement>,
     /// When the endpoint wrote the announcement, as far as its age was measured.
@@ -89,7 +89,7 @@
 
 impl error::Error for Stale {}
 
-impl Known {
+impl EndpointRecord {
     /// Returns when the lease ends.
     pub fn expires(&self) -> MonotonicTime {
         self.written + self.lease
@@ -200,17 +200,17 @@
     }
 
     /// Returns all that is known, ended lives included.
-    pub fn iter(&self) -> impl Iterator<Item = &Known> {
+    pub fn iter(&self) -> impl Iterator<Item = &EndpointRecord> {
         self.known.values()
     }
 
     /// Returns what is known of `endpoint`.
-    pub fn find(&self, endpoint: &EndpointId) -> Option<&Known> {
+    pub fn find(&self, endpoint: &EndpointId) -> Option<&EndpointRecord> {
         self.known.get(endpoint)
     }
 
     /// Returns what is known of the life that `key` names, if it is the endpoint's newest.
-    pub fn find_life(&self, key: &IncarnationKey) -> Option<&Known> {
+    pub fn find_life(&self, key: &IncarnationKey) -> Option<&EndpointRecord> {
         self.known.get(self.lives.get(key)?)
     }
 
@@ -245,12 +245,17 @@
         self.live += usize::from(!was_live);
         self.lives.insert(IncarnationKey::of(&announcement), endpoint.clone());
         let lease = announcement.lease.max(self.lease_floor);
-        let known = Known { announcement, written, relayed_by, state, lease, ended: now };
+        let known = EndpointRecord { announcement, written, relayed_by, state, lease, ended: now };
         self.known.insert(endpoint, known);
         Ok(change)
     }
 
-    fn judge(&self, known: Option<&Known>, new: &Announcement, age: Duration) -> Option<Change> {
+    fn judge(
+        &self,
+        known: Option<&EndpointRecord>,
+        new: &Announcement,
+        age: Duration,
+    ) -> Option<Change> {
         let endpoint = new.endpoint.clone();
         let spent = new.lease.max(self.lease_floor) <= age;
         let Some(known) = known else {
@@ -314,7 +319,10 @@
 }
 
 /// Keeps a life's sequence number from going back when an older word that it leaves arrives.
-fn keep_newest_sequence(known: Option<&Known>, mut new: Arc<Announcement>) -> Arc<Announcement> {
+fn keep_newest_sequence(
+    known: Option<&EndpointRecord>,
+    mut new: Arc<Announcement>,
+) -> Arc<Announcement> {
     let Some(old) = known.map(|known| &known.announcement) else { return new };
     if old.incarnation == new.incarnation && new.sequence < old.sequence {
         Arc::make_mut(&mut new).sequence = old.sequence;
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -61,8 +61,8 @@
     announcement::{Announcement, EndpointKind, Engine, Load, ServedModel},
     budget::Budget,
     endpoints::{
-        Change, EndpointState, Endpoints, Known, MAX_ENDPOINTS, MAX_TOMBSTONES, RenewedLife, Stale,
-        TOMBSTONE_TIME,
+        Change, EndpointRecord, EndpointState, Endpoints, MAX_ENDPOINTS, MAX_TOMBSTONES,
+        RenewedLife, Stale, TOMBSTONE_TIME,
     },
     leavers::LeavingSet,
     membership::{Membership, Outgoing, Roster, TICK},
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, seq::IndexedRandom};
 
 use crate::{
-    Announcement, Budget, Change, Endpoints, Gossip, IncarnationKey, Known, MAX_ENDPOINTS,
+    Announcement, Budget, Change, EndpointRecord, Endpoints, Gossip, IncarnationKey, MAX_ENDPOINTS,
     PROBE_PERIOD, Peer, PeerUpdate, Peers, Rumour, Stale, Want, budget::Allowance,
     catch_up::CatchUp, checksum::Sums, spread::Spread,
 };
@@ -90,7 +90,7 @@
     /// The other routers.
     pub peers: Vec<Peer>,
     /// The endpoints, ended lives included.
-    pub endpoints: Vec<Known>,
+    pub endpoints: Vec<EndpointRecord>,
     /// Age of an announcement from which its endpoint may be gone.
     pub stale_after: Duration,
     /// The newest revision of the configuration, and who has it.
@@ -266,7 +266,7 @@
     }
 
     /// Queues what changed about an endpoint, given what was known before.
-    pub(crate) fn relay(&mut self, old: Option<&Known>, change: &Change) {
+    pub(crate) fn relay(&mut self, old: Option<&EndpointRecord>, change: &Change) {
         let (Change::Joined(endpoint)
         | Change::Renewed(endpoint)
         | Change::Leaving(endpoint)
@@ -294,7 +294,7 @@
     }
 
     /// Queues a renewal; one that the endpoint made here only if others had none for a while.
-    fn relay_renewal(&mut self, known: &Known, life: IncarnationKey) {
+    fn relay_renewal(&mut self, known: &EndpointRecord, life: IncarnationKey) {
         let spacing = self.budget.renewal_spacing(self.endpoint_count()) * 3 / 4;
         let last = self.relayed.get(&life);
         let is_early = last.is_some_and(|&last| known.written.saturating_since(last) < spacing);
@@ -432,12 +432,12 @@
     }
 }
 
-fn is_same_leave(old: &Known, new: &Known) -> bool {
+fn is_same_leave(old: &EndpointRecord, new: &EndpointRecord) -> bool {
     old.announcement.leaving && old.announcement.incarnation == new.announcement.incarnation
 }
 
 /// Returns whether two announcements differ in nothing but sequence and load.
-fn says_the_same(old: &Known, new: &Known) -> bool {
+fn says_the_same(old: &EndpointRecord, new: &EndpointRecord) -> bool {
     let (old, new) = (&old.announcement, &new.announcement);
     old.incarnation == new.incarnation
         && old.data_centre == new.data_centre
