--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -5,7 +5,7 @@
 };
 
 use base::{ByteCount, HostId, MonotonicTime, Revision, Term};
-use member::{Announcement, Budget, Change, Membership, PeerUpdate, Roster, TICK};
+use member::{Announcement, Budget, EndpointChange, Membership, PeerUpdate, Roster, TICK};
 use rand::SeedableRng as _;
 use rand_pcg::Pcg64Mcg;
 use telemetry::{Metrics, QuorumRole};
@@ -286,10 +286,10 @@
         let mut changed = false;
         for change in self.membership.take_changes() {
             match change {
-                Change::Renewed(_) => continue,
-                Change::Joined(endpoint) => log::info!(endpoint:%; "joined"),
-                Change::Leaving(endpoint) => log::info!(endpoint:%; "leaving"),
-                Change::Expired(endpoint) => log::info!(endpoint:%; "lease ended"),
+                EndpointChange::Renewed(_) => continue,
+                EndpointChange::Joined(endpoint) => log::info!(endpoint:%; "joined"),
+                EndpointChange::Leaving(endpoint) => log::info!(endpoint:%; "leaving"),
+                EndpointChange::Expired(endpoint) => log::info!(endpoint:%; "lease ended"),
             }
             changed = true;
         }
--- a/crates/member/src/endpoints.rs
+++ b/crates/member/src/endpoints.rs
@@ -63,7 +63,7 @@
 
 /// How an announcement or the passing of time changed what may get new work.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Change {
+pub enum EndpointChange {
     /// The endpoint is new, or a new incarnation of it.
     Joined(EndpointId),
     /// The endpoint renewed its lease.
@@ -124,7 +124,7 @@
         now: MonotonicTime,
         announcement: Announcement,
         age: Duration,
-    ) -> Result<Change, Stale> {
+    ) -> Result<EndpointChange, Stale> {
         self.apply(now, Arc::new(announcement), age, None)
     }
 
@@ -139,7 +139,7 @@
         announcement: Arc<Announcement>,
         age: Duration,
         router: HostId,
-    ) -> Result<Change, Stale> {
+    ) -> Result<EndpointChange, Stale> {
         self.apply(now, announcement, age, Some(router))
     }
 
@@ -154,7 +154,7 @@
         &mut self,
         now: MonotonicTime,
         renewal: &RenewedLife,
-    ) -> Option<Result<Change, Stale>> {
+    ) -> Option<Result<EndpointChange, Stale>> {
         let known = self.known.get(self.lives.get(&renewal.life)?)?;
         let mut announcement = Announcement::clone(&known.announcement);
         announcement.sequence = renewal.sequence;
@@ -178,7 +178,7 @@
     }
 
     /// Expires leases that ended at or before `now`, and forgets old ends of lives.
-    pub fn tick(&mut self, now: MonotonicTime) -> Vec<Change> {
+    pub fn tick(&mut self, now: MonotonicTime) -> Vec<EndpointChange> {
         let mut changes = Vec::new();
         for (endpoint, known) in &mut self.known {
             if known.state.has_ended() || now < known.expires() {
@@ -188,7 +188,7 @@
             known.state = if left { EndpointState::Left } else { EndpointState::Expired };
             known.ended = now;
             self.live -= 1;
-            changes.push(Change::Expired(endpoint.clone()));
+            changes.push(EndpointChange::Expired(endpoint.clone()));
         }
         self.forget_old(now);
         changes
@@ -225,14 +225,14 @@
         announcement: Arc<Announcement>,
         age: Duration,
         relayed_by: Option<HostId>,
-    ) -> Result<Change, Stale> {
+    ) -> Result<EndpointChange, Stale> {
         let endpoint = announcement.endpoint.clone();
         let known = self.known.get(&endpoint);
         let Some(change) = self.judge(known, &announcement, age) else {
             return Err(Stale { endpoint });
         };
         let state = match change {
-            Change::Leaving(_) => EndpointState::Leaving,
+            EndpointChange::Leaving(_) => EndpointState::Leaving,
             _ => EndpointState::Ready,
         };
         let written = now.saturating_sub(age);
@@ -255,16 +255,16 @@
         known: Option<&EndpointRecord>,
         new: &Announcement,
         age: Duration,
-    ) -> Option<Change> {
+    ) -> Option<EndpointChange> {
         let endpoint = new.endpoint.clone();
         let spent = new.lease.max(self.lease_floor) <= age;
         let Some(known) = known else {
             let full = MAX_ENDPOINTS + MAX_TOMBSTONES <= self.known.len();
             return match new.leaving {
                 _ if full => None,
-                true => Some(Change::Leaving(endpoint)),
+                true => Some(EndpointChange::Leaving(endpoint)),
                 false if spent => None,
-                false => Some(Change::Joined(endpoint)),
+                false => Some(EndpointChange::Joined(endpoint)),
             };
         };
         let old = &known.announcement;
@@ -275,11 +275,11 @@
         let newer = !same_life || old.sequence < new.sequence;
         match (new.leaving, same_life) {
             (true, true) if known.state.has_left() && (!newer || spent) => None,
-            (true, _) => Some(Change::Leaving(endpoint)),
+            (true, _) => Some(EndpointChange::Leaving(endpoint)),
             (false, _) if spent || !newer => None,
             (false, true) if known.state.has_left() => None,
-            (false, true) => Some(Change::Renewed(endpoint)),
-            (false, false) => Some(Change::Joined(endpoint)),
+            (false, true) => Some(EndpointChange::Renewed(endpoint)),
+            (false, false) => Some(EndpointChange::Joined(endpoint)),
         }
     }
 
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -61,7 +61,7 @@
     announcement::{Announcement, EndpointKind, Engine, Load, ServedModel},
     budget::Budget,
     endpoints::{
-        Change, EndpointRecord, EndpointState, Endpoints, MAX_ENDPOINTS, MAX_TOMBSTONES,
+        EndpointChange, EndpointRecord, EndpointState, Endpoints, MAX_ENDPOINTS, MAX_TOMBSTONES,
         RenewedLife, Stale, TOMBSTONE_TIME,
     },
     leavers::LeavingSet,
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -9,8 +9,8 @@
 use rand::{Rng, seq::IndexedRandom};
 
 use crate::{
-    Announcement, Budget, Change, EndpointRecord, Endpoints, Gossip, IncarnationKey, MAX_ENDPOINTS,
-    PROBE_PERIOD, Peer, PeerUpdate, Peers, Rumour, Stale, Want, budget::Allowance,
+    Announcement, Budget, EndpointChange, EndpointRecord, Endpoints, Gossip, IncarnationKey,
+    MAX_ENDPOINTS, PROBE_PERIOD, Peer, PeerUpdate, Peers, Rumour, Stale, Want, budget::Allowance,
     catch_up::CatchUp, checksum::Sums, spread::Spread,
 };
 
@@ -38,7 +38,7 @@
     pub(crate) queues: Queues,
     pub(crate) wanted: BTreeSet<IncarnationKey>,
     pub(crate) vouching: BTreeMap<HostId, Vouching>,
-    pub(crate) changes: Vec<Change>,
+    pub(crate) changes: Vec<EndpointChange>,
     pub(crate) sums: Option<Sums>,
     pub(crate) next_sums: u16,
     pub(crate) catch_up: Option<CatchUp>,
@@ -137,7 +137,7 @@
         &mut self,
         now: MonotonicTime,
         announcement: Announcement,
-    ) -> Result<Change, Stale> {
+    ) -> Result<EndpointChange, Stale> {
         let old = self.endpoints.find(&announcement.endpoint).cloned();
         let change = self.endpoints.announce(now, announcement, Duration::ZERO)?;
         self.relay(old.as_ref(), &change);
@@ -169,7 +169,7 @@
     }
 
     /// Returns how endpoints changed since the last call.
-    pub fn take_changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<EndpointChange> {
         std::mem::take(&mut self.changes)
     }
 
@@ -266,30 +266,30 @@
     }
 
     /// Queues what changed about an endpoint, given what was known before.
-    pub(crate) fn relay(&mut self, old: Option<&EndpointRecord>, change: &Change) {
-        let (Change::Joined(endpoint)
-        | Change::Renewed(endpoint)
-        | Change::Leaving(endpoint)
-        | Change::Expired(endpoint)) = change;
+    pub(crate) fn relay(&mut self, old: Option<&EndpointRecord>, change: &EndpointChange) {
+        let (EndpointChange::Joined(endpoint)
+        | EndpointChange::Renewed(endpoint)
+        | EndpointChange::Leaving(endpoint)
+        | EndpointChange::Expired(endpoint)) = change;
         let Some(known) = self.endpoints.find(endpoint).cloned() else { return };
         let life = IncarnationKey::of(&known.announcement);
         match change {
-            Change::Leaving(_) if old.is_some_and(|old| is_same_leave(old, &known)) => {}
-            Change::Leaving(_) => {
+            EndpointChange::Leaving(_) if old.is_some_and(|old| is_same_leave(old, &known)) => {}
+            EndpointChange::Leaving(_) => {
                 self.queues.joined.remove(endpoint);
                 self.queues.renewed.remove(&life);
                 self.queues.leaving.push(endpoint.clone());
                 self.sums = None;
             }
-            Change::Renewed(_) if old.is_some_and(|old| says_the_same(old, &known)) => {
+            EndpointChange::Renewed(_) if old.is_some_and(|old| says_the_same(old, &known)) => {
                 self.relay_renewal(&known, life);
             }
-            Change::Joined(_) | Change::Renewed(_) => {
+            EndpointChange::Joined(_) | EndpointChange::Renewed(_) => {
                 self.relayed.insert(life, known.written);
                 self.queues.joined.push(endpoint.clone());
                 self.sums = None;
             }
-            Change::Expired(_) => {}
+            EndpointChange::Expired(_) => {}
         }
     }
 
--- a/crates/member/tests/endpoints.rs
+++ b/crates/member/tests/endpoints.rs
@@ -5,7 +5,7 @@
 use std::{sync::Arc, time::Duration};
 
 use base::MonotonicTime;
-use member::{Change, Endpoints, MAX_TOMBSTONES, TOMBSTONE_TIME};
+use member::{EndpointChange, Endpoints, MAX_TOMBSTONES, TOMBSTONE_TIME};
 use net::{Net, service};
 use proptest::{
     prelude::{ProptestConfig, Strategy, any, prop},
@@ -111,7 +111,7 @@
     leaving.leaving = true;
     let endpoint = leaving.endpoint.clone();
     let change = endpoints.announce(now, leaving, Duration::ZERO);
-    assert_eq!(change, Ok(Change::Leaving(endpoint)));
+    assert_eq!(change, Ok(EndpointChange::Leaving(endpoint)));
     assert!(endpoints.announce(now, service(1, 1, 10), Duration::ZERO).is_err());
     assert_eq!(endpoints.ready().count(), 0);
 }
@@ -125,7 +125,7 @@
         let endpoint = announcement.endpoint.clone();
         let mut leaving = announcement.clone();
         let change = endpoints.announce(now, announcement, Duration::ZERO);
-        assert_eq!(change, Ok(Change::Joined(endpoint)));
+        assert_eq!(change, Ok(EndpointChange::Joined(endpoint)));
         leaving.leaving = true;
         leaving.sequence = leaving.sequence.next();
         endpoints.announce(now, leaving, Duration::ZERO).unwrap();
@@ -141,7 +141,7 @@
     assert_eq!(endpoints.tick(later).len(), 1);
     assert!(endpoints.announce(later, service(1, 1, 4), Duration::ZERO).is_err());
     let change = endpoints.announce(later, service(1, 1, 5), Duration::ZERO);
-    assert!(matches!(change, Ok(Change::Renewed(_))));
+    assert!(matches!(change, Ok(EndpointChange::Renewed(_))));
 }
 
 #[test]
@@ -225,7 +225,7 @@
     net.run(30_000, |net| {
         renew(net);
         let changes = net.routers.iter_mut().flat_map(|router| router.take_changes());
-        ended += changes.filter(|change| matches!(change, Change::Expired(_))).count();
+        ended += changes.filter(|change| matches!(change, EndpointChange::Expired(_))).count();
     });
     assert!(ended <= 3, "{ended} leases ended");
     net.run(5_000, |_| ());
