--- a/crates/bench/src/slopes/net.rs
+++ b/crates/bench/src/slopes/net.rs
@@ -5,7 +5,7 @@
 use base::{BlockCount, EndpointId, Incarnation, MonotonicTime, Revision, Sequence, TokenCount};
 use member::{
     Announcement, Budget, EndpointKind, Engine, Load, Membership, PeerState, PeerUpdate,
-    ServedModel, TICK,
+    ServedModel, TICK_INTERVAL,
 };
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
@@ -114,7 +114,7 @@
                 self.tick(i);
             }
         }
-        let next = self.now + TICK;
+        let next = self.now + TICK_INTERVAL;
         self.deliver_until(next);
         self.now = next;
     }
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -5,7 +5,7 @@
 };
 
 use base::{ByteCount, HostId, MonotonicTime, Revision, Term};
-use member::{Announcement, Budget, EndpointChange, Membership, PeerUpdate, Roster, TICK};
+use member::{Announcement, Budget, EndpointChange, Membership, PeerUpdate, Roster, TICK_INTERVAL};
 use rand::SeedableRng as _;
 use rand_pcg::Pcg64Mcg;
 use telemetry::{Metrics, QuorumRole};
@@ -146,7 +146,7 @@
             let now = self.clock.now();
             let ticked = self.next_tick <= now;
             if ticked {
-                self.next_tick = now + TICK;
+                self.next_tick = now + TICK_INTERVAL;
                 self.tick(now);
             }
             if self.log_changes() || ticked {
--- a/crates/member/src/budget.rs
+++ b/crates/member/src/budget.rs
@@ -2,7 +2,7 @@
 
 use base::{ByteCount, ByteRate, MonotonicTime};
 
-use crate::TICK;
+use crate::TICK_INTERVAL;
 
 /// Bound on the encoded length of a renewal without load, in bytes.
 pub(crate) const RENEWAL_BYTES: usize = 16;
@@ -87,7 +87,7 @@
 /// Returns the time in which news reaches nearly all of so many routers.
 fn spread_time(routers: usize) -> Duration {
     const SPARE_ROUNDS: u32 = 3;
-    TICK * (SPARE_ROUNDS + (routers + 1).ilog2())
+    TICK_INTERVAL * (SPARE_ROUNDS + (routers + 1).ilog2())
 }
 
 /// Bytes that may be sent now, refilled at a steady rate.
--- a/crates/member/src/detector.rs
+++ b/crates/member/src/detector.rs
@@ -2,7 +2,7 @@
 
 use base::{DataCentreId, HostId, Incarnation, MonotonicTime, Sequence};
 
-use crate::{PROBE_PERIOD, PeerUpdate, TICK, link::Link};
+use crate::{PROBE_PERIOD, PeerUpdate, TICK_INTERVAL, link::Link};
 
 /// Probes under way, with timeouts learnt a data centre.
 #[derive(Debug, Default)]
@@ -86,7 +86,7 @@
                 return (host, Overdue::Indirect);
             }
             self.links.entry(probe.data_centre.clone()).or_default().lost();
-            probe.deadline = now + self.timeout(&probe.data_centre) * 2 + TICK * 2;
+            probe.deadline = now + self.timeout(&probe.data_centre) * 2 + TICK_INTERVAL * 2;
             probe.overdue = Some(Overdue::Direct);
             self.probes.insert(host.clone(), probe);
         }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`Membership`] is one router's share in a gossip between all: [`Peers`] tells which routers are
 //! alive, [`Endpoints`] which endpoints may get new work, and a [`Rumour`] names the newest
 //! revision of the configuration. It is a state machine without sockets or clocks. The driver
-//! calls [`Membership::tick`] each [`TICK`] and sends what it returns; it passes each message that
+//! calls [`Membership::tick`] each [`TICK_INTERVAL`] and sends what it returns; it passes each message that
 //! arrives to [`Membership::request`] and sends the answer back, and passes each answer that it
 //! gets to [`Membership::response`]. Messages may be lost, delayed, doubled and reordered.
 //!
@@ -65,7 +65,7 @@
         RenewedLife, Stale, TOMBSTONE_TIME,
     },
     leavers::LeavingSet,
-    membership::{Membership, Outgoing, Roster, TICK},
+    membership::{Membership, Outgoing, Roster, TICK_INTERVAL},
     message::{
         Checksums, EndpointUpdate, Gossip, IncarnationKey, PeerState, PeerUpdate, Pull, Renewal,
         Rumour, Want,
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -15,7 +15,7 @@
 };
 
 /// Time between two calls of [`Membership::tick`].
-pub const TICK: Duration = Duration::from_millis(200);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A pause between two ticks after which this process was frozen and judges nobody by it.
 const FREEZE: Duration = Duration::from_secs(3);
@@ -147,7 +147,7 @@
 
     /// Lets time pass, and returns the messages to send now.
     ///
-    /// The driver calls it each [`TICK`]; a call that comes late does no harm.
+    /// The driver calls it each [`TICK_INTERVAL`]; a call that comes late does no harm.
     pub fn tick(&mut self, now: MonotonicTime, rng: &mut impl Rng) -> Vec<Outgoing> {
         if FREEZE <= now.saturating_since(self.ticked) {
             self.peers.resume(now);
--- a/crates/member/tests/net/mod.rs
+++ b/crates/member/tests/net/mod.rs
@@ -4,7 +4,9 @@
 use std::{collections::BTreeMap, net::SocketAddr, ops::Range, time::Duration};
 
 use base::{Incarnation, MonotonicTime, Revision, Sequence, ServiceId};
-use member::{Announcement, Budget, EndpointKind, Gossip, Membership, PeerState, PeerUpdate, TICK};
+use member::{
+    Announcement, Budget, EndpointKind, Gossip, Membership, PeerState, PeerUpdate, TICK_INTERVAL,
+};
 use rand::{Rng, RngExt};
 use rand_pcg::{Pcg64, rand_core::SeedableRng};
 
@@ -103,7 +105,7 @@
                     self.call(index, outgoing.to, outgoing.message);
                 }
             }
-            let next = self.now + TICK;
+            let next = self.now + TICK_INTERVAL;
             self.deliver_until(next);
             self.now = next;
         }
