--- a/crates/bench/src/slopes/memory.rs
+++ b/crates/bench/src/slopes/memory.rs
@@ -91,7 +91,7 @@
     let now = MonotonicTime::from_millis(1_000);
     let mut router = net::router(now, 0, 1);
     let gossip = gossip_from_bytes(&gossip_to_bytes(&gossip)).expect("own bytes can be read");
-    router.request(now, gossip);
+    router.handle_request(now, gossip);
     router
 }
 
--- a/crates/bench/src/slopes/net.rs
+++ b/crates/bench/src/slopes/net.rs
@@ -167,10 +167,10 @@
         let Message { from, to, sent, is_answer, body } = message;
         let gossip = gossip_from_bytes(&body).expect("own bytes can be read");
         if !is_answer {
-            let body = gossip_to_bytes(&self.routers[to].request(at, gossip));
+            let body = gossip_to_bytes(&self.routers[to].handle_request(at, gossip));
             return self.post(at, Message { from: to, to: from, sent, is_answer: true, body });
         }
-        for outgoing in self.routers[to].response(at, sent, gossip) {
+        for outgoing in self.routers[to].handle_response(at, sent, gossip) {
             self.calls[to] += 1;
             let body = gossip_to_bytes(&outgoing.message);
             let from = to;
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -180,7 +180,7 @@
             Ok(message) => {
                 // A router that starts takes the first answers for what its peers hold.
                 self.membership.set_revision(self.rings.configurations.revision());
-                let answer = gossip_to_bytes(&self.membership.request(now, message));
+                let answer = gossip_to_bytes(&self.membership.handle_request(now, message));
                 self.rings.metrics.gossip_sent(byte_count(&answer));
                 let _ = call.reply.try_send(answer);
             }
@@ -192,7 +192,7 @@
         self.rings.metrics.gossip_received(byte_count(message));
         match gossip_from_bytes(message) {
             Ok(message) => {
-                let follow_ups = self.membership.response(now, sent, message);
+                let follow_ups = self.membership.handle_response(now, sent, message);
                 self.send(now, follow_ups);
             }
             Err(e) => log::warn!(error:% = e; "answer to gossip dropped"),
--- a/crates/member/src/exchange.rs
+++ b/crates/member/src/exchange.rs
@@ -19,7 +19,7 @@
 
 impl Membership {
     /// Answers a message from another router.
-    pub fn request(&mut self, now: MonotonicTime, message: Gossip) -> Gossip {
+    pub fn handle_request(&mut self, now: MonotonicTime, message: Gossip) -> Gossip {
         self.hear_doubt(now, &message);
         let answer = self.answer(now, &message);
         self.absorb(now, message, Duration::ZERO);
@@ -29,7 +29,7 @@
     /// Applies the answer to a message that was sent at `sent`, and returns what follows from it.
     ///
     /// An answer that never comes needs no call.
-    pub fn response(
+    pub fn handle_response(
         &mut self,
         now: MonotonicTime,
         sent: MonotonicTime,
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -4,8 +4,8 @@
 //! alive, [`Endpoints`] which endpoints may get new work, and a [`Rumour`] names the newest
 //! revision of the configuration. It is a state machine without sockets or clocks. The driver
 //! calls [`Membership::tick`] each [`TICK_INTERVAL`] and sends what it returns; it passes each message that
-//! arrives to [`Membership::request`] and sends the answer back, and passes each answer that it
-//! gets to [`Membership::response`]. Messages may be lost, delayed, doubled and reordered.
+//! arrives to [`Membership::handle_request`] and sends the answer back, and passes each answer that it
+//! gets to [`Membership::handle_response`]. Messages may be lost, delayed, doubled and reordered.
 //!
 //! # Example
 //!
@@ -36,8 +36,8 @@
 //!
 //! let now = MonotonicTime::from_millis(200);
 //! for outgoing in second.tick(now, &mut Pcg64::seed_from_u64(1)) {
-//!     let answer = first.request(now, outgoing.message);
-//!     second.response(now, now, answer);
+//!     let answer = first.handle_request(now, outgoing.message);
+//!     second.handle_response(now, now, answer);
 //! }
 //! assert_eq!(first.peers().live().count(), 1);
 //! assert_eq!(second.peers().live().count(), 1);
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -67,7 +67,7 @@
     probed: Option<MonotonicTime>,
 }
 
-/// A message to be sent; its answer goes to [`Membership::response`].
+/// A message to be sent; its answer goes to [`Membership::handle_response`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outgoing {
     /// Where to send it.
--- a/crates/member/tests/net/mod.rs
+++ b/crates/member/tests/net/mod.rs
@@ -180,14 +180,14 @@
             }
             let router = &mut self.routers[call.to];
             if call.is_answer {
-                for outgoing in router.response(at, call.sent, call.message) {
+                for outgoing in router.handle_response(at, call.sent, call.message) {
                     let to = usize::from(outgoing.to.port()) - 10_000;
                     let message = outgoing.message;
                     self.post(at, Call { from: call.to, to, sent: at, is_answer: false, message });
                 }
                 continue;
             }
-            let message = router.request(at, call.message);
+            let message = router.handle_request(at, call.message);
             let (from, to) = (call.to, call.from);
             self.post(at, Call { from, to, sent: call.sent, is_answer: true, message });
         }
--- a/crates/member/tests/peers.rs
+++ b/crates/member/tests/peers.rs
@@ -149,7 +149,7 @@
         let Some(outgoing) = other.pop() else { panic!("no seed is probed") };
         let mut message = outgoing.message;
         message.from = net::peer(index, 1);
-        net.routers[0].request(net.now, message);
+        net.routers[0].handle_request(net.now, message);
     }
     assert_eq!(net.routers[0].peers().iter().count(), MAX_PEERS);
 }
