--- a/crates/daemon/src/admin/status.rs
+++ b/crates/daemon/src/admin/status.rs
@@ -92,7 +92,7 @@
         },
         revision: peer.update.revision,
         laggard: is_laggard(peer, newest),
-        heard_ms: millis(now.saturating_since(peer.heard.unwrap_or(peer.changed))),
+        heard_ms: millis(now.saturating_since(peer.last_contact.unwrap_or(peer.state_changed_at))),
     };
     roster.peers.iter().map(peer).collect()
 }
--- a/crates/daemon/src/readiness.rs
+++ b/crates/daemon/src/readiness.rs
@@ -94,5 +94,5 @@
 }
 
 fn has_spoken(roster: &Roster) -> bool {
-    roster.peers.iter().any(|p| p.heard.is_some() && p.update.state != PeerState::Dead)
+    roster.peers.iter().any(|p| p.last_contact.is_some() && p.update.state != PeerState::Dead)
 }
--- a/crates/member/src/peers.rs
+++ b/crates/member/src/peers.rs
@@ -44,9 +44,9 @@
     /// The newest news of it.
     pub update: PeerUpdate,
     /// When it last spoke itself, if it did.
-    pub heard: Option<MonotonicTime>,
+    pub last_contact: Option<MonotonicTime>,
     /// When its state last changed.
-    pub changed: MonotonicTime,
+    pub state_changed_at: MonotonicTime,
     /// The router that told its state.
     pub told_by: HostId,
 }
@@ -179,7 +179,7 @@
         let host = from.host.clone();
         let news = self.merge(now, from, &host);
         if let Some(peer) = self.known.get_mut(&host) {
-            peer.heard = Some(now);
+            peer.last_contact = Some(now);
         }
         news
     }
@@ -208,7 +208,12 @@
             Entry::Vacant(_) if new.state != PeerState::Alive => return false,
             Entry::Vacant(entry) => {
                 let told_by = teller.clone();
-                entry.insert(Peer { update: new.clone(), heard: None, changed: now, told_by });
+                entry.insert(Peer {
+                    update: new.clone(),
+                    last_contact: None,
+                    state_changed_at: now,
+                    told_by,
+                });
             }
             Entry::Occupied(mut entry) => {
                 let peer = entry.get_mut();
@@ -222,7 +227,7 @@
                 if !changed {
                     return false;
                 }
-                peer.changed = now;
+                peer.state_changed_at = now;
             }
         }
         self.spread.push(new.host);
@@ -235,7 +240,7 @@
         self.detector.clear();
         let suspects = self.known.values_mut();
         for peer in suspects.filter(|peer| peer.update.state == PeerState::Suspect) {
-            peer.changed = now;
+            peer.state_changed_at = now;
         }
     }
 
@@ -329,7 +334,7 @@
             return;
         }
         peer.update.state = PeerState::Suspect;
-        peer.changed = now;
+        peer.state_changed_at = now;
         peer.told_by = self.me.host.clone();
         self.spread.push(host.clone());
     }
@@ -342,12 +347,12 @@
         let mut dead = Vec::new();
         for (host, peer) in &mut self.known {
             let patience = self.detector.suspicion_time(&peer.update.data_centre, fleet);
-            let silent = now.saturating_since(peer.changed);
+            let silent = now.saturating_since(peer.state_changed_at);
             if peer.update.state != PeerState::Suspect || silent < patience {
                 continue;
             }
             peer.update.state = PeerState::Dead;
-            peer.changed = now;
+            peer.state_changed_at = now;
             dead.push(host.clone());
         }
         for host in dead {
@@ -358,13 +363,15 @@
 
     fn forget(&mut self, now: MonotonicTime) {
         let is_dead = |peer: &Peer| peer.update.state == PeerState::Dead;
-        self.known
-            .retain(|_, peer| !is_dead(peer) || now.saturating_since(peer.changed) < DEAD_TIME);
+        self.known.retain(|_, peer| {
+            !is_dead(peer) || now.saturating_since(peer.state_changed_at) < DEAD_TIME
+        });
         if self.has_room() {
             return;
         }
         let dead = self.iter().filter(|peer| is_dead(peer));
-        let oldest = dead.min_by_key(|peer| peer.changed).map(|peer| peer.update.host.clone());
+        let oldest =
+            dead.min_by_key(|peer| peer.state_changed_at).map(|peer| peer.update.host.clone());
         if let Some(host) = oldest {
             self.known.remove(&host);
         }
