--- a/crates/daemon/src/gateway/exchange.rs
+++ b/crates/daemon/src/gateway/exchange.rs
@@ -149,7 +149,7 @@
     }
 
     fn may_attempt_again(&self) -> bool {
-        self.route.repetition.may_repeat()
+        self.route.retry_policy.may_repeat()
             && self.progress.ran < self.route.max_attempts
             && self.progress.tried.len() < MAX_TRIES
     }
@@ -330,7 +330,7 @@
         let sent = self.sending(target);
         let sending =
             tokio::time::timeout_at(self.attempt_deadline(), sender.send_request(request));
-        let lost = lost(&self.gateway, target, self.route.repetition.may_repeat());
+        let lost = lost(&self.gateway, target, self.route.retry_policy.may_repeat());
         let response = tokio::select! {
             biased;
             sent = sending => match sent {
@@ -421,12 +421,12 @@
 
     /// Returns when an attempt is given up, so that another one is still of use.
     fn attempt_deadline(&self) -> Instant {
-        let repeatable = self.route.repetition.may_repeat();
+        let repeatable = self.route.retry_policy.may_repeat();
         if !repeatable || self.route.max_attempts <= self.progress.ran + 1 {
             return self.deadline;
         }
         let now = Instant::now();
-        if self.route.repetition.is_stream() {
+        if self.route.retry_policy.is_stream() {
             return (now + EVENT_TIMEOUT).min(self.deadline);
         }
         let left = self.deadline.saturating_duration_since(now);
--- a/crates/daemon/src/gateway/forward.rs
+++ b/crates/daemon/src/gateway/forward.rs
@@ -133,7 +133,7 @@
         recorder: recorder.clone(),
         progress: Progress::default(),
     };
-    if route.repetition.is_stream() {
+    if route.retry_policy.is_stream() {
         return stream(exchange, active).await;
     }
     let answer = whole(exchange).await?;
--- a/crates/daemon/src/gateway/relay.rs
+++ b/crates/daemon/src/gateway/relay.rs
@@ -169,7 +169,7 @@
 
 impl Part {
     fn new<D: Dialect>(exchange: &Exchange<D>, opened: Opened) -> Self {
-        let may_move = exchange.route.repetition.may_repeat();
+        let may_move = exchange.route.retry_policy.may_repeat();
         Self { opened, cutter: Cutter::new(MAX_EVENT), begun: false, may_move }
     }
 }
@@ -227,7 +227,7 @@
     last_id: &mut Option<String>,
     pace: &mut Pace,
 ) -> PartEnd {
-    let resumable = exchange.route.repetition.may_repeat();
+    let resumable = exchange.route.retry_policy.may_repeat();
     let Part { opened, cutter, begun, may_move } = part;
     loop {
         let silence = if resumable { Instant::now() + EVENT_TIMEOUT } else { exchange.deadline };
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -9,14 +9,14 @@
 //! ```
 //! use std::time::Duration;
 //!
-//! use routes::{Limits, Repetition, Route, Service, Table, WeightedService};
+//! use routes::{Limits, RetryPolicy, Route, Service, Table, WeightedService};
 //!
 //! let orders = Route {
 //!     name: "orders".into(),
 //!     host: "desk.example".into(),
 //!     prefix: "/orders/".into(),
 //!     services: vec![WeightedService { service: "desk".parse()?, weight: 1 }],
-//!     repetition: Repetition::AtMostOnce,
+//!     retry_policy: RetryPolicy::AtMostOnce,
 //!     timeout: Duration::from_millis(800),
 //!     objective: Duration::from_millis(120),
 //!     priority: 2,
@@ -40,7 +40,7 @@
 pub use crate::{
     invalid::Invalid,
     organisation::{ApiKey, Organisation},
-    route::{Repetition, Route, WeightedService},
+    route::{RetryPolicy, Route, WeightedService},
     service::{Engine, KvStore, Service},
     table::{Limits, Table},
 };
--- a/crates/routes/src/route.rs
+++ b/crates/routes/src/route.rs
@@ -14,7 +14,7 @@
     /// Where requests go, by weight.
     pub services: Vec<WeightedService>,
     /// What may be sent again.
-    pub repetition: Repetition,
+    pub retry_policy: RetryPolicy,
     /// Longest time from a request's arrival to its final answer.
     pub timeout: Duration,
     /// Time to the answer, or to a stream's first event, that callers expect.
@@ -38,7 +38,7 @@
 
 /// What may be sent again after it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repetition {
+pub enum RetryPolicy {
     /// The whole request.
     Idempotent,
     /// Nothing.
@@ -49,7 +49,7 @@
     ResumableStream,
 }
 
-impl Repetition {
+impl RetryPolicy {
     /// Returns whether a request may be sent again after it may have run.
     pub fn may_repeat(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
--- a/crates/routes/tests/table.rs
+++ b/crates/routes/tests/table.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use routes::{
-    ApiKey, Invalid, Limits, Organisation, Repetition, Route, Service, Table, WeightedService,
+    ApiKey, Invalid, Limits, Organisation, RetryPolicy, Route, Service, Table, WeightedService,
 };
 use yare::parameterized;
 
@@ -17,7 +17,7 @@
         host: host.into(),
         prefix: prefix.into(),
         services: vec![WeightedService { service: "desk".parse().unwrap(), weight: 1 }],
-        repetition: Repetition::Idempotent,
+        retry_policy: RetryPolicy::Idempotent,
         timeout: Duration::from_secs(1),
         objective: Duration::from_millis(100),
         priority: 0,
