--- a/crates/daemon/src/gateway/exchange.rs
+++ b/crates/daemon/src/gateway/exchange.rs
@@ -270,7 +270,7 @@
         let gateway = &self.gateway;
         let now = gateway.clock.now();
         let draw = self.service_draw();
-        let service = self.route.service_at(draw).ok_or(NoTarget::Unknown)?;
+        let service = self.route.pick_service(draw).ok_or(NoTarget::Unknown)?;
         let newest = gateway.in_force();
         let table = &self.in_force.table;
         let configured = table.service(service);
--- a/crates/routes/src/route.rs
+++ b/crates/routes/src/route.rs
@@ -63,7 +63,7 @@
 
 impl Route {
     /// Returns the service that `draw`, a number from 0 below 1, falls to.
-    pub fn service_at(&self, draw: f64) -> Option<&ServiceId> {
+    pub fn pick_service(&self, draw: f64) -> Option<&ServiceId> {
         let total: f64 = self.services.iter().map(|entry| f64::from(entry.weight)).sum();
         let mut left = draw * total;
         let weighted = self.services.iter().filter(|entry| entry.weight != 0);
--- a/crates/routes/tests/table.rs
+++ b/crates/routes/tests/table.rs
@@ -100,7 +100,7 @@
     let weighted = |name: &str, weight| WeightedService { service: name.parse().unwrap(), weight };
     let services = vec![weighted("a", 90), weighted("b", 0), weighted("c", 10)];
     let route = Route { services, ..route("r", "a", "/x/") };
-    assert_eq!(route.service_at(draw).map(|s| s.as_str()), Some(expected));
+    assert_eq!(route.pick_service(draw).map(|s| s.as_str()), Some(expected));
 }
 
 #[test]
