--- a/crates/base/src/digest.rs
+++ b/crates/base/src/digest.rs
@@ -6,20 +6,20 @@
 
 /// A BLAKE3 digest.
 ///
-/// Formats for people hold it as hexadecimal digits, binary ones as 32 bytes.
+/// Human-readable formats encode it as hexadecimal digits, binary ones as 32 bytes.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest([u8; Digest::BYTES]);
 
 impl Digest {
-    /// Length, in bytes.
+    /// Length in bytes.
     pub const BYTES: usize = 32;
 
-    /// Digests `bytes`.
+    /// Returns the digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Self {
         Self(*blake3::hash(bytes).as_bytes())
     }
 
-    /// Wraps bytes that are a digest already.
+    /// Wraps the bytes of an existing digest.
     pub const fn from_bytes(bytes: [u8; Self::BYTES]) -> Self {
         Self(bytes)
     }
@@ -30,7 +30,7 @@
     }
 }
 
-/// Digests several fields so that no two lists of fields share an input.
+/// Hashes a list of fields; different lists never give the same hash input.
 #[derive(Default)]
 pub struct Hasher(blake3::Hasher);
 
@@ -43,7 +43,7 @@
         self
     }
 
-    /// Returns the digest of the fields added.
+    /// Returns the digest of the fields added so far.
     pub fn finish(&self) -> Digest {
         Digest(*self.0.finalize().as_bytes())
     }
--- a/crates/base/src/id.rs
+++ b/crates/base/src/id.rs
@@ -4,10 +4,10 @@
 
 use crate::ParseError;
 
-/// Longest text of an identifier, in bytes.
+/// Longest identifier, in bytes.
 const MAX_ID_BYTES: usize = 128;
 
-const ID_RULE: &str = "1 to 128 letters, digits or any of . _ - : / + @ =";
+const ID_SYNTAX: &str = "1 to 128 letters, digits or any of . _ - : / + @ =";
 
 fn is_id_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"._-:/+@=".contains(&byte)
@@ -31,9 +31,9 @@
             type Err = ParseError;
 
             fn from_str(text: &str) -> Result<Self, ParseError> {
-                let fits = (1..=MAX_ID_BYTES).contains(&text.len());
-                if !fits || !text.bytes().all(is_id_byte) {
-                    return Err(ParseError::new($what, text, ID_RULE));
+                let has_valid_length = (1..=MAX_ID_BYTES).contains(&text.len());
+                if !has_valid_length || !text.bytes().all(is_id_byte) {
+                    return Err(ParseError::new($what, text, ID_SYNTAX));
                 }
                 Ok(Self(text.into()))
             }
@@ -65,25 +65,25 @@
     AdapterId: "adapter id",
     /// The person or program that made a change.
     Author: "author",
-    /// The text that keeps an engine from sharing cached blocks between owners.
+    /// A salt that keeps an engine from sharing cached blocks between organisations.
     CacheSalt: "cache salt",
-    /// The identity of one change of configuration, the same on every resend.
+    /// Identifies one configuration change; the same on every resend.
     ChangeId: "change id",
     /// A data centre.
     DataCentreId: "data centre id",
     /// A server that answers requests: a model engine or a plain service.
     EndpointId: "endpoint id",
-    /// An entry in the list of exceptions.
+    /// An entry in the list of exceptions to the defaults.
     ExceptionId: "exception id",
     /// A machine that runs the router.
     HostId: "host id",
-    /// A caller's name for one call that may not be repeated.
+    /// The idempotency key that a caller gives to a call that may run at most once.
     IdempotencyKey: "idempotency key",
     /// A language model.
     ModelId: "model id",
     /// A customer of the site.
     OrganisationId: "organisation id",
-    /// One request, as logs, spans and endpoints name it.
+    /// Identifies one request in logs, spans and at endpoints.
     RequestId: "request id",
     /// A plain service beside the model engines.
     ServiceId: "service id",
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,8 +1,8 @@
-//! Vocabulary shared by every crate of the router.
+//! Basic types shared by every crate of the router.
 //!
 //! The crate holds identifiers, sizes, rates, monotonic time and the [`Verdict`] that each failed
-//! request carries. It has no sockets, files, threads or clocks, so that the state machines built
-//! on it run the same under a test as in the daemon.
+//! request carries. It uses no sockets, files, threads or clocks, so that the state machines built
+//! on it run the same in a test as in the daemon.
 //!
 //! # Example
 //!
--- a/crates/base/src/number.rs
+++ b/crates/base/src/number.rs
@@ -57,22 +57,22 @@
     BlockCount: "block count",
     /// A number of bytes.
     ByteCount: "byte count",
-    /// A rate of transfer, in bytes per second.
+    /// A transfer rate, in bytes per second.
     ByteRate: "byte rate",
-    /// The life of a process: higher after each start.
+    /// Identifies one run of a process; higher after each start.
     Incarnation: "incarnation",
     /// A position in the replicated log, from 1.
     LogIndex: "log index",
-    /// A version of the configuration, from 1; 0 is the built-in one.
+    /// A revision of the configuration, from 1; 0 is the built-in one.
     Revision: "revision",
     /// A position in a sequence of messages from one sender.
     Sequence: "sequence number",
-    /// A leader's period of office, and the fencing number of its orders.
+    /// An election term of the quorum, which is also the fencing token of its leader's orders.
     Term: "term",
     /// A number of tokens.
     TokenCount: "token count",
     /// A token's position in a stream, from 1.
     TokenIndex: "token index",
-    /// A rate of tokens, in tokens per second.
+    /// A token rate, in tokens per second.
     TokenRate: "token rate",
 }
--- a/crates/base/src/parse.rs
+++ b/crates/base/src/parse.rs
@@ -1,6 +1,6 @@
 use std::{error, fmt};
 
-/// A text that is not a valid value of the wanted type.
+/// The error of parsing a text that is not a valid value of the target type.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParseError {
     what: &'static str,
@@ -9,10 +9,10 @@
 }
 
 impl ParseError {
-    /// Describes `text`, which is no `what`, and what would be allowed.
+    /// Creates an error for `text`, which is not a valid `what`; `allowed` describes valid texts.
     pub fn new(what: &'static str, text: &str, allowed: &'static str) -> Self {
-        const SHOWN_CHARS: usize = 80;
-        let text = text.chars().take(SHOWN_CHARS).collect();
+        const MAX_SHOWN_CHARS: usize = 80;
+        let text = text.chars().take(MAX_SHOWN_CHARS).collect();
         Self { what, text, allowed }
     }
 }
--- a/crates/base/src/time.rs
+++ b/crates/base/src/time.rs
@@ -5,9 +5,9 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A reading of a monotonic clock: time since an origin that only this process knows.
+/// A reading of a monotonic clock: time since an origin private to this process.
 ///
-/// The cores take it as an argument instead of reading a clock.
+/// State machines take it as an argument instead of reading a clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MonotonicTime(Duration);
 
@@ -58,7 +58,8 @@
 
 /// A reading of the wall clock, in milliseconds since the Unix epoch.
 ///
-/// It is shown to operators and bounds retention; no promise rests on two hosts agreeing on it.
+/// It is shown to operators and bounds retention; no guarantee relies on clocks of two hosts
+/// agreeing.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/base/src/verdict.rs
+++ b/crates/base/src/verdict.rs
@@ -12,15 +12,15 @@
     NotRun,
     /// The request was sent, and its outcome is unknown.
     MayHaveRun,
-    /// The request ran, but its answer cannot be given.
+    /// The request ran, but its response can't be returned.
     Ran,
 }
 
 impl Verdict {
-    /// Every verdict, from the least effect to the most.
+    /// All verdicts, ordered from the least possible effect to the greatest.
     pub const ALL: [Self; 3] = [Self::NotRun, Self::MayHaveRun, Self::Ran];
 
-    /// Returns whether even a call that is not idempotent may be sent again.
+    /// Returns whether even a non-idempotent call may be retried.
     pub fn may_retry(self) -> bool {
         self == Self::NotRun
     }
--- a/crates/base/tests/text.rs
+++ b/crates/base/tests/text.rs
@@ -1,4 +1,4 @@
-//! Identifiers, numbers and verdicts as operators write them.
+//! Text forms of identifiers, numbers, digests and verdicts.
 
 use base::{Digest, EndpointId, LogIndex, ParseError, Verdict};
 use proptest::{
@@ -6,7 +6,7 @@
     test_runner::RngSeed,
 };
 
-macro_rules! refused_ids {
+macro_rules! rejected_ids {
     ($($name:ident: $text:expr,)*) => {$(
         #[test]
         fn $name() {
@@ -16,12 +16,12 @@
     )*};
 }
 
-refused_ids! {
-    refuses_empty_id: "",
-    refuses_space_in_id: "engine 3",
-    refuses_line_break_in_id: "engine\r\nx-evil: 1",
-    refuses_long_id: "e".repeat(129),
-    refuses_other_scripts_in_id: "kút",
+rejected_ids! {
+    rejects_empty_id: "",
+    rejects_space_in_id: "engine 3",
+    rejects_line_break_in_id: "engine\r\nx-evil: 1",
+    rejects_long_id: "e".repeat(129),
+    rejects_non_ascii_id: "kút",
 }
 
 macro_rules! round_trips {
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn ids_are_checked_when_deserialised() {
+fn deserialising_rejects_invalid_ids() {
     let parsed = serde_json::from_str::<EndpointId>("\"a b\"");
     assert!(parsed.unwrap_err().to_string().contains("endpoint id"));
 }
