--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,8 +1,7 @@
-//! Routes from callers' hosts and paths to services, and who may use them.
+//! Routing table from callers' hosts and paths to services, with the organisations allowed to call.
 //!
-//! A [`Table`] is one configuration, checked as a whole: routes, services, organisations with their
-//! keys, and limits on callers. It only answers questions; numbering, replication and the format in
-//! which it is written belong to others.
+//! A [`Table`] is an immutable, validated configuration: routes, services, organisations with their
+//! keys, and limits on callers.
 //!
 //! # Example
 //!
@@ -31,16 +30,16 @@
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
-mod invalid;
 mod organisation;
 mod route;
 mod service;
 mod table;
+mod table_error;
 
 pub use crate::{
-    invalid::Invalid,
     organisation::{ApiKey, Organisation},
     route::{RetryPolicy, Route, WeightedService},
     service::{Engine, KvStore, Service},
     table::{Limits, Table},
+    table_error::TableError,
 };
--- a/crates/routes/src/organisation.rs
+++ b/crates/routes/src/organisation.rs
@@ -1,6 +1,6 @@
 use std::{fmt, sync::Arc};
 
-/// A caller's key; it is never shown.
+/// A caller's API key; redacted in debug output.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ApiKey(Arc<str>);
 
@@ -26,12 +26,12 @@
 /// A customer of the site.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Organisation {
-    /// Its name, as endpoints are told.
+    /// Its name, as sent to endpoints.
     pub name: Arc<str>,
-    /// The keys that its callers use.
+    /// The API keys of its callers.
     pub keys: Vec<ApiKey>,
-    /// Its urgency, which goes before the route's; 0 comes first.
+    /// Its priority, which overrides the route's; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// Whether it shares no cached prompt with others.
+    /// Whether its cached prompts are kept apart from those of other organisations.
     pub isolated: bool,
 }
--- a/crates/routes/src/route.rs
+++ b/crates/routes/src/route.rs
@@ -2,37 +2,37 @@
 
 use base::ServiceId;
 
-/// Where requests for a host and path go, and how they may be treated.
+/// The services for a host and path prefix, and how their requests are handled.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Its name, for logs.
     pub name: Arc<str>,
-    /// The host that callers name.
+    /// The host name that callers use; case is ignored.
     pub host: Arc<str>,
-    /// What the path begins with; it begins and ends with a slash.
+    /// The prefix of the path; it begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// Where requests go, by weight.
+    /// The services that receive the requests, by weight.
     pub services: Vec<WeightedService>,
-    /// What may be sent again.
+    /// What may be sent again after a failure.
     pub retry_policy: RetryPolicy,
-    /// Longest time from a request's arrival to its final answer.
+    /// Longest time from a request's arrival to its final response.
     pub timeout: Duration,
-    /// Time to the answer, or to a stream's first event, that callers expect.
+    /// Latency objective: time to the response, or to the first event of a stream.
     pub objective: Duration,
-    /// Urgency; 0 comes first.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Most endpoints that may run one request.
+    /// Largest number of endpoints to which one request is sent.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     pub public: bool,
 }
 
-/// A service with its share of a route's requests.
+/// A service with its weight among a route's services.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightedService {
     /// The service.
     pub service: ServiceId,
-    /// Its share, relative to the route's other services.
+    /// Its share of requests, relative to the route's other services.
     pub weight: u32,
 }
 
@@ -43,7 +43,7 @@
     Idempotent,
     /// Nothing.
     AtMostOnce,
-    /// Nothing; the answer is a stream of events.
+    /// Nothing; the response is a stream of events.
     Stream,
     /// The rest of a stream of events, after the last one delivered.
     ResumableStream,
@@ -55,23 +55,23 @@
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
-    /// Returns whether the answer is a stream of events.
+    /// Returns whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
 }
 
 impl Route {
-    /// Returns the service that `draw`, a number from 0 below 1, falls to.
+    /// Returns a service chosen by weight; `draw` is a random number in `0.0..1.0`.
     pub fn pick_service(&self, draw: f64) -> Option<&ServiceId> {
         let total: f64 = self.services.iter().map(|entry| f64::from(entry.weight)).sum();
-        let mut left = draw * total;
+        let mut remaining = draw * total;
         let weighted = self.services.iter().filter(|entry| entry.weight != 0);
         let mut last = None;
         for entry in weighted {
             last = Some(&entry.service);
-            left -= f64::from(entry.weight);
-            if left < 0.0 {
+            remaining -= f64::from(entry.weight);
+            if remaining < 0.0 {
                 break;
             }
         }
--- a/crates/routes/src/service.rs
+++ b/crates/routes/src/service.rs
@@ -2,33 +2,33 @@
 
 use base::{DataCentreId, ServiceId, TokenCount};
 
-/// A set of endpoints that serve the same requests.
+/// A set of interchangeable endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Its name.
     pub name: ServiceId,
-    /// Most connections that one endpoint accepts from all callers together.
+    /// Largest number of connections that one endpoint accepts from all callers together.
     pub max_connections: u32,
-    /// What its endpoints are, if they are model engines.
+    /// Properties of its engines, if its endpoints are engines.
     pub engine: Option<Engine>,
 }
 
-/// What the engines of a service have in common.
+/// Properties shared by the engines of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
-    /// Requests that one runs at once.
+    /// Requests that an engine runs at once.
     pub slots: u32,
-    /// Tokens that fit into its memory.
+    /// Capacity of an engine's KV cache, in tokens.
     pub kv_tokens: TokenCount,
 }
 
-/// A store of cached prompts beside the engines.
+/// A store of KV-cache blocks outside the engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KvStore {
     /// Its address.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The data centre it runs in.
     pub data_centre: DataCentreId,
-    /// Tokens that fit into it.
+    /// Its capacity, in tokens.
     pub kv_tokens: TokenCount,
 }
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -6,16 +6,16 @@
 
 use base::{ByteCount, ServiceId};
 
-use crate::{ApiKey, Invalid, KvStore, Organisation, Route, Service};
+use crate::{ApiKey, KvStore, Organisation, Route, Service, TableError};
 
-/// Bounds on what callers may send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest head of a request.
+    /// Largest request header.
     pub header_bytes: ByteCount,
-    /// Largest body of a request.
+    /// Largest request body.
     pub body_bytes: ByteCount,
-    /// Longest time in which a request's head may arrive.
+    /// Longest time for receiving a request's header.
     pub header_timeout: Duration,
     /// Longest time for which a connection may be idle.
     pub idle_timeout: Duration,
@@ -32,10 +32,10 @@
     }
 }
 
-/// A configuration of routes, checked as a whole.
+/// A validated routing configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    /// Routes of each host, the longest prefix first.
+    /// Routes by host, the longest prefix first.
     by_host: HashMap<Arc<str>, Vec<Arc<Route>>>,
     services: BTreeMap<ServiceId, Service>,
     stores: Vec<KvStore>,
@@ -45,18 +45,18 @@
 }
 
 impl Table {
-    /// Checks the parts against each other and joins them.
+    /// Builds a table and validates its parts against each other.
     ///
     /// # Errors
     ///
-    /// Returns the first contradiction found.
+    /// Returns the first inconsistency found.
     pub fn new(
         routes: Vec<Route>,
         services: Vec<Service>,
         stores: Vec<KvStore>,
         organisations: Vec<Organisation>,
         limits: Limits,
-    ) -> Result<Self, Invalid> {
+    ) -> Result<Self, TableError> {
         let mut table = Self { stores, limits, ..Self::default() };
         for service in services {
             table.add_service(service)?;
@@ -79,7 +79,7 @@
         self.by_host.get(host.as_str())?.iter().find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// Returns the organisation that holds `key`.
+    /// Returns the organisation that `key` belongs to.
     pub fn organisation(&self, key: &str) -> Option<&Arc<Organisation>> {
         self.keys.get(key).map(|&i| &self.organisations[i])
     }
@@ -89,7 +89,7 @@
         self.organisations.iter()
     }
 
-    /// Returns whether callers need keys at all.
+    /// Returns whether the table has organisations; without any, callers need no keys.
     pub fn has_organisations(&self) -> bool {
         !self.organisations.is_empty()
     }
@@ -104,7 +104,7 @@
         self.services.values()
     }
 
-    /// Returns the stores of cached prompts.
+    /// Returns the stores of KV-cache blocks.
     pub fn stores(&self) -> &[KvStore] {
         &self.stores
     }
@@ -114,56 +114,56 @@
         self.by_host.values().flatten()
     }
 
-    /// Returns the bounds on callers.
+    /// Returns the limits on callers.
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    fn add_service(&mut self, service: Service) -> Result<(), Invalid> {
+    fn add_service(&mut self, service: Service) -> Result<(), TableError> {
         let name = service.name.clone();
         match self.services.insert(name.clone(), service) {
-            Some(_) => Err(Invalid::SameService(name)),
+            Some(_) => Err(TableError::DuplicateService(name)),
             None => Ok(()),
         }
     }
 
-    fn add_route(&mut self, mut route: Route) -> Result<(), Invalid> {
+    fn add_route(&mut self, mut route: Route) -> Result<(), TableError> {
         let name = || Arc::clone(&route.name);
         for entry in &route.services {
             if !self.services.contains_key(&entry.service) {
                 let service = entry.service.clone();
-                return Err(Invalid::UnknownService { route: name(), service });
+                return Err(TableError::UnknownService { route: name(), service });
             }
         }
         if route.services.iter().all(|entry| entry.weight == 0) {
-            return Err(Invalid::NoWeight { route: name() });
+            return Err(TableError::ZeroWeight { route: name() });
         }
         if route.timeout.is_zero() {
-            return Err(Invalid::NoTimeout { route: name() });
+            return Err(TableError::ZeroTimeout { route: name() });
         }
         if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
-            return Err(Invalid::Prefix { route: name() });
+            return Err(TableError::InvalidPrefix { route: name() });
         }
         let host: Arc<str> = route.host.to_ascii_lowercase().into();
         route.host = Arc::clone(&host);
         let routes = self.by_host.entry(Arc::clone(&host)).or_default();
         if routes.iter().any(|other| other.prefix == route.prefix) {
-            return Err(Invalid::SamePlace { host, prefix: route.prefix });
+            return Err(TableError::DuplicateRoute { host, prefix: route.prefix });
         }
         routes.push(Arc::new(route));
         Ok(())
     }
 
-    fn add_organisation(&mut self, organisation: Organisation) -> Result<(), Invalid> {
+    fn add_organisation(&mut self, organisation: Organisation) -> Result<(), TableError> {
         if self.organisations.iter().any(|other| other.name == organisation.name) {
-            return Err(Invalid::SameOrganisation(organisation.name));
+            return Err(TableError::DuplicateOrganisation(organisation.name));
         }
         let position = self.organisations.len();
-        // An organisation may list a key twice; only two organisations contradict each other.
+        // An organisation may list a key twice; only a key of two organisations is an error.
         let keys: HashSet<_> = organisation.keys.iter().cloned().collect();
         for key in keys {
             if self.keys.insert(key, position).is_some() {
-                return Err(Invalid::SharedKey);
+                return Err(TableError::DuplicateKey);
             }
         }
         self.organisations.push(Arc::new(organisation));
@@ -171,7 +171,7 @@
     }
 }
 
-/// Returns the name in a `Host` field, without the port.
+/// Returns the host name of a `Host` header, without the port.
 fn host_name(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
--- a/crates/routes/tests/table.rs
+++ b/crates/routes/tests/table.rs
@@ -1,9 +1,9 @@
-//! What a table of routes accepts, and what it answers.
+//! Validation of routing tables and lookups in them.
 
 use std::time::Duration;
 
 use routes::{
-    ApiKey, Invalid, Limits, Organisation, RetryPolicy, Route, Service, Table, WeightedService,
+    ApiKey, Limits, Organisation, RetryPolicy, Route, Service, Table, TableError, WeightedService,
 };
 use yare::parameterized;
 
@@ -31,7 +31,7 @@
     Organisation { name: name.into(), keys, priority: None, isolated: false }
 }
 
-fn table(routes: Vec<Route>, organisations: Vec<Organisation>) -> Result<Table, Invalid> {
+fn table(routes: Vec<Route>, organisations: Vec<Organisation>) -> Result<Table, TableError> {
     Table::new(routes, vec![service("desk")], Vec::new(), organisations, Limits::default())
 }
 
@@ -40,36 +40,36 @@
     shorter_prefix = { "a.example", "/x/other", Some("short") },
     port_is_ignored = { "A.example:8080", "/x/y/", Some("long") },
     other_host = { "b.example", "/x/y/", None },
-    prefix_without_its_slash = { "a.example", "/x", None },
+    prefix_without_trailing_slash = { "a.example", "/x", None },
 )]
-fn finds(host: &str, path: &str, expected: Option<&str>) {
+fn finds_longest_prefix_of_host(host: &str, path: &str, expected: Option<&str>) {
     let routes = vec![route("short", "a.example", "/x/"), route("long", "a.example", "/x/y/")];
     let table = table(routes, Vec::new()).unwrap();
     assert_eq!(table.find(host, path).map(|route| &*route.name), expected);
 }
 
 #[test]
-fn refuses_contradictions() {
-    let unknown = Route {
+fn rejects_inconsistent_routes() {
+    let unknown_service = Route {
         services: vec![WeightedService { service: "none".parse().unwrap(), weight: 1 }],
         ..route("r", "a", "/x/")
     };
-    let weightless = Route {
+    let zero_weight = Route {
         services: vec![WeightedService { service: "desk".parse().unwrap(), weight: 0 }],
         ..route("r", "a", "/x/")
     };
-    let hasty = Route { timeout: Duration::ZERO, ..route("r", "a", "/x/") };
-    let same = vec![route("r", "a", "/x/"), route("s", "A", "/x/")];
+    let zero_timeout = Route { timeout: Duration::ZERO, ..route("r", "a", "/x/") };
+    let duplicate = vec![route("r", "a", "/x/"), route("s", "A", "/x/")];
     let name = || "r".into();
     let cases = [
         (
-            vec![unknown],
-            Invalid::UnknownService { route: name(), service: "none".parse().unwrap() },
+            vec![unknown_service],
+            TableError::UnknownService { route: name(), service: "none".parse().unwrap() },
         ),
-        (vec![weightless], Invalid::NoWeight { route: name() }),
-        (vec![hasty], Invalid::NoTimeout { route: name() }),
-        (same, Invalid::SamePlace { host: "a".into(), prefix: "/x/".into() }),
-        (vec![route("r", "a", "/x")], Invalid::Prefix { route: name() }),
+        (vec![zero_weight], TableError::ZeroWeight { route: name() }),
+        (vec![zero_timeout], TableError::ZeroTimeout { route: name() }),
+        (duplicate, TableError::DuplicateRoute { host: "a".into(), prefix: "/x/".into() }),
+        (vec![route("r", "a", "/x")], TableError::InvalidPrefix { route: name() }),
     ];
     for (routes, expected) in cases {
         assert_eq!(table(routes, Vec::new()).unwrap_err(), expected);
@@ -77,13 +77,13 @@
 }
 
 #[test]
-fn refuses_a_key_of_two_organisations() {
+fn rejects_a_key_of_two_organisations() {
     let organisations = vec![organisation("a", &["k1", "k2"]), organisation("b", &["k2"])];
-    assert_eq!(table(Vec::new(), organisations).unwrap_err(), Invalid::SharedKey);
+    assert_eq!(table(Vec::new(), organisations).unwrap_err(), TableError::DuplicateKey);
 }
 
 #[test]
-fn finds_the_organisation_of_a_key() {
+fn finds_organisation_by_key() {
     let organisations = vec![organisation("a", &["k1", "k1"]), organisation("b", &["k2"])];
     let table = table(Vec::new(), organisations).unwrap();
     assert_eq!(table.organisation("k2").map(|o| &*o.name), Some("b"));
@@ -92,11 +92,11 @@
 
 #[parameterized(
     first = { 0.0, "a" },
-    before_the_edge = { 0.89, "a" },
-    after_the_edge = { 0.91, "c" },
+    below_the_boundary = { 0.89, "a" },
+    above_the_boundary = { 0.91, "c" },
     end = { 0.999, "c" },
 )]
-fn splits_by_weight(draw: f64, expected: &str) {
+fn picks_service_by_weight(draw: f64, expected: &str) {
     let weighted = |name: &str, weight| WeightedService { service: name.parse().unwrap(), weight };
     let services = vec![weighted("a", 90), weighted("b", 0), weighted("c", 10)];
     let route = Route { services, ..route("r", "a", "/x/") };
@@ -104,6 +104,6 @@
 }
 
 #[test]
-fn keys_are_not_shown() {
+fn debug_output_omits_keys() {
     assert!(!format!("{:?}", organisation("a", &["secret"])).contains("secret"));
 }
