--- a/crates/member/src/announcement.rs
+++ b/crates/member/src/announcement.rs
@@ -6,33 +6,33 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// What an endpoint says about itself.
+/// An endpoint's announcement of itself, which holds a lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Announcement {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The life of the endpoint's process.
+    /// The incarnation of the endpoint's process.
     pub incarnation: Incarnation,
-    /// The position among the announcements of this incarnation.
+    /// The sequence number among the announcements of this incarnation.
     pub sequence: Sequence,
-    /// The data centre it stands in.
+    /// The data centre it runs in.
     pub data_centre: DataCentreId,
-    /// Where it takes requests.
+    /// The address that serves requests.
     pub address: SocketAddr,
-    /// How long the announcement counts.
+    /// How long the announcement is valid after it was written.
     pub lease: Duration,
-    /// Whether it wants no new work.
+    /// Whether the endpoint is leaving and accepts no new requests.
     pub leaving: bool,
-    /// What it serves.
+    /// The kind of requests it serves.
     pub kind: EndpointKind,
 }
 
-/// What an endpoint serves.
+/// The kind of requests that an endpoint serves.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum EndpointKind {
-    /// Completions of language models.
+    /// An engine that serves completions of language models.
     Engine(Engine),
-    /// Calls to a plain service.
+    /// A member of a plain service.
     Service(ServiceId),
 }
 
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns whether `other` serves the same, whatever its load.
+    /// Returns whether `other` is equal apart from its load.
     pub fn is_same_service(&self, other: &Self) -> bool {
         match (self, other) {
             (Self::Engine(a), Self::Engine(b)) => {
@@ -60,18 +60,18 @@
     }
 }
 
-/// What a model engine says about itself.
+/// An engine's models, capabilities and load.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Engine {
-    /// The service that it belongs to, where requests are routed to services.
+    /// The service it belongs to, at sites that route requests to services.
     pub service: Option<ServiceId>,
-    /// The models it has loaded.
+    /// The loaded models.
     pub models: Vec<ServedModel>,
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether it rejects an order with an old fencing token.
     pub checks_fencing: bool,
-    /// Tokens in a cached block.
+    /// Number of tokens in a KV-cache block.
     pub block_tokens: TokenCount,
-    /// Its load when it wrote the announcement.
+    /// Its load when the announcement was written.
     pub load: Load,
 }
 
@@ -91,10 +91,10 @@
 pub struct Load {
     /// Requests in the running batch.
     pub running: u32,
-    /// Requests that wait for the batch.
+    /// Requests queued for the batch.
     pub waiting: u32,
-    /// Tokens still to be prefilled.
+    /// Tokens waiting to be prefilled.
     pub prefill_tokens: TokenCount,
-    /// Blocks cached.
+    /// Cached KV blocks.
     pub cached_blocks: BlockCount,
 }
--- a/crates/member/src/budget.rs
+++ b/crates/member/src/budget.rs
@@ -4,122 +4,123 @@
 
 use crate::TICK_INTERVAL;
 
-/// Bound on the encoded length of a renewal without load, in bytes.
+/// Upper bound on the encoded length of a renewal without load, in bytes.
 pub(crate) const RENEWAL_BYTES: usize = 16;
 
-/// Bound on the encoded length of a report of load, in bytes.
+/// Upper bound on the encoded length of a load report, in bytes.
 pub(crate) const LOAD_BYTES: usize = 18;
 
-/// Number of times that a router sends the same renewal.
+/// Number of times that a router transmits the same renewal.
 pub(crate) const RENEWAL_COPIES: u32 = 3;
 
-const SHORTEST_SPACING: Duration = Duration::from_millis(500);
-const LONGEST_LOAD_SPACING: Duration = Duration::from_secs(5);
+const MIN_RENEWAL_SPACING: Duration = Duration::from_millis(500);
+const MAX_LOAD_SPACING: Duration = Duration::from_secs(5);
 
-/// Bytes that a router may spend on gossip, as encoded without the transport's own overhead.
+/// Limits on a router's gossip traffic, in encoded bytes without transport overhead.
 ///
-/// What a router sends, others receive: on average each one spends twice [`Budget::send`] in all.
+/// Each byte sent is received by another router, so sent and received bytes together average twice
+/// [`Budget::send_rate`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
-    /// Steady rate of sending.
-    pub send: ByteRate,
-    /// Part of the steady rate that renewals are spaced for.
-    pub renewals: ByteRate,
-    /// Longest message of the steady exchange.
-    pub message: ByteCount,
+    /// Steady send rate.
+    pub send_rate: ByteRate,
+    /// Part of the steady rate that is available to renewals.
+    pub renewal_rate: ByteRate,
+    /// Longest message in steady state.
+    pub max_message: ByteCount,
     /// Longest message while a router catches up.
-    pub catch_up_message: ByteCount,
-    /// Reserve for catching up after a start or a partition.
+    pub max_catch_up_message: ByteCount,
+    /// Burst capacity for catching up after a start or a partition.
     pub reserve: ByteCount,
-    /// Rate at which the reserve fills up again.
-    pub reserve_refill: ByteRate,
+    /// Rate at which the reserve is refilled.
+    pub reserve_refill_rate: ByteRate,
 }
 
 impl Default for Budget {
     fn default() -> Self {
         Self {
-            send: ByteRate::new(3_600),
-            renewals: ByteRate::new(1_500),
-            message: ByteCount::new(1_000),
-            catch_up_message: ByteCount::new(16_000),
+            send_rate: ByteRate::new(3_600),
+            renewal_rate: ByteRate::new(1_500),
+            max_message: ByteCount::new(1_000),
+            max_catch_up_message: ByteCount::new(16_000),
             reserve: ByteCount::new(600_000),
-            reserve_refill: ByteRate::new(400),
+            reserve_refill_rate: ByteRate::new(400),
         }
     }
 }
 
 impl Budget {
-    /// Returns the time between two relayed renewals of one of `endpoints` endpoints.
+    /// Returns the time between two relayed renewals of an endpoint, among `endpoints` endpoints.
     pub fn renewal_spacing(&self, endpoints: usize) -> Duration {
-        let bare = self.wave(endpoints, RENEWAL_BYTES);
-        let loaded = self.wave(endpoints, RENEWAL_BYTES + LOAD_BYTES);
-        let spacing = if loaded <= LONGEST_LOAD_SPACING { loaded } else { bare };
-        spacing.max(SHORTEST_SPACING)
+        let without_load = self.renewal_cycle(endpoints, RENEWAL_BYTES);
+        let with_load = self.renewal_cycle(endpoints, RENEWAL_BYTES + LOAD_BYTES);
+        let spacing = if with_load <= MAX_LOAD_SPACING { with_load } else { without_load };
+        spacing.max(MIN_RENEWAL_SPACING)
     }
 
-    /// Returns whether renewals among `endpoints` endpoints carry reports of load.
+    /// Returns whether renewals among `endpoints` endpoints carry load reports.
     pub fn relays_load(&self, endpoints: usize) -> bool {
-        self.wave(endpoints, RENEWAL_BYTES + LOAD_BYTES) <= LONGEST_LOAD_SPACING
+        self.renewal_cycle(endpoints, RENEWAL_BYTES + LOAD_BYTES) <= MAX_LOAD_SPACING
     }
 
-    /// Returns the shortest lease that counts among so many routers and endpoints: three renewals
-    /// and the time that news takes to spread.
+    /// Returns the shortest effective lease for a fleet of this size: three renewals and the
+    /// dissemination time.
     pub fn lease_floor(&self, routers: usize, endpoints: usize) -> Duration {
         const RENEWALS_PER_LEASE: u32 = 3;
-        self.renewal_spacing(endpoints) * RENEWALS_PER_LEASE + spread_time(routers)
+        self.renewal_spacing(endpoints) * RENEWALS_PER_LEASE + dissemination_time(routers)
     }
 
-    /// Returns the age from which an announcement is older than those of nearly all endpoints that
-    /// run: two renewals, one of which was lost, and the time that news takes to spread.
+    /// Returns the age that announcements of running endpoints hardly ever reach: two renewals, one
+    /// of which was lost, and the dissemination time.
     pub fn stale_after(&self, routers: usize, endpoints: usize) -> Duration {
-        const RENEWALS: u32 = 2;
-        const SHORTEST: Duration = Duration::from_millis(4_500);
-        let age = self.renewal_spacing(endpoints) * RENEWALS + spread_time(routers);
-        age.max(SHORTEST)
+        const RENEWAL_COUNT: u32 = 2;
+        const MIN_AGE: Duration = Duration::from_millis(4_500);
+        let age = self.renewal_spacing(endpoints) * RENEWAL_COUNT + dissemination_time(routers);
+        age.max(MIN_AGE)
     }
 
-    fn wave(&self, endpoints: usize, bytes: usize) -> Duration {
+    fn renewal_cycle(&self, endpoints: usize, bytes: usize) -> Duration {
         let sent = endpoints * bytes * RENEWAL_COPIES as usize;
-        Duration::from_secs_f64(sent as f64 / self.renewals.as_u64().max(1) as f64)
+        Duration::from_secs_f64(sent as f64 / self.renewal_rate.as_u64().max(1) as f64)
     }
 }
 
-/// Returns the time in which news reaches nearly all of so many routers.
-fn spread_time(routers: usize) -> Duration {
+/// Returns the time in which an update reaches nearly all of `routers` routers.
+fn dissemination_time(routers: usize) -> Duration {
     const SPARE_ROUNDS: u32 = 3;
     TICK_INTERVAL * (SPARE_ROUNDS + (routers + 1).ilog2())
 }
 
-/// Bytes that may be sent now, refilled at a steady rate.
+/// A token bucket that limits the bytes sent.
 #[derive(Debug)]
-pub(crate) struct Allowance {
+pub(crate) struct RateLimiter {
     rate: f64,
-    most: f64,
+    capacity: f64,
     bytes: f64,
-    filled: MonotonicTime,
+    refilled_at: MonotonicTime,
 }
 
-impl Allowance {
-    /// Starts full.
-    pub(crate) fn new(now: MonotonicTime, rate: ByteRate, most: ByteCount) -> Self {
-        let most = most.as_u64() as f64;
-        Self { rate: rate.as_u64() as f64, most, bytes: most, filled: now }
+impl RateLimiter {
+    /// Creates a full bucket.
+    pub(crate) fn new(now: MonotonicTime, rate: ByteRate, capacity: ByteCount) -> Self {
+        let capacity = capacity.as_u64() as f64;
+        Self { rate: rate.as_u64() as f64, capacity, bytes: capacity, refilled_at: now }
     }
 
-    /// Returns the bytes that may be sent at `now`.
-    pub(crate) fn left(&mut self, now: MonotonicTime) -> usize {
-        let gained = self.rate * now.saturating_since(self.filled).as_secs_f64();
-        self.bytes = (self.bytes + gained).min(self.most);
-        self.filled = self.filled.max(now);
+    /// Refills the bucket and returns the bytes that may be sent at `now`.
+    pub(crate) fn available(&mut self, now: MonotonicTime) -> usize {
+        let gained = self.rate * now.saturating_since(self.refilled_at).as_secs_f64();
+        self.bytes = (self.bytes + gained).min(self.capacity);
+        self.refilled_at = self.refilled_at.max(now);
         self.bytes.max(0.0) as usize
     }
 
-    /// Gives back `bytes` that another allowance pays for.
-    pub(crate) fn give_back(&mut self, bytes: usize) {
+    /// Returns `bytes` to the bucket because another one is charged for them.
+    pub(crate) fn refund(&mut self, bytes: usize) {
         self.bytes += bytes as f64;
     }
 
-    /// Takes `bytes`, which may leave a debt.
+    /// Charges `bytes`; the balance may become negative.
     pub(crate) fn spend(&mut self, bytes: usize) {
         self.bytes -= bytes as f64;
     }
--- a/crates/member/src/catch_up.rs
+++ b/crates/member/src/catch_up.rs
@@ -5,38 +5,38 @@
 
 use crate::{
     EndpointState, EndpointUpdate, Gossip, Membership, Outgoing, PeerState, PeerUpdate, Pull,
-    checksum::{BUCKETS, bucket},
+    checksum::{BUCKET_COUNT, bucket},
     message::{endpoint_bytes, peer_bytes},
 };
 
-/// Time after which a router no longer looks for a peer with the whole roster.
-const GIVE_UP: Duration = Duration::from_secs(30);
+/// Time after which a router gives up pulling the whole roster.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time after which a router that still catches up helps others with what it has.
-const HELP_ANYWAY: Duration = Duration::from_secs(5);
+/// Time after which a router that still catches up answers pulls with the records it has.
+const SERVE_INCOMPLETE_AFTER: Duration = Duration::from_secs(5);
 
-/// Time between two pulls of a router that still knows too few endpoints.
-const REPEAT: Duration = Duration::from_secs(10);
+/// Time between two pulls of a router that has too few endpoints.
+const REPEAT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Time after which an unanswered pull is tried at another peer.
-const RETRY: Duration = Duration::from_secs(1);
+/// Time after which an unanswered pull is retried at another peer.
+const PULL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The pull of the whole roster from one peer, a range of buckets a message.
+/// A pull of the whole roster, one range of buckets in each message.
 #[derive(Debug)]
 pub(crate) struct CatchUp {
     started: MonotonicTime,
     next: u16,
-    known: u32,
-    asked: Option<(HostId, MonotonicTime)>,
+    known_records: u32,
+    in_flight: Option<(HostId, MonotonicTime)>,
 }
 
 impl CatchUp {
     pub(crate) fn new(now: MonotonicTime) -> Self {
-        Self { started: now, next: 0, known: 0, asked: None }
+        Self { started: now, next: 0, known_records: 0, in_flight: None }
     }
 }
 
-/// Records that a message has room for.
+/// Records for a message, with a bound on their encoded length.
 #[derive(Debug, Default)]
 pub(crate) struct Records {
     pub(crate) peers: Vec<PeerUpdate>,
@@ -45,108 +45,114 @@
 }
 
 impl Membership {
-    /// Starts or goes on with the pull at a random peer, unless an answer is awaited.
+    /// Starts or continues the pull at a random peer, unless a pull is in flight.
     pub(crate) fn pull_from_random(
         &mut self,
         now: MonotonicTime,
         rng: &mut impl Rng,
     ) -> Option<Outgoing> {
         let pull = self.catch_up.as_ref()?;
-        if GIVE_UP <= now.saturating_since(pull.started) {
+        if CATCH_UP_TIMEOUT <= now.saturating_since(pull.started) {
             self.catch_up = None;
             return None;
         }
-        let asked = pull.asked.as_ref();
-        if asked.is_some_and(|(_, at)| now.saturating_since(*at) < RETRY) {
+        let in_flight = pull.in_flight.as_ref();
+        if in_flight.is_some_and(|(_, at)| now.saturating_since(*at) < PULL_TIMEOUT) {
             return None;
         }
         let host = self.peers.sample(1, rng).pop()?;
-        let known = self.record_count();
+        let known_records = self.record_count();
         if let Some(pull) = self.catch_up.as_mut().filter(|pull| pull.next == 0) {
-            pull.known = known;
+            pull.known_records = known_records;
         }
         self.pull_from(now, &host)
     }
 
-    /// Starts another pull if a peer knows clearly more endpoints than this router.
-    pub(crate) fn pull_again(&mut self, now: MonotonicTime) {
-        const MISSING_ONE_IN: usize = 32;
-        let count = self.heard_count as usize;
+    /// Starts another pull if a peer reported clearly more endpoints than this router has.
+    pub(crate) fn repeat_pull_if_incomplete(&mut self, now: MonotonicTime) {
+        const MAX_MISSING_DIVISOR: usize = 32;
+        let count = self.reported_endpoint_count as usize;
         let missing = count.saturating_sub(self.endpoints.live_count());
-        let is_due = REPEAT <= now.saturating_since(self.pulled_at);
-        if self.catch_up.is_some() || !is_due || missing <= count / MISSING_ONE_IN {
+        let is_due = REPEAT_INTERVAL <= now.saturating_since(self.last_pull_at);
+        if self.catch_up.is_some() || !is_due || missing <= count / MAX_MISSING_DIVISOR {
             return;
         }
-        self.pulled_at = now;
+        self.last_pull_at = now;
         self.catch_up = Some(CatchUp::new(now));
     }
 
-    /// Goes on with the pull at the peer whose answer says that there is more.
-    pub(crate) fn pull_on(
+    /// Continues the pull at the peer whose response says that there is more.
+    pub(crate) fn continue_pull(
         &mut self,
         now: MonotonicTime,
         host: &HostId,
         next: u16,
     ) -> Option<Outgoing> {
         let pull = self.catch_up.as_mut()?;
-        if pull.asked.as_ref().is_none_or(|(asked, _)| asked != host) {
+        if pull.in_flight.as_ref().is_none_or(|(peer, _)| peer != host) {
             return None;
         }
-        if BUCKETS <= next {
+        if BUCKET_COUNT <= next {
             self.catch_up = None;
             return None;
         }
         if next <= pull.next {
-            pull.asked = None;
+            pull.in_flight = None;
             return None;
         }
         pull.next = next;
         self.pull_from(now, host)
     }
 
-    /// Answers a pull, and returns where to go on: at the same bucket if this router can't help.
+    /// Returns the records that answer a pull and the bucket to continue at, which is the same
+    /// bucket if this router can't answer.
     ///
-    /// A router that still catches up helps only one that knows far less.
-    pub(crate) fn pulled(&self, now: MonotonicTime, pull: Pull, room: usize) -> (Records, u16) {
-        const FAR_MORE: u32 = 2;
+    /// A router that still catches up answers only routers with far fewer records.
+    pub(crate) fn answer_pull(
+        &self,
+        now: MonotonicTime,
+        pull: Pull,
+        max_bytes: usize,
+    ) -> (Records, u16) {
+        const FAR_MORE_FACTOR: u32 = 2;
         let first = pull.first;
-        let smallest = self.budget.catch_up_message.as_u64() as usize / 2;
-        let knows_more = pull.known.saturating_mul(FAR_MORE) < self.record_count();
-        let is_settled = self
+        let min_bytes = self.budget.max_catch_up_message.as_u64() as usize / 2;
+        let has_far_more = pull.record_count.saturating_mul(FAR_MORE_FACTOR) < self.record_count();
+        let may_serve = self
             .catch_up
             .as_ref()
-            .is_none_or(|own| HELP_ANYWAY <= now.saturating_since(own.started));
-        if !(is_settled || knows_more) || room < smallest {
-            return (self.some_peers(), first);
+            .is_none_or(|own| SERVE_INCOMPLETE_AFTER <= now.saturating_since(own.started));
+        if !(may_serve || has_far_more) || max_bytes < min_bytes {
+            return (self.alternative_peers(), first);
         }
         let mut all = Records::default();
-        let buckets = self.by_bucket(now, |bucket| first <= bucket);
+        let buckets = self.records_by_bucket(now, |bucket| first <= bucket);
         for (next, records) in buckets.into_iter().enumerate().skip(first.into()) {
-            if !all.is_empty() && room < all.bytes + records.bytes {
+            if !all.is_empty() && max_bytes < all.bytes + records.bytes {
                 return (all, next as u16);
             }
-            all.append(records, room);
+            all.append(records, max_bytes);
         }
-        (all, BUCKETS)
+        (all, BUCKET_COUNT)
     }
 
-    /// Returns the records of `buckets`, as far as there is room.
-    pub(crate) fn records(&self, now: MonotonicTime, buckets: &[u16], room: usize) -> Records {
+    /// Returns the records of `buckets` that fit into `max_bytes`.
+    pub(crate) fn records(&self, now: MonotonicTime, buckets: &[u16], max_bytes: usize) -> Records {
         let mut all = Records::default();
-        for records in self.by_bucket(now, |bucket| buckets.contains(&bucket)) {
-            all.append(records, room);
+        for records in self.records_by_bucket(now, |bucket| buckets.contains(&bucket)) {
+            all.append(records, max_bytes);
         }
         all
     }
 
-    /// Returns a few routers, others each time, where a pull may be tried instead.
-    fn some_peers(&self) -> Records {
-        const SOME: usize = 8;
+    /// Returns a few live routers, different ones each time, at which to retry a pull.
+    fn alternative_peers(&self) -> Records {
+        const PEER_COUNT: usize = 8;
         let mut records = Records::default();
         let count = self.peers.live().count().max(1);
-        let start = self.peers.me().heartbeat.as_u64() as usize * SOME % count;
-        let turned = self.peers.live().skip(start).chain(self.peers.live().take(start));
-        for peer in turned.filter(|peer| peer.update.state == PeerState::Alive).take(SOME) {
+        let offset = self.peers.me().heartbeat.as_u64() as usize * PEER_COUNT % count;
+        let rotated = self.peers.live().skip(offset).chain(self.peers.live().take(offset));
+        for peer in rotated.filter(|peer| peer.update.state == PeerState::Alive).take(PEER_COUNT) {
             records.add_peer(peer.update.clone());
         }
         records
@@ -154,10 +160,10 @@
 
     fn pull_from(&mut self, now: MonotonicTime, host: &HostId) -> Option<Outgoing> {
         let pull = self.catch_up.as_mut()?;
-        pull.asked = Some((host.clone(), now));
+        pull.in_flight = Some((host.clone(), now));
         let first = pull.next;
-        let known = pull.known;
-        self.send(now, host, |message| message.pull = Some(Pull { first, known }))
+        let record_count = pull.known_records;
+        self.send(now, host, |message| message.pull = Some(Pull { first, record_count }))
     }
 
     fn record_count(&self) -> u32 {
@@ -165,21 +171,26 @@
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    fn by_bucket(&self, now: MonotonicTime, is_wanted: impl Fn(u16) -> bool) -> Vec<Records> {
-        let mut buckets: Vec<_> = (0..BUCKETS).map(|_| Records::default()).collect();
+    fn records_by_bucket(
+        &self,
+        now: MonotonicTime,
+        is_selected: impl Fn(u16) -> bool,
+    ) -> Vec<Records> {
+        let mut buckets: Vec<_> = (0..BUCKET_COUNT).map(|_| Records::default()).collect();
         let peers = self.peers.iter().map(|peer| &peer.update);
         let alive = peers.filter(|update| update.state == PeerState::Alive);
         for update in alive.chain([self.peers.me()]) {
             let bucket = bucket(update.host.as_str());
-            if is_wanted(bucket) {
+            if is_selected(bucket) {
                 buckets[usize::from(bucket)].add_peer(update.clone());
             }
         }
-        for known in self.endpoints.iter().filter(|k| k.state != EndpointState::Expired) {
-            let announcement = known.announcement.clone();
+        for record in self.endpoints.iter().filter(|record| record.state != EndpointState::Expired)
+        {
+            let announcement = record.announcement.clone();
             let bucket = bucket(announcement.endpoint.as_str());
-            if is_wanted(bucket) {
-                let update = EndpointUpdate { announcement, age: known.age(now) };
+            if is_selected(bucket) {
+                let update = EndpointUpdate { announcement, age: record.age(now) };
                 buckets[usize::from(bucket)].add_endpoint(update);
             }
         }
@@ -188,12 +199,12 @@
 }
 
 impl Records {
-    /// Returns the bound on the records' encoded length.
+    /// Returns an upper bound on the encoded length of the records.
     pub(crate) fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Moves all records into the lists of `message`.
+    /// Moves all records into `message`.
     pub(crate) fn move_into(self, message: &mut Gossip) {
         message.peers.extend(self.peers);
         message.endpoints.extend(self.endpoints);
@@ -203,14 +214,14 @@
         self.peers.is_empty() && self.endpoints.is_empty()
     }
 
-    fn append(&mut self, other: Self, room: usize) {
+    fn append(&mut self, other: Self, max_bytes: usize) {
         for update in other.peers {
-            if self.bytes + peer_bytes(&update) <= room {
+            if self.bytes + peer_bytes(&update) <= max_bytes {
                 self.add_peer(update);
             }
         }
         for update in other.endpoints {
-            if self.bytes + endpoint_bytes(&update.announcement) <= room {
+            if self.bytes + endpoint_bytes(&update.announcement) <= max_bytes {
                 self.add_endpoint(update);
             }
         }
--- a/crates/member/src/checksum.rs
+++ b/crates/member/src/checksum.rs
@@ -1,28 +1,28 @@
 use crate::{Checksums, EndpointRecord, EndpointState, PeerState, PeerUpdate};
 
-/// Number of buckets over which records are spread by their identifier.
-pub(crate) const BUCKETS: u16 = 256;
+/// Number of buckets into which records are hashed by their identifier.
+pub(crate) const BUCKET_COUNT: u16 = 256;
 
 /// Number of checksums in a message.
-const SUMS_PER_MESSAGE: u16 = 16;
+const CHECKSUMS_PER_MESSAGE: u16 = 16;
 
-/// Checksums of all buckets; equal at two routers that know the same lives.
+/// Checksums of all buckets; equal at two routers whose records hold the same incarnations.
 #[derive(Debug)]
-pub(crate) struct Sums(Vec<u32>);
+pub(crate) struct BucketChecksums(Vec<u32>);
 
-impl Sums {
-    /// Sums up the peers that are not dead and the endpoints whose lease runs.
+impl BucketChecksums {
+    /// Computes the checksums of the peers that are not dead and the endpoints with a valid lease.
     pub(crate) fn new<'a>(
         peers: impl Iterator<Item = &'a PeerUpdate>,
         endpoints: impl Iterator<Item = &'a EndpointRecord>,
     ) -> Self {
-        let mut sums = Self(vec![0; usize::from(BUCKETS)]);
+        let mut sums = Self(vec![0; usize::from(BUCKET_COUNT)]);
         for peer in peers.filter(|peer| peer.state != PeerState::Dead) {
             sums.add(peer.host.as_str(), peer.incarnation.as_u64(), false);
         }
-        for known in endpoints {
-            let a = &known.announcement;
-            let leaving = match known.state {
+        for record in endpoints {
+            let a = &record.announcement;
+            let leaving = match record.state {
                 EndpointState::Ready => false,
                 EndpointState::Leaving => true,
                 EndpointState::Left | EndpointState::Expired => continue,
@@ -32,16 +32,16 @@
         sums
     }
 
-    /// Returns the checksums of the range that starts at `first`.
+    /// Returns the checksums of the message range that contains bucket `first`.
     pub(crate) fn range(&self, first: u16) -> Checksums {
-        let first = first % BUCKETS / SUMS_PER_MESSAGE * SUMS_PER_MESSAGE;
-        let sums = self.0[usize::from(first)..usize::from(first + SUMS_PER_MESSAGE)].to_vec();
+        let first = first % BUCKET_COUNT / CHECKSUMS_PER_MESSAGE * CHECKSUMS_PER_MESSAGE;
+        let sums = self.0[usize::from(first)..usize::from(first + CHECKSUMS_PER_MESSAGE)].to_vec();
         Checksums { first, sums }
     }
 
-    /// Returns the buckets whose checksum differs from `theirs`.
-    pub(crate) fn differing(&self, theirs: &Checksums) -> Vec<u16> {
-        let numbered = (theirs.first..BUCKETS).zip(&theirs.sums);
+    /// Returns the buckets whose checksum differs from the one in `remote`.
+    pub(crate) fn differing(&self, remote: &Checksums) -> Vec<u16> {
+        let numbered = (remote.first..BUCKET_COUNT).zip(&remote.sums);
         numbered.filter(|&(n, sum)| self.0[usize::from(n)] != *sum).map(|(n, _)| n).collect()
     }
 
@@ -53,10 +53,10 @@
     }
 }
 
-/// Returns the bucket of the record that `id` names.
+/// Returns the bucket of the record with identifier `id`.
 pub(crate) fn bucket(id: &str) -> u16 {
     let hash = fnv(FNV_OFFSET, id.as_bytes());
-    ((hash ^ (hash >> 32)) as u16) % BUCKETS
+    ((hash ^ (hash >> 32)) as u16) % BUCKET_COUNT
 }
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
--- a/crates/member/src/endpoints.rs
+++ b/crates/member/src/endpoints.rs
@@ -4,50 +4,50 @@
 
 use crate::{Announcement, EndpointKind, IncarnationKey, Load};
 
-/// Time for which the end of a life is remembered.
-pub const TOMBSTONE_TIME: Duration = Duration::from_secs(3600);
+/// Time for which the record of an ended incarnation is kept as a tombstone.
+pub const TOMBSTONE_RETENTION: Duration = Duration::from_secs(3600);
 
-/// Number of ended lives that are remembered; the oldest go first.
+/// Largest number of tombstones; the oldest are removed first.
 pub const MAX_TOMBSTONES: usize = 4096;
 
-/// Number of endpoints that may be known at once, ended lives aside.
+/// Largest number of endpoints, not counting tombstones.
 pub const MAX_ENDPOINTS: usize = 8192;
 
-/// Tracks which endpoints may get new work.
+/// Leases of endpoints; decides which endpoints may get new requests.
 #[derive(Debug, Default)]
 pub struct Endpoints {
-    known: BTreeMap<EndpointId, EndpointRecord>,
-    lives: BTreeMap<IncarnationKey, EndpointId>,
+    records: BTreeMap<EndpointId, EndpointRecord>,
+    incarnations: BTreeMap<IncarnationKey, EndpointId>,
     lease_floor: Duration,
     live: usize,
 }
 
-/// What is known of an endpoint.
+/// An endpoint's newest announcement and the state of its lease.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRecord {
-    /// Its newest announcement.
+    /// The newest announcement.
     pub announcement: Arc<Announcement>,
-    /// When the endpoint wrote the announcement, as far as its age was measured.
+    /// When the endpoint wrote the announcement, computed from the age on arrival.
     pub written: MonotonicTime,
-    /// The router that relayed the news; none if the endpoint itself spoke.
+    /// The router that relayed the announcement; none if the endpoint sent it here.
     pub relayed_by: Option<HostId>,
-    /// Whether it may get new work.
+    /// Whether the endpoint may get new requests.
     pub state: EndpointState,
-    /// How long the announcement counts here: its lease, or the floor that the fleet's size sets.
+    /// The effective lease: the announced one, or the lease floor if that is longer.
     pub lease: Duration,
     ended: MonotonicTime,
 }
 
-/// Whether an endpoint may get new work.
+/// Whether an endpoint may get new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It holds a lease and wants work.
+    /// It holds a lease and accepts new requests.
     Ready,
-    /// It said that it wants no new work; its lease still runs.
+    /// It announced that it leaves; its lease is still valid.
     Leaving,
-    /// It left, and its lease ended.
+    /// It announced that it leaves, and its lease expired.
     Left,
-    /// Its lease ended without a word.
+    /// Its lease expired without an announcement that it leaves.
     Expired,
 }
 
@@ -61,51 +61,51 @@
     }
 }
 
-/// How an announcement or the passing of time changed what may get new work.
+/// A change of an endpoint's lease, by an announcement or by expiry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointChange {
-    /// The endpoint is new, or a new incarnation of it.
+    /// The endpoint or its incarnation is new.
     Joined(EndpointId),
     /// The endpoint renewed its lease.
     Renewed(EndpointId),
-    /// The endpoint wants no new work.
+    /// The endpoint leaves and accepts no new requests.
     Leaving(EndpointId),
-    /// The endpoint's lease ended.
+    /// The endpoint's lease expired.
     Expired(EndpointId),
 }
 
-/// An announcement older than one already applied.
+/// The error of an announcement that is older than the one already applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Stale {
+pub struct StaleAnnouncement {
     /// The endpoint.
     pub endpoint: EndpointId,
 }
 
-impl fmt::Display for Stale {
+impl fmt::Display for StaleAnnouncement {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "a newer announcement of {} is known", self.endpoint)
     }
 }
 
-impl error::Error for Stale {}
+impl error::Error for StaleAnnouncement {}
 
 impl EndpointRecord {
-    /// Returns when the lease ends.
+    /// Returns when the lease expires.
     pub fn expires(&self) -> MonotonicTime {
         self.written + self.lease
     }
 
-    /// Returns the age of the news at `now`.
+    /// Returns the age of the announcement at `now`.
     pub fn age(&self, now: MonotonicTime) -> Duration {
         now.saturating_since(self.written)
     }
 
-    /// Returns what is left of the lease at `now`.
+    /// Returns the remaining time of the lease at `now`.
     pub fn lease_left(&self, now: MonotonicTime) -> Duration {
         self.expires().saturating_since(now)
     }
 
-    /// Returns an engine's last reported load and the report's age at `now`.
+    /// Returns an engine's last reported load and the age of the report at `now`.
     pub fn load(&self, now: MonotonicTime) -> Option<(Load, Duration)> {
         let EndpointKind::Engine(engine) = &self.announcement.kind else { return None };
         Some((engine.load, self.age(now)))
@@ -117,14 +117,14 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Stale`] if a newer announcement of the endpoint is known, if its incarnation has
-    /// left, or if its lease ran out on the way.
+    /// Returns [`StaleAnnouncement`] if a newer announcement of the endpoint is known, if its
+    /// incarnation has left, or if its lease expired in transit.
     pub fn announce(
         &mut self,
         now: MonotonicTime,
         announcement: Announcement,
         age: Duration,
-    ) -> Result<EndpointChange, Stale> {
+    ) -> Result<EndpointChange, StaleAnnouncement> {
         self.apply(now, Arc::new(announcement), age, None)
     }
 
@@ -132,31 +132,32 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Stale`] as [`announce`](Self::announce) does.
-    pub fn relayed(
+    /// Returns [`StaleAnnouncement`] as [`announce`](Self::announce) does.
+    pub fn announce_relayed(
         &mut self,
         now: MonotonicTime,
         announcement: Arc<Announcement>,
         age: Duration,
         router: HostId,
-    ) -> Result<EndpointChange, Stale> {
+    ) -> Result<EndpointChange, StaleAnnouncement> {
         self.apply(now, announcement, age, Some(router))
     }
 
-    /// Renews the lease of a known life by relayed news of a higher sequence number.
+    /// Renews the lease of a known incarnation by a relayed renewal with a higher sequence number.
     ///
-    /// Returns nothing if the life is unknown.
+    /// Returns nothing if the incarnation is unknown.
     ///
     /// # Errors
     ///
-    /// Returns [`Stale`] if the life has left, the news is not new, or its lease ran out.
+    /// Returns [`StaleAnnouncement`] if the incarnation has left, or if the renewal is not newer or
+    /// has expired.
     pub fn renew(
         &mut self,
         now: MonotonicTime,
-        renewal: &RenewedLife,
-    ) -> Option<Result<EndpointChange, Stale>> {
-        let known = self.known.get(self.lives.get(&renewal.life)?)?;
-        let mut announcement = Announcement::clone(&known.announcement);
+        renewal: &RelayedRenewal,
+    ) -> Option<Result<EndpointChange, StaleAnnouncement>> {
+        let record = self.records.get(self.incarnations.get(&renewal.key)?)?;
+        let mut announcement = Announcement::clone(&record.announcement);
         announcement.sequence = renewal.sequence;
         announcement.leaving = false;
         if let (EndpointKind::Engine(engine), Some(load)) = (&mut announcement.kind, renewal.load) {
@@ -166,55 +167,57 @@
         Some(self.apply(now, Arc::new(announcement), renewal.age, Some(router)))
     }
 
-    /// Sets the shortest lease that counts, so that renewals need not outrun the traffic budget.
+    /// Sets the lease floor, which keeps the rate of renewals within the traffic budget.
     pub fn set_lease_floor(&mut self, floor: Duration) {
         if self.lease_floor == floor {
             return;
         }
         self.lease_floor = floor;
-        for known in self.known.values_mut() {
-            known.lease = known.announcement.lease.max(floor);
+        for record in self.records.values_mut() {
+            record.lease = record.announcement.lease.max(floor);
         }
     }
 
-    /// Expires leases that ended at or before `now`, and forgets old ends of lives.
+    /// Expires leases that end at or before `now`, and removes old tombstones.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<EndpointChange> {
         let mut changes = Vec::new();
-        for (endpoint, known) in &mut self.known {
-            if known.state.has_ended() || now < known.expires() {
+        for (endpoint, record) in &mut self.records {
+            if record.state.has_ended() || now < record.expires() {
                 continue;
             }
-            let left = known.state.has_left();
-            known.state = if left { EndpointState::Left } else { EndpointState::Expired };
-            known.ended = now;
+            let has_left = record.state.has_left();
+            record.state = if has_left { EndpointState::Left } else { EndpointState::Expired };
+            record.ended = now;
             self.live -= 1;
             changes.push(EndpointChange::Expired(endpoint.clone()));
         }
-        self.forget_old(now);
+        self.remove_old_tombstones(now);
         changes
     }
 
-    /// Returns the endpoints that may get new work.
+    /// Returns the endpoints that may get new requests.
     pub fn ready(&self) -> impl Iterator<Item = &Announcement> {
-        self.iter().filter(|k| k.state == EndpointState::Ready).map(|k| k.announcement.as_ref())
+        self.iter()
+            .filter(|record| record.state == EndpointState::Ready)
+            .map(|record| record.announcement.as_ref())
     }
 
-    /// Returns all that is known, ended lives included.
+    /// Returns all records, tombstones included.
     pub fn iter(&self) -> impl Iterator<Item = &EndpointRecord> {
-        self.known.values()
+        self.records.values()
     }
 
-    /// Returns what is known of `endpoint`.
+    /// Returns the record of `endpoint`.
     pub fn find(&self, endpoint: &EndpointId) -> Option<&EndpointRecord> {
-        self.known.get(endpoint)
+        self.records.get(endpoint)
     }
 
-    /// Returns what is known of the life that `key` names, if it is the endpoint's newest.
-    pub fn find_life(&self, key: &IncarnationKey) -> Option<&EndpointRecord> {
-        self.known.get(self.lives.get(key)?)
+    /// Returns the record of the incarnation `key`, if it is the newest of its endpoint.
+    pub fn find_incarnation(&self, key: &IncarnationKey) -> Option<&EndpointRecord> {
+        self.records.get(self.incarnations.get(key)?)
     }
 
-    /// Returns the number of endpoints whose lease runs.
+    /// Returns the number of endpoints with a valid lease.
     pub fn live_count(&self) -> usize {
         self.live
     }
@@ -225,90 +228,91 @@
         announcement: Arc<Announcement>,
         age: Duration,
         relayed_by: Option<HostId>,
-    ) -> Result<EndpointChange, Stale> {
+    ) -> Result<EndpointChange, StaleAnnouncement> {
         let endpoint = announcement.endpoint.clone();
-        let known = self.known.get(&endpoint);
-        let Some(change) = self.judge(known, &announcement, age) else {
-            return Err(Stale { endpoint });
+        let record = self.records.get(&endpoint);
+        let Some(change) = self.classify(record, &announcement, age) else {
+            return Err(StaleAnnouncement { endpoint });
         };
         let state = match change {
             EndpointChange::Leaving(_) => EndpointState::Leaving,
             _ => EndpointState::Ready,
         };
         let written = now.saturating_sub(age);
-        let announcement = keep_newest_sequence(known, announcement);
-        let was_live = known.is_some_and(|known| !known.state.has_ended());
-        let replaced = known.filter(|k| k.announcement.incarnation != announcement.incarnation);
-        if let Some(known) = replaced {
-            self.lives.remove(&IncarnationKey::of(&known.announcement));
+        let announcement = keep_newest_sequence(record, announcement);
+        let was_live = record.is_some_and(|record| !record.state.has_ended());
+        let replaced =
+            record.filter(|record| record.announcement.incarnation != announcement.incarnation);
+        if let Some(record) = replaced {
+            self.incarnations.remove(&IncarnationKey::of(&record.announcement));
         }
         self.live += usize::from(!was_live);
-        self.lives.insert(IncarnationKey::of(&announcement), endpoint.clone());
+        self.incarnations.insert(IncarnationKey::of(&announcement), endpoint.clone());
         let lease = announcement.lease.max(self.lease_floor);
-        let known = EndpointRecord { announcement, written, relayed_by, state, lease, ended: now };
-        self.known.insert(endpoint, known);
+        let record = EndpointRecord { announcement, written, relayed_by, state, lease, ended: now };
+        self.records.insert(endpoint, record);
         Ok(change)
     }
 
-    fn judge(
+    fn classify(
         &self,
-        known: Option<&EndpointRecord>,
+        record: Option<&EndpointRecord>,
         new: &Announcement,
         age: Duration,
     ) -> Option<EndpointChange> {
         let endpoint = new.endpoint.clone();
-        let spent = new.lease.max(self.lease_floor) <= age;
-        let Some(known) = known else {
-            let full = MAX_ENDPOINTS + MAX_TOMBSTONES <= self.known.len();
+        let is_expired = new.lease.max(self.lease_floor) <= age;
+        let Some(record) = record else {
+            let is_full = MAX_ENDPOINTS + MAX_TOMBSTONES <= self.records.len();
             return match new.leaving {
-                _ if full => None,
+                _ if is_full => None,
                 true => Some(EndpointChange::Leaving(endpoint)),
-                false if spent => None,
+                false if is_expired => None,
                 false => Some(EndpointChange::Joined(endpoint)),
             };
         };
-        let old = &known.announcement;
+        let old = &record.announcement;
         if new.incarnation < old.incarnation {
             return None;
         }
-        let same_life = new.incarnation == old.incarnation;
-        let newer = !same_life || old.sequence < new.sequence;
-        match (new.leaving, same_life) {
-            (true, true) if known.state.has_left() && (!newer || spent) => None,
+        let same_incarnation = new.incarnation == old.incarnation;
+        let newer = !same_incarnation || old.sequence < new.sequence;
+        match (new.leaving, same_incarnation) {
+            (true, true) if record.state.has_left() && (!newer || is_expired) => None,
             (true, _) => Some(EndpointChange::Leaving(endpoint)),
-            (false, _) if spent || !newer => None,
-            (false, true) if known.state.has_left() => None,
+            (false, _) if is_expired || !newer => None,
+            (false, true) if record.state.has_left() => None,
             (false, true) => Some(EndpointChange::Renewed(endpoint)),
             (false, false) => Some(EndpointChange::Joined(endpoint)),
         }
     }
 
-    fn forget_old(&mut self, now: MonotonicTime) {
-        if self.known.len() == self.live {
+    fn remove_old_tombstones(&mut self, now: MonotonicTime) {
+        if self.records.len() == self.live {
             return;
         }
-        let ended = self.iter().filter(|known| known.state.has_ended());
+        let ended = self.iter().filter(|record| record.state.has_ended());
         let mut ended: Vec<_> =
-            ended.map(|known| (known.ended, known.announcement.endpoint.clone())).collect();
+            ended.map(|record| (record.ended, record.announcement.endpoint.clone())).collect();
         ended.sort_unstable();
         let excess = ended.len().saturating_sub(MAX_TOMBSTONES);
-        let is_old = |at: MonotonicTime| TOMBSTONE_TIME <= now.saturating_since(at);
+        let is_old = |at: MonotonicTime| TOMBSTONE_RETENTION <= now.saturating_since(at);
         for (index, (at, endpoint)) in ended.into_iter().enumerate() {
             if excess <= index && !is_old(at) {
                 return;
             }
-            let Some(known) = self.known.remove(&endpoint) else { continue };
-            self.lives.remove(&IncarnationKey::of(&known.announcement));
+            let Some(record) = self.records.remove(&endpoint) else { continue };
+            self.incarnations.remove(&IncarnationKey::of(&record.announcement));
         }
     }
 }
 
-/// A renewal as a relay reports it.
+/// A renewal received from another router.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RenewedLife {
-    /// The life.
-    pub life: IncarnationKey,
-    /// The position of the newest announcement.
+pub struct RelayedRenewal {
+    /// The incarnation.
+    pub key: IncarnationKey,
+    /// The sequence number of the newest announcement.
     pub sequence: Sequence,
     /// The announcement's age on arrival.
     pub age: Duration,
@@ -318,12 +322,13 @@
     pub relayed_by: HostId,
 }
 
-/// Keeps a life's sequence number from going back when an older word that it leaves arrives.
+/// Keeps an incarnation's sequence number from decreasing when an older announcement that it leaves
+/// arrives.
 fn keep_newest_sequence(
-    known: Option<&EndpointRecord>,
+    record: Option<&EndpointRecord>,
     mut new: Arc<Announcement>,
 ) -> Arc<Announcement> {
-    let Some(old) = known.map(|known| &known.announcement) else { return new };
+    let Some(old) = record.map(|record| &record.announcement) else { return new };
     if old.incarnation == new.incarnation && new.sequence < old.sequence {
         Arc::make_mut(&mut new).sequence = old.sequence;
     }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,11 +1,12 @@
 //! Membership of routers and leases of endpoints.
 //!
-//! [`Membership`] is one router's share in a gossip between all: [`Peers`] tells which routers are
-//! alive, [`Endpoints`] which endpoints may get new work, and a [`Rumour`] names the newest
-//! revision of the configuration. It is a state machine without sockets or clocks. The driver
-//! calls [`Membership::tick`] each [`TICK_INTERVAL`] and sends what it returns; it passes each message that
-//! arrives to [`Membership::handle_request`] and sends the answer back, and passes each answer that it
-//! gets to [`Membership::handle_response`]. Messages may be lost, delayed, doubled and reordered.
+//! [`Membership`] is one router's state in a gossip protocol between all routers: [`Peers`] holds
+//! which routers are alive, [`Endpoints`] which endpoints may get new requests, and
+//! [`NewestRevision`] the newest revision of the configuration. It is a state machine without
+//! sockets or clocks. The driver calls [`Membership::tick`] every [`TICK_INTERVAL`] and sends the
+//! returned messages; it passes each request that arrives to [`Membership::handle_request`] and
+//! sends the response back, and passes each response to [`Membership::handle_response`]. Messages may
+//! be lost, delayed, duplicated and reordered.
 //!
 //! # Example
 //!
@@ -36,8 +37,8 @@
 //!
 //! let now = MonotonicTime::from_millis(200);
 //! for outgoing in second.tick(now, &mut Pcg64::seed_from_u64(1)) {
-//!     let answer = first.handle_request(now, outgoing.message);
-//!     second.handle_response(now, now, answer);
+//!     let response = first.handle_request(now, outgoing.message);
+//!     second.handle_response(now, now, response);
 //! }
 //! assert_eq!(first.peers().live().count(), 1);
 //! assert_eq!(second.peers().live().count(), 1);
@@ -50,25 +51,25 @@
 mod detector;
 mod endpoints;
 mod exchange;
-mod leavers;
+mod leaving_set;
 mod link;
 mod membership;
 mod message;
 mod peers;
-mod spread;
+mod transmit_queue;
 
 pub use crate::{
     announcement::{Announcement, EndpointKind, Engine, Load, ServedModel},
     budget::Budget,
     endpoints::{
         EndpointChange, EndpointRecord, EndpointState, Endpoints, MAX_ENDPOINTS, MAX_TOMBSTONES,
-        RenewedLife, Stale, TOMBSTONE_TIME,
+        RelayedRenewal, StaleAnnouncement, TOMBSTONE_RETENTION,
     },
-    leavers::LeavingSet,
+    leaving_set::LeavingSet,
     membership::{Membership, Outgoing, Roster, TICK_INTERVAL},
     message::{
-        Checksums, EndpointUpdate, Gossip, IncarnationKey, PeerState, PeerUpdate, Pull, Renewal,
-        Rumour, Want,
+        AnnouncementRequest, Checksums, EndpointUpdate, Gossip, IncarnationKey, NewestRevision,
+        PeerState, PeerUpdate, Pull, Renewal,
     },
-    peers::{DEAD_TIME, MAX_PEERS, PROBE_PERIOD, Peer, Peers},
+    peers::{DEAD_PEER_RETENTION, MAX_PEERS, PROBE_INTERVAL, Peer, Peers},
 };
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -9,200 +9,203 @@
 use rand::{Rng, seq::IndexedRandom};
 
 use crate::{
-    Announcement, Budget, EndpointChange, EndpointRecord, Endpoints, Gossip, IncarnationKey,
-    MAX_ENDPOINTS, PROBE_PERIOD, Peer, PeerUpdate, Peers, Rumour, Stale, Want, budget::Allowance,
-    catch_up::CatchUp, checksum::Sums, spread::Spread,
+    Announcement, AnnouncementRequest, Budget, EndpointChange, EndpointRecord, Endpoints, Gossip,
+    IncarnationKey, MAX_ENDPOINTS, NewestRevision, PROBE_INTERVAL, Peer, PeerUpdate, Peers,
+    StaleAnnouncement, budget::RateLimiter, catch_up::CatchUp, checksum::BucketChecksums,
+    transmit_queue::TransmitQueue,
 };
 
-/// Time between two calls of [`Membership::tick`].
+/// Interval between calls of [`Membership::tick`].
 pub const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A pause between two ticks after which this process was frozen and judges nobody by it.
-const FREEZE: Duration = Duration::from_secs(3);
+/// Pause between two ticks from which this process counts as suspended, so that overdue probes are
+/// not held against other routers.
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(3);
 
-/// Number of periods over which a count heard from a peer fades.
-const COUNT_MEMORY_PERIODS: u32 = 30;
+/// Number of probe intervals over which an endpoint count reported by a peer decays.
+const COUNT_DECAY_INTERVALS: u32 = 30;
 
-/// Number of lives that a message asks for.
-const MAX_WANTED: usize = 16;
+/// Largest number of announcement requests in a message.
+const MAX_REQUESTS_PER_MESSAGE: usize = 16;
 
-/// A router's share in the gossip: its peers, the endpoints and the newest configuration's rumour.
+/// A router's gossip state: the other routers, the endpoints and the newest known revision.
 #[derive(Debug)]
 pub struct Membership {
     pub(crate) peers: Peers,
     pub(crate) endpoints: Endpoints,
-    pub(crate) newest: Rumour,
+    pub(crate) newest: NewestRevision,
     pub(crate) budget: Budget,
-    pub(crate) steady: Allowance,
-    pub(crate) reserve: Allowance,
-    pub(crate) queues: Queues,
-    pub(crate) wanted: BTreeSet<IncarnationKey>,
-    pub(crate) vouching: BTreeMap<HostId, Vouching>,
+    pub(crate) steady: RateLimiter,
+    pub(crate) reserve: RateLimiter,
+    pub(crate) queues: TransmitQueues,
+    pub(crate) pending_requests: BTreeSet<IncarnationKey>,
+    pub(crate) proxy_probes: BTreeMap<HostId, ProxyProbe>,
     pub(crate) changes: Vec<EndpointChange>,
-    pub(crate) sums: Option<Sums>,
-    pub(crate) next_sums: u16,
+    pub(crate) checksums: Option<BucketChecksums>,
+    pub(crate) next_checksum_range: u16,
     pub(crate) catch_up: Option<CatchUp>,
-    pub(crate) pulled_at: MonotonicTime,
-    pub(crate) heard_count: u32,
-    relayed: BTreeMap<IncarnationKey, MonotonicTime>,
+    pub(crate) last_pull_at: MonotonicTime,
+    pub(crate) reported_endpoint_count: u32,
+    relayed_at: BTreeMap<IncarnationKey, MonotonicTime>,
     seeds: Vec<SocketAddr>,
-    ticked: MonotonicTime,
-    next_period: MonotonicTime,
+    last_tick: MonotonicTime,
+    next_probe_round: MonotonicTime,
 }
 
-/// News that waits to be sent.
+/// Updates queued for gossip.
 #[derive(Debug, Default)]
-pub(crate) struct Queues {
-    pub(crate) leaving: Spread<EndpointId>,
-    pub(crate) joined: Spread<EndpointId>,
-    pub(crate) renewed: Spread<IncarnationKey>,
-    /// Rounds in which the newest revision is still worth a message of its own.
-    pub(crate) rumour_rounds: u32,
+pub(crate) struct TransmitQueues {
+    pub(crate) leaving: TransmitQueue<EndpointId>,
+    pub(crate) joined: TransmitQueue<EndpointId>,
+    pub(crate) renewed: TransmitQueue<IncarnationKey>,
+    /// Remaining rounds in which the newest revision causes messages of its own.
+    pub(crate) revision_rounds: u32,
 }
 
-/// A probe on behalf of others.
+/// A probe requested by other routers.
 #[derive(Debug, Default)]
-pub(crate) struct Vouching {
-    pub(crate) askers: Vec<HostId>,
-    probed: Option<MonotonicTime>,
+pub(crate) struct ProxyProbe {
+    pub(crate) requesters: Vec<HostId>,
+    probed_at: Option<MonotonicTime>,
 }
 
-/// A message to be sent; its answer goes to [`Membership::handle_response`].
+/// A message to send; its response goes to [`Membership::handle_response`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outgoing {
-    /// Where to send it.
+    /// The address to send it to.
     pub to: SocketAddr,
-    /// How long the answer may take before the driver gives the call up.
+    /// The response timeout, after which the driver abandons the call.
     pub timeout: Duration,
     /// The message.
     pub message: Gossip,
 }
 
-/// A copy of all that is known, for routing and for operators.
+/// A snapshot of the membership, for routing and for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Roster {
-    /// When it was copied.
+    /// When it was taken.
     pub at: MonotonicTime,
-    /// The router that made it.
+    /// The router that took it.
     pub me: PeerUpdate,
-    /// Whether the router hears from no other and judges none.
+    /// Whether the router receives no messages and therefore suspects no other.
     pub isolated: bool,
     /// The other routers.
     pub peers: Vec<Peer>,
-    /// The endpoints, ended lives included.
+    /// The endpoints, tombstones included.
     pub endpoints: Vec<EndpointRecord>,
-    /// Age of an announcement from which its endpoint may be gone.
+    /// Age from which an announcement suggests that its endpoint is down.
     pub stale_after: Duration,
-    /// The newest revision of the configuration, and who has it.
-    pub newest: Rumour,
+    /// The newest known revision of the configuration.
+    pub newest: NewestRevision,
 }
 
 impl Membership {
-    /// Starts a router that knows only itself and the addresses of some others.
+    /// Creates the state of a router that has no records but its own, and some seed addresses.
     ///
-    /// `me` holds an incarnation higher than any that the host used before; if it does not, the
-    /// router raises it as soon as a peer tells.
+    /// `me` should have a higher incarnation than any that the host used before; otherwise the
+    /// router raises it once a peer reports the higher one.
     pub fn new(now: MonotonicTime, me: PeerUpdate, seeds: Vec<SocketAddr>, budget: Budget) -> Self {
         let seeds = seeds.into_iter().filter(|seed| *seed != me.address).collect();
         Self {
-            newest: Rumour { revision: me.revision, host: me.host.clone() },
+            newest: NewestRevision { revision: me.revision, host: me.host.clone() },
             peers: Peers::new(now, me),
             endpoints: Endpoints::default(),
             budget,
-            steady: Allowance::new(now, budget.send, budget.catch_up_message),
-            reserve: Allowance::new(now, budget.reserve_refill, budget.reserve),
-            queues: Queues::default(),
-            wanted: BTreeSet::new(),
-            vouching: BTreeMap::new(),
+            steady: RateLimiter::new(now, budget.send_rate, budget.max_catch_up_message),
+            reserve: RateLimiter::new(now, budget.reserve_refill_rate, budget.reserve),
+            queues: TransmitQueues::default(),
+            pending_requests: BTreeSet::new(),
+            proxy_probes: BTreeMap::new(),
             changes: Vec::new(),
-            sums: None,
-            next_sums: 0,
+            checksums: None,
+            next_checksum_range: 0,
             catch_up: Some(CatchUp::new(now)),
-            pulled_at: now,
-            heard_count: 0,
-            relayed: BTreeMap::new(),
+            last_pull_at: now,
+            reported_endpoint_count: 0,
+            relayed_at: BTreeMap::new(),
             seeds,
-            ticked: now,
-            next_period: now,
+            last_tick: now,
+            next_probe_round: now,
         }
     }
 
-    /// Applies an announcement that the endpoint itself made, and relays it as far as others need
-    /// it.
+    /// Applies an announcement received from the endpoint itself, and queues it for gossip where
+    /// other routers need it.
     ///
     /// # Errors
     ///
-    /// Returns [`Stale`] as [`Endpoints::announce`] does.
+    /// Returns [`StaleAnnouncement`] as [`Endpoints::announce`] does.
     pub fn announce(
         &mut self,
         now: MonotonicTime,
         announcement: Announcement,
-    ) -> Result<EndpointChange, Stale> {
+    ) -> Result<EndpointChange, StaleAnnouncement> {
         let old = self.endpoints.find(&announcement.endpoint).cloned();
         let change = self.endpoints.announce(now, announcement, Duration::ZERO)?;
-        self.relay(old.as_ref(), &change);
+        self.enqueue_change(old.as_ref(), &change);
         self.changes.push(change.clone());
         Ok(change)
     }
 
-    /// Lets time pass, and returns the messages to send now.
+    /// Advances timers to `now` and returns the messages to send.
     ///
-    /// The driver calls it each [`TICK_INTERVAL`]; a call that comes late does no harm.
+    /// The driver calls it every [`TICK_INTERVAL`]; late calls are harmless.
     pub fn tick(&mut self, now: MonotonicTime, rng: &mut impl Rng) -> Vec<Outgoing> {
-        if FREEZE <= now.saturating_since(self.ticked) {
-            self.peers.resume(now);
+        if PAUSE_THRESHOLD <= now.saturating_since(self.last_tick) {
+            self.peers.reset_timers(now);
             self.catch_up = Some(CatchUp::new(now));
         }
-        self.ticked = now;
-        self.expire(now);
-        let mut out = self.ask_for_probes(now, rng);
-        out.extend(self.vouch_probes(now));
-        if self.next_period <= now {
-            self.next_period = now + PROBE_PERIOD;
-            self.heard_count -= self.heard_count.div_ceil(COUNT_MEMORY_PERIODS);
-            self.pull_again(now);
-            out.extend(self.probe_due(now, rng));
+        self.last_tick = now;
+        self.expire_leases(now);
+        let mut out = self.request_indirect_probes(now, rng);
+        out.extend(self.start_proxy_probes(now));
+        if self.next_probe_round <= now {
+            self.next_probe_round = now + PROBE_INTERVAL;
+            self.reported_endpoint_count -=
+                self.reported_endpoint_count.div_ceil(COUNT_DECAY_INTERVALS);
+            self.repeat_pull_if_incomplete(now);
+            out.extend(self.send_probes(now, rng));
         }
         out.extend(self.pull_from_random(now, rng));
-        out.extend(self.spread_news(now, rng));
+        out.extend(self.gossip_round(now, rng));
         out
     }
 
-    /// Returns how endpoints changed since the last call.
+    /// Returns the changes of endpoints since the last call.
     pub fn take_changes(&mut self) -> Vec<EndpointChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Notes the revision of the configuration in force here.
+    /// Sets the revision of the configuration in force at this router.
     pub fn set_revision(&mut self, revision: Revision) {
         self.peers.set_revision(revision);
         let host = self.peers.me().host.clone();
-        self.hear_rumour(&Rumour { revision, host });
+        self.record_revision(&NewestRevision { revision, host });
     }
 
-    /// Notes the leader known here, which peers learn with the next message.
+    /// Sets the leader known to this router, which is sent with the next messages.
     pub fn set_leader(&mut self, leader: Option<HostId>) {
         self.peers.set_leader(leader);
     }
 
-    /// Notes whether this router votes, which spreads to all.
+    /// Sets whether this router is a voter, and queues the change for gossip.
     pub fn set_votes(&mut self, votes: bool) {
         self.peers.set_votes(votes);
     }
 
-    /// Replaces the addresses at which other routers can be found.
+    /// Replaces the seed addresses.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         let me = self.peers.me().address;
         self.seeds = seeds.into_iter().filter(|seed| *seed != me).collect();
     }
 
-    /// Notes whether this router drains, which spreads to all.
+    /// Sets whether this router drains, and queues the change for gossip.
     pub fn set_draining(&mut self, draining: bool) {
         self.peers.set_draining(draining);
     }
 
-    /// Returns the highest revision of the configuration known, and a router that has it.
-    pub fn newest_revision(&self) -> &Rumour {
+    /// Returns the newest known revision of the configuration, and a router that has it.
+    pub fn newest_revision(&self) -> &NewestRevision {
         &self.newest
     }
 
@@ -216,12 +219,12 @@
         &self.endpoints
     }
 
-    /// Returns the endpoints that may get new work.
+    /// Returns the endpoints that may get new requests.
     pub fn ready(&self) -> impl Iterator<Item = &Announcement> {
         self.endpoints.ready()
     }
 
-    /// Copies all that is known; announcements are shared, not copied.
+    /// Takes a snapshot; announcements are shared, not copied.
     pub fn roster(&self, now: MonotonicTime) -> Arc<Roster> {
         Arc::new(Roster {
             at: now,
@@ -234,148 +237,155 @@
         })
     }
 
-    /// Returns the number of endpoints that the fleet is thought to have, so that a router that
-    /// knows few yet does not end leases sooner than the others renew them.
+    /// Returns the estimated number of endpoints in the fleet, so that a router with few records
+    /// does not expire leases sooner than the others renew them.
     pub(crate) fn endpoint_count(&self) -> usize {
         const STEP: usize = 64;
-        let count = self.endpoints.live_count().max(self.heard_count as usize);
+        let count = self.endpoints.live_count().max(self.reported_endpoint_count as usize);
         if STEP < count { count.next_multiple_of(STEP) } else { count }
     }
 
-    pub(crate) fn hear_count(&mut self, now: MonotonicTime, count: u32) {
-        let most = u32::try_from(MAX_ENDPOINTS).unwrap_or(u32::MAX);
-        if count.min(most) <= self.heard_count {
+    pub(crate) fn record_endpoint_count(&mut self, now: MonotonicTime, count: u32) {
+        let max_count = u32::try_from(MAX_ENDPOINTS).unwrap_or(u32::MAX);
+        if count.min(max_count) <= self.reported_endpoint_count {
             return;
         }
-        self.heard_count = count.min(most);
+        self.reported_endpoint_count = count.min(max_count);
         self.refresh_lease_floor(now);
     }
 
-    pub(crate) fn hear_rumour(&mut self, rumour: &Rumour) {
-        if rumour.revision <= self.newest.revision {
+    pub(crate) fn record_revision(&mut self, newest: &NewestRevision) {
+        if newest.revision <= self.newest.revision {
             return;
         }
-        self.newest = rumour.clone();
-        self.queues.rumour_rounds = self.copies_to_all();
+        self.newest = newest.clone();
+        self.queues.revision_rounds = self.transmit_limit();
     }
 
-    /// Returns how often news is sent so that it reaches all with a high chance.
-    pub(crate) fn copies_to_all(&self) -> u32 {
+    /// Returns how often an update is transmitted, so that it reaches all routers with high
+    /// probability.
+    pub(crate) fn transmit_limit(&self) -> u32 {
         const MARGIN: u32 = 3;
         MARGIN + (self.peers.iter().count() + 1).ilog2()
     }
 
-    /// Queues what changed about an endpoint, given what was known before.
-    pub(crate) fn relay(&mut self, old: Option<&EndpointRecord>, change: &EndpointChange) {
+    /// Queues a change of an endpoint for gossip, given its previous record.
+    pub(crate) fn enqueue_change(&mut self, old: Option<&EndpointRecord>, change: &EndpointChange) {
         let (EndpointChange::Joined(endpoint)
         | EndpointChange::Renewed(endpoint)
         | EndpointChange::Leaving(endpoint)
         | EndpointChange::Expired(endpoint)) = change;
-        let Some(known) = self.endpoints.find(endpoint).cloned() else { return };
-        let life = IncarnationKey::of(&known.announcement);
+        let Some(record) = self.endpoints.find(endpoint).cloned() else { return };
+        let key = IncarnationKey::of(&record.announcement);
         match change {
-            EndpointChange::Leaving(_) if old.is_some_and(|old| is_same_leave(old, &known)) => {}
+            EndpointChange::Leaving(_)
+                if old.is_some_and(|old| is_repeated_leave(old, &record)) => {}
             EndpointChange::Leaving(_) => {
                 self.queues.joined.remove(endpoint);
-                self.queues.renewed.remove(&life);
+                self.queues.renewed.remove(&key);
                 self.queues.leaving.push(endpoint.clone());
-                self.sums = None;
+                self.checksums = None;
             }
-            EndpointChange::Renewed(_) if old.is_some_and(|old| says_the_same(old, &known)) => {
-                self.relay_renewal(&known, life);
+            EndpointChange::Renewed(_) if old.is_some_and(|old| is_renewal(old, &record)) => {
+                self.enqueue_renewal(&record, key);
             }
             EndpointChange::Joined(_) | EndpointChange::Renewed(_) => {
-                self.relayed.insert(life, known.written);
+                self.relayed_at.insert(key, record.written);
                 self.queues.joined.push(endpoint.clone());
-                self.sums = None;
+                self.checksums = None;
             }
             EndpointChange::Expired(_) => {}
         }
     }
 
-    /// Queues a renewal; one that the endpoint made here only if others had none for a while.
-    fn relay_renewal(&mut self, known: &EndpointRecord, life: IncarnationKey) {
+    /// Queues a renewal; one received from the endpoint itself only if none was relayed recently.
+    fn enqueue_renewal(&mut self, record: &EndpointRecord, key: IncarnationKey) {
         let spacing = self.budget.renewal_spacing(self.endpoint_count()) * 3 / 4;
-        let last = self.relayed.get(&life);
-        let is_early = last.is_some_and(|&last| known.written.saturating_since(last) < spacing);
-        if is_early && known.relayed_by.is_none() {
+        let relayed_at = self.relayed_at.get(&key);
+        let is_early = relayed_at
+            .is_some_and(|&relayed_at| record.written.saturating_since(relayed_at) < spacing);
+        if is_early && record.relayed_by.is_none() {
             return;
         }
-        self.relayed.insert(life, known.written);
-        self.queues.renewed.push(life);
+        self.relayed_at.insert(key, record.written);
+        self.queues.renewed.push(key);
     }
 
     fn live_routers(&self) -> usize {
         self.peers.live().count() + 1
     }
 
-    /// Sets the shortest lease; a router that hears from nobody stretches none.
+    /// Updates the lease floor; without messages from other routers there is none.
     fn refresh_lease_floor(&mut self, now: MonotonicTime) {
         let routers = self.live_routers();
-        let floor = match self.peers.hears_nobody(now) {
+        let floor = match self.peers.may_have_missed_leaves(now) {
             true => Duration::ZERO,
             false => self.budget.lease_floor(routers, self.endpoint_count()),
         };
         self.endpoints.set_lease_floor(floor);
     }
 
-    fn expire(&mut self, now: MonotonicTime) {
+    fn expire_leases(&mut self, now: MonotonicTime) {
         self.refresh_lease_floor(now);
-        let ended = self.endpoints.tick(now);
-        if ended.is_empty() {
+        let expired = self.endpoints.tick(now);
+        if expired.is_empty() {
             return;
         }
-        self.sums = None;
-        self.changes.extend(ended);
+        self.checksums = None;
+        self.changes.extend(expired);
         let endpoints = &self.endpoints;
-        self.relayed.retain(|life, _| endpoints.find_life(life).is_some());
+        self.relayed_at.retain(|key, _| endpoints.find_incarnation(key).is_some());
     }
 
-    fn ask_for_probes(&mut self, now: MonotonicTime, rng: &mut impl Rng) -> Vec<Outgoing> {
+    fn request_indirect_probes(&mut self, now: MonotonicTime, rng: &mut impl Rng) -> Vec<Outgoing> {
         let live = self.peers.live().count();
-        let probes = self.peers.judge(now, rng);
+        let probes = self.peers.check_probes(now, rng);
         if live != self.peers.live().count() {
-            self.sums = None;
+            self.checksums = None;
         }
         let mut out = Vec::new();
         for probe in probes {
             let subject = vec![probe.subject];
-            out.extend(self.send(now, &probe.helper, |message| message.probe = subject));
+            out.extend(self.send(now, &probe.helper, |message| message.probe_requests = subject));
         }
         out
     }
 
-    fn vouch_probes(&mut self, now: MonotonicTime) -> Vec<Outgoing> {
-        const GIVE_UP: Duration = Duration::from_secs(3);
-        let mut fresh = Vec::new();
-        self.vouching.retain(|host, vouching| {
-            let probed = *vouching.probed.get_or_insert_with(|| {
-                fresh.push(host.clone());
+    fn start_proxy_probes(&mut self, now: MonotonicTime) -> Vec<Outgoing> {
+        const PROXY_PROBE_TIMEOUT: Duration = Duration::from_secs(3);
+        let mut unsent = Vec::new();
+        self.proxy_probes.retain(|host, probe| {
+            let probed_at = *probe.probed_at.get_or_insert_with(|| {
+                unsent.push(host.clone());
                 now
             });
-            now.saturating_since(probed) < GIVE_UP
+            now.saturating_since(probed_at) < PROXY_PROBE_TIMEOUT
         });
-        fresh.iter().filter_map(|host| self.send(now, host, |_| ())).collect()
+        unsent.iter().filter_map(|host| self.send(now, host, |_| ())).collect()
     }
 
-    fn probe_due(&mut self, now: MonotonicTime, rng: &mut impl Rng) -> Vec<Outgoing> {
-        self.want_low_leases(now);
-        let mut out: Vec<_> =
-            self.peers.due(rng).into_iter().filter_map(|host| self.probe(now, &host)).collect();
+    fn send_probes(&mut self, now: MonotonicTime, rng: &mut impl Rng) -> Vec<Outgoing> {
+        self.request_expiring_leases(now);
+        let mut out: Vec<_> = self
+            .peers
+            .probe_targets(rng)
+            .into_iter()
+            .filter_map(|host| self.probe(now, &host))
+            .collect();
         out.extend(self.probe_seed(now, rng));
         out
     }
 
     fn probe(&mut self, now: MonotonicTime, host: &HostId) -> Option<Outgoing> {
-        let sums = self.next_checksums();
-        let wanted = self.take_wanted();
+        let checksums = self.next_checksums();
+        let requests = self.take_requests();
         self.send(now, host, |message| {
-            message.checksums = Some(sums);
-            message.wanted = wanted;
+            message.checksums = Some(checksums);
+            message.announcement_requests = requests;
         })
     }
 
-    /// Asks a seed that belongs to no live router known, so that cut-off parts find each other.
+    /// Probes a seed address that belongs to no live router, so that partitions can merge.
     fn probe_seed(&mut self, now: MonotonicTime, rng: &mut impl Rng) -> Option<Outgoing> {
         let is_known =
             |seed: &&SocketAddr| self.peers.live().any(|peer| peer.update.address == **seed);
@@ -383,24 +393,24 @@
             self.seeds.iter().filter(|seed| !is_known(seed)).copied().collect();
         let to = *unknown.choose(rng)?;
         let message = self.compose(now, None, |_| ());
-        Some(Outgoing { to, timeout: PROBE_PERIOD, message })
+        Some(Outgoing { to, timeout: PROBE_INTERVAL, message })
     }
 
-    fn spread_news(&mut self, now: MonotonicTime, rng: &mut impl Rng) -> Vec<Outgoing> {
+    fn gossip_round(&mut self, now: MonotonicTime, rng: &mut impl Rng) -> Vec<Outgoing> {
         const FANOUT: usize = 3;
-        const FANOUT_OF_RENEWALS: usize = 1;
-        let urgent = !self.peers.spread.is_empty()
+        const RENEWAL_FANOUT: usize = 1;
+        let has_updates = !self.peers.queue.is_empty()
             || !self.queues.leaving.is_empty()
             || !self.queues.joined.is_empty()
-            || 0 < self.queues.rumour_rounds;
-        if !urgent && self.queues.renewed.is_empty() {
+            || 0 < self.queues.revision_rounds;
+        if !has_updates && self.queues.renewed.is_empty() {
             return Vec::new();
         }
-        self.queues.rumour_rounds = self.queues.rumour_rounds.saturating_sub(1);
-        let fanout = if urgent { FANOUT } else { FANOUT_OF_RENEWALS };
+        self.queues.revision_rounds = self.queues.revision_rounds.saturating_sub(1);
+        let fanout = if has_updates { FANOUT } else { RENEWAL_FANOUT };
         let mut out = Vec::new();
         for host in self.peers.sample(fanout, rng) {
-            if !self.may_spread(now) {
+            if !self.may_gossip(now) {
                 break;
             }
             out.extend(self.send(now, &host, |_| ()));
@@ -408,36 +418,36 @@
         out
     }
 
-    fn want_low_leases(&mut self, now: MonotonicTime) {
-        const LOW_PART: u32 = 4;
-        let low = self.endpoints.iter().filter(|known| {
-            let left = known.lease_left(now);
-            !left.is_zero() && left < known.lease / LOW_PART
+    fn request_expiring_leases(&mut self, now: MonotonicTime) {
+        const LOW_LEASE_DIVISOR: u32 = 4;
+        let low = self.endpoints.iter().filter(|record| {
+            let remaining = record.lease_left(now);
+            !remaining.is_zero() && remaining < record.lease / LOW_LEASE_DIVISOR
         });
-        let lives = low.map(|known| IncarnationKey::of(&known.announcement));
-        let wanted: Vec<_> = lives.take(MAX_WANTED).collect();
-        self.wanted.extend(wanted);
+        let keys = low.map(|record| IncarnationKey::of(&record.announcement));
+        let requests: Vec<_> = keys.take(MAX_REQUESTS_PER_MESSAGE).collect();
+        self.pending_requests.extend(requests);
     }
 
-    fn take_wanted(&mut self) -> Vec<Want> {
-        let lives = std::mem::take(&mut self.wanted).into_iter().take(MAX_WANTED);
+    fn take_requests(&mut self) -> Vec<AnnouncementRequest> {
+        let keys =
+            std::mem::take(&mut self.pending_requests).into_iter().take(MAX_REQUESTS_PER_MESSAGE);
         let endpoints = &self.endpoints;
-        lives
-            .map(|life| {
-                let known = endpoints.find_life(&life);
-                let sequence = known.map(|known| known.announcement.sequence).unwrap_or_default();
-                Want { life, sequence }
-            })
-            .collect()
+        keys.map(|key| {
+            let record = endpoints.find_incarnation(&key);
+            let sequence = record.map(|record| record.announcement.sequence).unwrap_or_default();
+            AnnouncementRequest { key, sequence }
+        })
+        .collect()
     }
 }
 
-fn is_same_leave(old: &EndpointRecord, new: &EndpointRecord) -> bool {
+fn is_repeated_leave(old: &EndpointRecord, new: &EndpointRecord) -> bool {
     old.announcement.leaving && old.announcement.incarnation == new.announcement.incarnation
 }
 
-/// Returns whether two announcements differ in nothing but sequence and load.
-fn says_the_same(old: &EndpointRecord, new: &EndpointRecord) -> bool {
+/// Returns whether two announcements differ only in sequence and load.
+fn is_renewal(old: &EndpointRecord, new: &EndpointRecord) -> bool {
     let (old, new) = (&old.announcement, &new.announcement);
     old.incarnation == new.incarnation
         && old.data_centre == new.data_centre
--- a/crates/member/src/message.rs
+++ b/crates/member/src/message.rs
@@ -8,134 +8,136 @@
     budget::{LOAD_BYTES, RENEWAL_BYTES},
 };
 
-/// The only message between routers; each one sent is answered by one.
+/// A gossip message; each request is answered by a response of the same type.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Gossip {
-    /// The sender, as it sees itself.
+    /// The sender's own state.
     pub from: PeerUpdate,
-    /// The highest revision of the configuration that the sender knows of.
-    pub newest: Rumour,
-    /// The number of endpoints whose lease runs at the sender, which sets the shortest lease.
+    /// The newest revision of the configuration that the sender has seen.
+    pub newest: NewestRevision,
+    /// The number of endpoints with a valid lease at the sender; it determines the lease floor.
     pub endpoint_count: u32,
-    /// News of other routers, and of the receiver if it is doubted.
+    /// Updates of other routers, and of the receiver if it is suspected.
     pub peers: Vec<PeerUpdate>,
-    /// News of endpoints.
+    /// Updates of endpoints.
     pub endpoints: Vec<EndpointUpdate>,
-    /// Leases renewed without any other change.
+    /// Leases renewed without another change.
     pub renewals: Vec<Renewal>,
-    /// Checksums of a range of the sender's buckets, to find lost news.
+    /// Checksums of a range of the sender's buckets, for anti-entropy.
     pub checksums: Option<Checksums>,
-    /// Lives of which the sender asks for newer news.
-    pub wanted: Vec<Want>,
-    /// Routers that the receiver should probe on the sender's behalf.
-    pub probe: Vec<HostId>,
-    /// The buckets that the sender wants in full.
+    /// Incarnations whose newer announcements the sender requests.
+    pub announcement_requests: Vec<AnnouncementRequest>,
+    /// Routers that the receiver should probe for the sender.
+    pub probe_requests: Vec<HostId>,
+    /// The buckets whose records the sender requests in full.
     pub pull: Option<Pull>,
-    /// Answers a pull: the bucket to go on from, or the number of buckets when all were sent.
+    /// In the response to a pull: the next bucket to pull, or the number of buckets if none is
+    /// left.
     pub pull_next: Option<u16>,
 }
 
-/// What a router says about a router.
+/// A router's state as gossiped.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerUpdate {
     /// The router's host.
     pub host: HostId,
-    /// The data centre it stands in.
+    /// The data centre it runs in.
     pub data_centre: DataCentreId,
-    /// Where it takes gossip.
+    /// The address that receives gossip.
     pub address: SocketAddr,
-    /// The life of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
-    /// The version of its state in this life; raised to refute doubt or to spread a change.
+    /// The version of its state in this incarnation; raised to refute suspicion or to gossip a
+    /// change.
     pub sequence: Sequence,
-    /// The number of messages it has sent in this life, which proves that it runs.
+    /// The number of messages sent in this incarnation; an increase proves that it runs.
     pub heartbeat: Sequence,
-    /// The revision of the configuration in force there.
+    /// The revision of the configuration in force at the router.
     pub revision: Revision,
-    /// The leader it knows, if any.
+    /// The quorum leader known to it, if any.
     pub leader: Option<HostId>,
-    /// Whether it votes in the quorum.
+    /// Whether it is a voter of the quorum.
     pub votes: bool,
-    /// Whether it drains and takes no new requests.
+    /// Whether it drains and accepts no new requests.
     pub draining: bool,
-    /// Whether it is thought alive.
+    /// Its liveness.
     pub state: PeerState,
 }
 
-/// Whether a router is thought alive; a later variant wins over an earlier one at equal sequence.
+/// A router's liveness; at equal sequence a later variant overrides an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum PeerState {
-    /// It answers.
+    /// It responds to probes.
     Alive,
-    /// It did not answer, and may yet refute.
+    /// It did not respond, and may still refute the suspicion.
     Suspect,
-    /// It did not answer or refute in time.
+    /// It neither responded nor refuted the suspicion in time.
     Dead,
 }
 
-/// The highest revision of the configuration known, and who has it.
+/// The newest known revision of the configuration, and a router that has it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rumour {
+pub struct NewestRevision {
     /// The revision.
     pub revision: Revision,
     /// A router that has it.
     pub host: HostId,
 }
 
-/// An endpoint's announcement with its age.
+/// An endpoint's announcement and its age.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointUpdate {
-    /// The announcement; its lease counts from when it was written.
+    /// The announcement; its lease starts when it was written.
     pub announcement: Arc<Announcement>,
     /// Its age when the message was sent.
     pub age: Duration,
 }
 
-/// A renewed lease, in few bytes.
+/// A compact renewal of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Renewal {
-    /// The life that renewed.
-    pub life: IncarnationKey,
-    /// The position of its newest announcement.
+    /// The incarnation that renewed its lease.
+    pub key: IncarnationKey,
+    /// The sequence number of its newest announcement.
     pub sequence: Sequence,
     /// The announcement's age when the message was sent, in milliseconds, rounded up.
     pub age_millis: u32,
-    /// The engine's load, where reports still come often enough to be of use.
+    /// The engine's load; omitted where renewals are too rare for it to be useful.
     pub load: Option<Load>,
 }
 
-/// A question for all records from one bucket on.
+/// A request for all records from one bucket on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pull {
-    /// The first bucket wanted.
+    /// The first bucket requested.
     pub first: u16,
-    /// The number of records that the sender has already.
-    pub known: u32,
+    /// The number of records that the sender already has.
+    pub record_count: u32,
 }
 
-/// A question for news of a life that is newer than the sender's.
+/// A request for an announcement newer than the sender's.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Want {
-    /// The life.
-    pub life: IncarnationKey,
-    /// The position of the newest announcement that the sender has; zero if it has none.
+pub struct AnnouncementRequest {
+    /// The incarnation.
+    pub key: IncarnationKey,
+    /// The sequence number of the newest announcement that the sender has; zero if it has none.
     pub sequence: Sequence,
 }
 
-/// A short name for one life of one endpoint.
+/// A short hash that identifies one incarnation of one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct IncarnationKey([u8; IncarnationKey::BYTES]);
 
 impl IncarnationKey {
-    /// Length, in bytes: two of 1,800 lives share a name with a chance below 1 in 10⁸.
+    /// Length in bytes; the chance that two of 1,800 incarnations collide is below 1 in 10⁸.
     pub const BYTES: usize = 6;
 
-    /// Names the life that made `announcement`.
+    /// Returns the key of the incarnation that made `announcement`.
     pub fn of(announcement: &Announcement) -> Self {
         Self::new(&announcement.endpoint, announcement.incarnation)
     }
 
-    /// Names the life of `endpoint` that has `incarnation`.
+    /// Returns the key of `incarnation` of `endpoint`.
     pub fn new(endpoint: &EndpointId, incarnation: Incarnation) -> Self {
         let digest = Hasher::default()
             .field(endpoint.as_str().as_bytes())
@@ -150,26 +152,26 @@
 pub struct Checksums {
     /// The first bucket.
     pub first: u16,
-    /// A checksum a bucket.
+    /// One checksum for each bucket.
     pub sums: Vec<u32>,
 }
 
-/// Bounds the encoded length of a message without its lists, in bytes.
-pub(crate) fn head_bytes(from: &PeerUpdate, newest: &Rumour) -> usize {
-    const MARKS: usize = 15;
-    peer_bytes(from) + newest.host.as_str().len() + 5 + MARKS
+/// Returns an upper bound on the encoded length of a message without its lists, in bytes.
+pub(crate) fn header_bytes(from: &PeerUpdate, newest: &NewestRevision) -> usize {
+    const FLAGS_AND_LENGTHS_BYTES: usize = 15;
+    peer_bytes(from) + newest.host.as_str().len() + 5 + FLAGS_AND_LENGTHS_BYTES
 }
 
-/// Bounds the encoded length of news of a router, in bytes.
+/// Returns an upper bound on the encoded length of a router's update, in bytes.
 pub(crate) fn peer_bytes(peer: &PeerUpdate) -> usize {
-    const FIXED: usize = 42;
+    const FIXED_BYTES: usize = 42;
     let leader = peer.leader.as_ref().map_or(0, |host| host.as_str().len() + 1);
-    FIXED + peer.host.as_str().len() + peer.data_centre.as_str().len() + leader
+    FIXED_BYTES + peer.host.as_str().len() + peer.data_centre.as_str().len() + leader
 }
 
-/// Bounds the encoded length of news of an endpoint, in bytes.
+/// Returns an upper bound on the encoded length of an endpoint's update, in bytes.
 pub(crate) fn endpoint_bytes(announcement: &Announcement) -> usize {
-    const FIXED: usize = 80;
+    const FIXED_BYTES: usize = 80;
     let kind = match &announcement.kind {
         EndpointKind::Service(service) => service.as_str().len() + 2,
         EndpointKind::Engine(engine) => {
@@ -182,10 +184,10 @@
         }
     };
     let ids = announcement.endpoint.as_str().len() + announcement.data_centre.as_str().len();
-    FIXED + ids + kind
+    FIXED_BYTES + ids + kind
 }
 
-/// Bounds the encoded length of a renewal, in bytes.
+/// Returns an upper bound on the encoded length of a renewal, in bytes.
 pub(crate) fn renewal_bytes(renewal: &Renewal) -> usize {
     RENEWAL_BYTES + renewal.load.map_or(0, |_| LOAD_BYTES)
 }
--- a/crates/member/src/peers.rs
+++ b/crates/member/src/peers.rs
@@ -11,52 +11,52 @@
 
 use crate::{
     PeerState, PeerUpdate,
-    detector::{Detector, Overdue},
-    spread::Spread,
+    detector::{FailureDetector, Overdue},
+    transmit_queue::TransmitQueue,
 };
 
 /// Time between two rounds of probes.
-pub const PROBE_PERIOD: Duration = Duration::from_secs(1);
+pub const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time for which a dead router is remembered, and now and then probed.
-pub const DEAD_TIME: Duration = Duration::from_secs(3600);
+/// Time for which a dead router is kept and occasionally probed.
+pub const DEAD_PEER_RETENTION: Duration = Duration::from_secs(3600);
 
-/// Number of routers that may be known at once; the longest dead go first.
+/// Largest number of known routers; those dead for longest are removed first.
 pub const MAX_PEERS: usize = 2048;
 
-/// Number of routers that probe on another's behalf before it suspects.
-const INDIRECT_PROBES: usize = 3;
+/// Number of routers asked for indirect probes before a router becomes suspect.
+const INDIRECT_PROBE_COUNT: usize = 3;
 
-/// Tracks which routers are alive.
+/// The other routers and their liveness.
 #[derive(Debug)]
 pub struct Peers {
     me: PeerUpdate,
-    known: BTreeMap<HostId, Peer>,
-    detector: Detector,
-    round: Vec<HostId>,
-    last_heard: MonotonicTime,
-    pub(crate) spread: Spread<HostId>,
+    peers: BTreeMap<HostId, Peer>,
+    detector: FailureDetector,
+    probe_order: Vec<HostId>,
+    last_message_at: MonotonicTime,
+    pub(crate) queue: TransmitQueue<HostId>,
 }
 
-/// What is known of a router.
+/// A router's newest known state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// The newest news of it.
+    /// The newest update of it.
     pub update: PeerUpdate,
-    /// When it last spoke itself, if it did.
+    /// When it last sent a message to this router, if ever.
     pub last_contact: Option<MonotonicTime>,
     /// When its state last changed.
     pub state_changed_at: MonotonicTime,
-    /// The router that told its state.
-    pub told_by: HostId,
+    /// The router that reported its state.
+    pub reported_by: HostId,
 }
 
-/// A request to probe on this router's behalf.
+/// A request for an indirect probe.
 #[derive(Debug)]
 pub(crate) struct IndirectProbe {
     /// The router to ask.
     pub(crate) helper: HostId,
-    /// The router to be probed.
+    /// The router to probe.
     pub(crate) subject: HostId,
 }
 
@@ -64,22 +64,22 @@
     pub(crate) fn new(now: MonotonicTime, me: PeerUpdate) -> Self {
         Self {
             me,
-            known: BTreeMap::new(),
-            detector: Detector::default(),
-            round: Vec::new(),
-            last_heard: now,
-            spread: Spread::default(),
+            peers: BTreeMap::new(),
+            detector: FailureDetector::default(),
+            probe_order: Vec::new(),
+            last_message_at: now,
+            queue: TransmitQueue::default(),
         }
     }
 
-    /// Returns what this router says of itself.
+    /// Returns this router's own state.
     pub fn me(&self) -> &PeerUpdate {
         &self.me
     }
 
-    /// Returns every other router known, dead ones included.
+    /// Returns all other known routers, dead ones included.
     pub fn iter(&self) -> impl Iterator<Item = &Peer> {
-        self.known.values()
+        self.peers.values()
     }
 
     /// Returns the other routers that are not dead.
@@ -87,27 +87,28 @@
         self.iter().filter(|peer| peer.update.state != PeerState::Dead)
     }
 
-    /// Returns what is known of `host`.
+    /// Returns the state of `host`.
     pub fn find(&self, host: &HostId) -> Option<&Peer> {
-        self.known.get(host)
+        self.peers.get(host)
     }
 
-    /// Returns how long an answer from each data centre may take, learnt from round trips.
+    /// Returns the response timeout of each data centre, computed from round trips.
     pub fn timeouts(&self) -> impl Iterator<Item = (&DataCentreId, Duration)> {
         self.detector.timeouts()
     }
 
-    /// Returns whether this router has heard from no other for so long that it judges none of them.
+    /// Returns whether this router has received no message for so long that it suspects none of the
+    /// others.
     pub fn is_isolated(&self, now: MonotonicTime) -> bool {
-        const SILENCE: Duration = Duration::from_secs(3);
-        SILENCE <= now.saturating_since(self.last_heard) && 2 <= self.live().count()
+        const MAX_SILENCE: Duration = Duration::from_secs(3);
+        MAX_SILENCE <= now.saturating_since(self.last_message_at) && 2 <= self.live().count()
     }
 
-    /// Returns whether this router has heard from no other for so long that it may have missed that
+    /// Returns whether this router has received no message for so long that it may have missed that
     /// endpoints left.
-    pub(crate) fn hears_nobody(&self, now: MonotonicTime) -> bool {
-        const SILENCE: Duration = Duration::from_secs(2);
-        SILENCE <= now.saturating_since(self.last_heard)
+    pub(crate) fn may_have_missed_leaves(&self, now: MonotonicTime) -> bool {
+        const MAX_SILENCE: Duration = Duration::from_secs(2);
+        MAX_SILENCE <= now.saturating_since(self.last_message_at)
     }
 
     pub(crate) fn set_revision(&mut self, revision: Revision) {
@@ -134,65 +135,72 @@
         self.raise_sequence(self.me.sequence);
     }
 
-    /// Counts a message sent.
-    pub(crate) fn beat(&mut self) {
+    /// Increments the heartbeat, once for each message sent.
+    pub(crate) fn increment_heartbeat(&mut self) {
         self.me.heartbeat = self.me.heartbeat.next();
     }
 
-    /// Returns the news of `host`, this router included.
-    pub(crate) fn news_of(&self, host: &HostId) -> Option<&PeerUpdate> {
+    /// Returns the newest update of `host`, which may be this router.
+    pub(crate) fn update_of(&self, host: &HostId) -> Option<&PeerUpdate> {
         if *host == self.me.host {
             return Some(&self.me);
         }
-        self.known.get(host).map(|peer| &peer.update)
-    }
-
-    /// Returns what `host` should refute: doubt of it, or news from a later life than it speaks of.
-    pub(crate) fn doubt(&self, host: &HostId, spoken: Option<&PeerUpdate>) -> Option<&PeerUpdate> {
-        let update = &self.known.get(host)?.update;
-        let ahead = spoken.is_some_and(|spoken| version(spoken) < version(update));
-        (ahead || update.state != PeerState::Alive).then_some(update)
-    }
-
-    /// Answers doubt about this router by a raised version of its state.
-    pub(crate) fn refute(&mut self, told: &[PeerUpdate]) -> bool {
-        let doubts = told.iter().filter(|update| update.host == self.me.host);
-        let Some(doubt) = doubts.max_by_key(|update| (version(update), update.state)) else {
+        self.peers.get(host).map(|peer| &peer.update)
+    }
+
+    /// Returns the update that `host` should refute: one that suspects it, or one of a later
+    /// version than it sent.
+    pub(crate) fn refutable_update(
+        &self,
+        host: &HostId,
+        sent: Option<&PeerUpdate>,
+    ) -> Option<&PeerUpdate> {
+        let update = &self.peers.get(host)?.update;
+        let is_newer = sent.is_some_and(|sent| version(sent) < version(update));
+        (is_newer || update.state != PeerState::Alive).then_some(update)
+    }
+
+    /// Refutes suspicions of this router by raising the version of its state.
+    pub(crate) fn refute(&mut self, updates: &[PeerUpdate]) -> bool {
+        let suspicions = updates.iter().filter(|update| update.host == self.me.host);
+        let Some(suspicion) = suspicions.max_by_key(|update| (version(update), update.state))
+        else {
             return false;
         };
-        if self.me.incarnation < doubt.incarnation {
-            self.me.incarnation = doubt.incarnation.next();
+        if self.me.incarnation < suspicion.incarnation {
+            self.me.incarnation = suspicion.incarnation.next();
             self.raise_sequence(Sequence::ZERO);
             return true;
         }
-        let equal_doubt = version(doubt) == version(&self.me) && doubt.state != PeerState::Alive;
-        if !equal_doubt && version(doubt) <= version(&self.me) {
+        let is_suspected =
+            version(suspicion) == version(&self.me) && suspicion.state != PeerState::Alive;
+        if !is_suspected && version(suspicion) <= version(&self.me) {
             return false;
         }
-        self.raise_sequence(doubt.sequence);
+        self.raise_sequence(suspicion.sequence);
         true
     }
 
-    /// Applies what a router said of itself.
-    pub(crate) fn heard(&mut self, now: MonotonicTime, from: PeerUpdate) -> bool {
-        self.last_heard = now;
+    /// Applies the sender's own state, and returns whether it changed.
+    pub(crate) fn apply_sender(&mut self, now: MonotonicTime, from: PeerUpdate) -> bool {
+        self.last_message_at = now;
         let host = from.host.clone();
-        let news = self.merge(now, from, &host);
-        if let Some(peer) = self.known.get_mut(&host) {
+        let is_changed = self.merge(now, from, &host);
+        if let Some(peer) = self.peers.get_mut(&host) {
             peer.last_contact = Some(now);
         }
-        news
+        is_changed
     }
 
-    /// Applies what `teller` said of a router, and returns whether its state changed.
+    /// Applies the update of a router from `reporter`, and returns whether its state changed.
     ///
-    /// Another's word that a router is dead only starts suspicion here, so that a router that was
-    /// cut off can't bury the others when it comes back.
+    /// A reported death only makes the router suspect here, so that a router that was partitioned
+    /// can't declare the others dead when it comes back.
     pub(crate) fn merge(
         &mut self,
         now: MonotonicTime,
         mut new: PeerUpdate,
-        teller: &HostId,
+        reporter: &HostId,
     ) -> bool {
         if new.host == self.me.host {
             return false;
@@ -200,93 +208,103 @@
         if new.state == PeerState::Dead {
             new.state = PeerState::Suspect;
         }
-        if !self.has_room() && !self.known.contains_key(&new.host) {
+        if !self.has_capacity() && !self.peers.contains_key(&new.host) {
             return false;
         }
-        self.detector.alive(&new);
-        match self.known.entry(new.host.clone()) {
+        self.detector.record_update(&new);
+        match self.peers.entry(new.host.clone()) {
             Entry::Vacant(_) if new.state != PeerState::Alive => return false,
             Entry::Vacant(entry) => {
-                let told_by = teller.clone();
+                let reported_by = reporter.clone();
                 entry.insert(Peer {
                     update: new.clone(),
                     last_contact: None,
                     state_changed_at: now,
-                    told_by,
+                    reported_by,
                 });
             }
             Entry::Occupied(mut entry) => {
                 let peer = entry.get_mut();
                 if !supersedes(&new, &peer.update) {
-                    refresh(&mut peer.update, &new);
+                    merge_heartbeat(&mut peer.update, &new);
                     return false;
                 }
-                let changed = is_change(&peer.update, &new);
+                let changed = is_visible_change(&peer.update, &new);
                 peer.update = new.clone();
-                peer.told_by = teller.clone();
+                peer.reported_by = reporter.clone();
                 if !changed {
                     return false;
                 }
                 peer.state_changed_at = now;
             }
         }
-        self.spread.push(new.host);
+        self.queue.push(new.host);
         true
     }
 
-    /// Forgets what a pause of this process made look overdue.
-    pub(crate) fn resume(&mut self, now: MonotonicTime) {
-        self.last_heard = now;
+    /// Restarts the timers of probes and suspicions after a pause of this process.
+    pub(crate) fn reset_timers(&mut self, now: MonotonicTime) {
+        self.last_message_at = now;
         self.detector.clear();
-        let suspects = self.known.values_mut();
+        let suspects = self.peers.values_mut();
         for peer in suspects.filter(|peer| peer.update.state == PeerState::Suspect) {
             peer.state_changed_at = now;
         }
     }
 
-    /// Notes that `host` was sent a message at `now`, and returns how long the answer may take.
-    pub(crate) fn probed(&mut self, now: MonotonicTime, host: &HostId) -> Duration {
-        let Some(peer) = self.known.get(host) else { return PROBE_PERIOD };
-        self.detector.probed(now, &peer.update)
+    /// Records that a message was sent to `host` at `now`, and returns the response timeout.
+    pub(crate) fn start_probe(&mut self, now: MonotonicTime, host: &HostId) -> Duration {
+        let Some(peer) = self.peers.get(host) else { return PROBE_INTERVAL };
+        self.detector.start_probe(now, &peer.update)
     }
 
-    /// Notes that `host` answered a message sent at `sent`.
-    pub(crate) fn answered(&mut self, now: MonotonicTime, sent: MonotonicTime, from: &PeerUpdate) {
-        self.detector.answered(now.saturating_since(sent), from);
+    /// Records a response to a message sent at `sent`.
+    pub(crate) fn record_response(
+        &mut self,
+        now: MonotonicTime,
+        sent: MonotonicTime,
+        from: &PeerUpdate,
+    ) {
+        self.detector.record_response(now.saturating_since(sent), from);
     }
 
-    /// Turns overdue probes into indirect ones, then into suspicion, and suspicion into death.
-    pub(crate) fn judge(&mut self, now: MonotonicTime, rng: &mut impl Rng) -> Vec<IndirectProbe> {
+    /// Handles expired deadlines: starts indirect probes, suspects routers and declares suspects
+    /// dead.
+    pub(crate) fn check_probes(
+        &mut self,
+        now: MonotonicTime,
+        rng: &mut impl Rng,
+    ) -> Vec<IndirectProbe> {
         let mut probes = Vec::new();
-        for (subject, overdue) in self.detector.overdue(now) {
+        for (subject, overdue) in self.detector.take_overdue(now) {
             match overdue {
-                Overdue::Direct => probes.extend(self.ask_others(&subject, rng)),
+                Overdue::Direct => probes.extend(self.indirect_probes(&subject, rng)),
                 Overdue::Indirect => self.suspect(now, &subject),
             }
         }
-        self.bury(now);
+        self.expire_suspects(now);
         probes
     }
 
-    /// Returns the routers to probe in this period: the next in turn, one suspect, and now and
-    /// then a dead one, so that a partition heals.
-    pub(crate) fn due(&mut self, rng: &mut impl Rng) -> Vec<HostId> {
-        const DEAD_PROBE_ONE_IN: u32 = 3;
-        let mut due: Vec<_> = self.next_in_round(rng).into_iter().collect();
+    /// Returns the routers to probe in this interval: the next in order, one suspect, and
+    /// occasionally a dead one, so that a partition heals.
+    pub(crate) fn probe_targets(&mut self, rng: &mut impl Rng) -> Vec<HostId> {
+        const DEAD_PROBE_ODDS: u32 = 3;
+        let mut targets: Vec<_> = self.next_in_order(rng).into_iter().collect();
         let (dead, live): (Vec<_>, Vec<_>) =
             self.iter().partition(|peer| peer.update.state == PeerState::Dead);
         let suspects: Vec<_> =
             live.iter().filter(|peer| peer.update.state == PeerState::Suspect).collect();
-        due.extend(suspects.choose(rng).map(|peer| peer.update.host.clone()));
-        if live.is_empty() || rng.next_u32().is_multiple_of(DEAD_PROBE_ONE_IN) {
-            due.extend(dead.choose(rng).map(|peer| peer.update.host.clone()));
+        targets.extend(suspects.choose(rng).map(|peer| peer.update.host.clone()));
+        if live.is_empty() || rng.next_u32().is_multiple_of(DEAD_PROBE_ODDS) {
+            targets.extend(dead.choose(rng).map(|peer| peer.update.host.clone()));
         }
-        due.sort();
-        due.dedup();
-        due
+        targets.sort();
+        targets.dedup();
+        targets
     }
 
-    /// Returns up to `count` random routers that are thought alive.
+    /// Returns up to `count` random routers that are alive.
     pub(crate) fn sample(&self, count: usize, rng: &mut impl Rng) -> Vec<HostId> {
         let alive: Vec<_> =
             self.iter().filter(|peer| peer.update.state == PeerState::Alive).collect();
@@ -295,20 +313,20 @@
 
     fn raise_sequence(&mut self, above: Sequence) {
         self.me.sequence = self.me.sequence.max(above).next();
-        self.spread.push(self.me.host.clone());
+        self.queue.push(self.me.host.clone());
     }
 
-    fn has_room(&self) -> bool {
-        self.known.len() < MAX_PEERS
+    fn has_capacity(&self) -> bool {
+        self.peers.len() < MAX_PEERS
     }
 
-    fn next_in_round(&mut self, rng: &mut impl Rng) -> Option<HostId> {
-        if self.round.is_empty() {
-            self.round = self.live().map(|peer| peer.update.host.clone()).collect();
-            self.round.shuffle(rng);
+    fn next_in_order(&mut self, rng: &mut impl Rng) -> Option<HostId> {
+        if self.probe_order.is_empty() {
+            self.probe_order = self.live().map(|peer| peer.update.host.clone()).collect();
+            self.probe_order.shuffle(rng);
         }
-        while let Some(host) = self.round.pop() {
-            let peer = self.known.get(&host);
+        while let Some(host) = self.probe_order.pop() {
+            let peer = self.peers.get(&host);
             if peer.is_some_and(|peer| peer.update.state != PeerState::Dead) {
                 return Some(host);
             }
@@ -316,11 +334,11 @@
         None
     }
 
-    fn ask_others(&self, subject: &HostId, rng: &mut impl Rng) -> Vec<IndirectProbe> {
-        let helpers = self.sample(INDIRECT_PROBES + 1, rng).into_iter();
+    fn indirect_probes(&self, subject: &HostId, rng: &mut impl Rng) -> Vec<IndirectProbe> {
+        let helpers = self.sample(INDIRECT_PROBE_COUNT + 1, rng).into_iter();
         helpers
             .filter(|helper| helper != subject)
-            .take(INDIRECT_PROBES)
+            .take(INDIRECT_PROBE_COUNT)
             .map(|helper| IndirectProbe { helper, subject: subject.clone() })
             .collect()
     }
@@ -329,26 +347,26 @@
         if self.is_isolated(now) {
             return;
         }
-        let Some(peer) = self.known.get_mut(host) else { return };
+        let Some(peer) = self.peers.get_mut(host) else { return };
         if peer.update.state != PeerState::Alive {
             return;
         }
         peer.update.state = PeerState::Suspect;
         peer.state_changed_at = now;
-        peer.told_by = self.me.host.clone();
-        self.spread.push(host.clone());
+        peer.reported_by = self.me.host.clone();
+        self.queue.push(host.clone());
     }
 
-    fn bury(&mut self, now: MonotonicTime) {
+    fn expire_suspects(&mut self, now: MonotonicTime) {
         if self.is_isolated(now) {
             return;
         }
-        let fleet = self.known.len() + 1;
+        let routers = self.peers.len() + 1;
         let mut dead = Vec::new();
-        for (host, peer) in &mut self.known {
-            let patience = self.detector.suspicion_time(&peer.update.data_centre, fleet);
-            let silent = now.saturating_since(peer.state_changed_at);
-            if peer.update.state != PeerState::Suspect || silent < patience {
+        for (host, peer) in &mut self.peers {
+            let timeout = self.detector.suspicion_timeout(&peer.update.data_centre, routers);
+            let suspected_for = now.saturating_since(peer.state_changed_at);
+            if peer.update.state != PeerState::Suspect || suspected_for < timeout {
                 continue;
             }
             peer.update.state = PeerState::Dead;
@@ -356,24 +374,24 @@
             dead.push(host.clone());
         }
         for host in dead {
-            self.spread.push(host);
+            self.queue.push(host);
         }
-        self.forget(now);
+        self.remove_dead(now);
     }
 
-    fn forget(&mut self, now: MonotonicTime) {
+    fn remove_dead(&mut self, now: MonotonicTime) {
         let is_dead = |peer: &Peer| peer.update.state == PeerState::Dead;
-        self.known.retain(|_, peer| {
-            !is_dead(peer) || now.saturating_since(peer.state_changed_at) < DEAD_TIME
+        self.peers.retain(|_, peer| {
+            !is_dead(peer) || now.saturating_since(peer.state_changed_at) < DEAD_PEER_RETENTION
         });
-        if self.has_room() {
+        if self.has_capacity() {
             return;
         }
         let dead = self.iter().filter(|peer| is_dead(peer));
         let oldest =
             dead.min_by_key(|peer| peer.state_changed_at).map(|peer| peer.update.host.clone());
         if let Some(host) = oldest {
-            self.known.remove(&host);
+            self.peers.remove(&host);
         }
     }
 }
@@ -386,15 +404,15 @@
     (version(old), old.state) < (version(new), new.state)
 }
 
-fn is_change(old: &PeerUpdate, new: &PeerUpdate) -> bool {
+fn is_visible_change(old: &PeerUpdate, new: &PeerUpdate) -> bool {
     let visible = |update: &PeerUpdate| {
         (update.incarnation, update.state, update.address, update.votes, update.draining)
     };
     visible(old) != visible(new)
 }
 
-/// Takes over what needs no order beyond the heartbeat.
-fn refresh(old: &mut PeerUpdate, new: &PeerUpdate) {
+/// Merges the fields that are ordered by the heartbeat alone.
+fn merge_heartbeat(old: &mut PeerUpdate, new: &PeerUpdate) {
     if old.incarnation != new.incarnation || new.heartbeat <= old.heartbeat {
         return;
     }
--- a/crates/member/tests/endpoints.rs
+++ b/crates/member/tests/endpoints.rs
@@ -1,11 +1,12 @@
-//! No life that left or was replaced becomes ready again, and no lease grows by relaying.
+//! Leases of endpoints: incarnations that left or were replaced never become ready again, and
+//! relaying never extends a lease.
 
 mod net;
 
 use std::{sync::Arc, time::Duration};
 
 use base::MonotonicTime;
-use member::{EndpointChange, Endpoints, MAX_TOMBSTONES, TOMBSTONE_TIME};
+use member::{EndpointChange, Endpoints, MAX_TOMBSTONES, TOMBSTONE_RETENTION};
 use net::{Net, service};
 use proptest::{
     prelude::{ProptestConfig, Strategy, any, prop},
@@ -13,27 +14,27 @@
     test_runner::RngSeed,
 };
 
-/// News of one endpoint: life, position, whether it leaves, delay and step of time in ms.
+/// An announcement of one endpoint; `age` on arrival and `step` since the last one in milliseconds.
 #[derive(Clone, Debug)]
-struct News {
+struct Update {
     incarnation: u64,
     sequence: u64,
     leaving: bool,
     age: u64,
     step: u64,
-    twice: bool,
+    duplicate: bool,
 }
 
-fn news() -> impl Strategy<Value = News> {
+fn update() -> impl Strategy<Value = Update> {
     let parts =
         (1..4u64, 1..8u64, prop::bool::weighted(0.2), 0..5_000u64, 0..1_500u64, any::<bool>());
-    parts.prop_map(|(incarnation, sequence, leaving, age, step, twice)| News {
+    parts.prop_map(|(incarnation, sequence, leaving, age, step, duplicate)| Update {
         incarnation,
         sequence,
         leaving,
         age,
         step,
-        twice,
+        duplicate,
     })
 }
 
@@ -50,25 +51,25 @@
     #![proptest_config(config())]
 
     #[test]
-    fn ended_life_never_becomes_ready_again(all in prop::collection::vec(news(), 1..40)) {
+    fn ended_incarnation_never_becomes_ready(all in prop::collection::vec(update(), 1..40)) {
         let mut endpoints = Endpoints::default();
         let mut now = MonotonicTime::from_millis(10_000);
         let mut left = Vec::new();
         let mut newest = 0;
-        for news in all {
-            now += Duration::from_millis(news.step);
-            let mut announcement = service(1, news.incarnation, news.sequence);
-            announcement.leaving = news.leaving;
-            let age = Duration::from_millis(news.age);
-            for _ in 0..=u8::from(news.twice) {
+        for update in all {
+            now += Duration::from_millis(update.step);
+            let mut announcement = service(1, update.incarnation, update.sequence);
+            announcement.leaving = update.leaving;
+            let age = Duration::from_millis(update.age);
+            for _ in 0..=u8::from(update.duplicate) {
                 let applied = endpoints.announce(now, announcement.clone(), age);
                 let Ok(change) = applied else { continue };
-                prop_assert!(newest <= news.incarnation);
-                newest = news.incarnation;
-                if news.leaving {
-                    left.push(news.incarnation);
+                prop_assert!(newest <= update.incarnation);
+                newest = update.incarnation;
+                if update.leaving {
+                    left.push(update.incarnation);
                 } else {
-                    prop_assert!(!left.contains(&news.incarnation), "{change:?}");
+                    prop_assert!(!left.contains(&update.incarnation), "{change:?}");
                 }
             }
             endpoints.tick(now);
@@ -80,7 +81,7 @@
     }
 
     #[test]
-    fn relayed_lease_never_outlives_the_first(delays in prop::collection::vec(0..1_000u64, 1..6)) {
+    fn relaying_never_extends_a_lease(delays in prop::collection::vec(0..1_000u64, 1..6)) {
         let announcement = Arc::new(service(1, 1, 1));
         let written = MonotonicTime::from_millis(5_000);
         let mut now = written;
@@ -91,19 +92,19 @@
             age += transit;
             let mut endpoints = Endpoints::default();
             let router = "relay".parse().unwrap();
-            if endpoints.relayed(now, announcement.clone(), age, router).is_err() {
+            if endpoints.announce_relayed(now, announcement.clone(), age, router).is_err() {
                 prop_assert!(announcement.lease <= age);
                 break;
             }
-            let known = endpoints.iter().next().unwrap();
-            prop_assert!(known.expires() <= written + announcement.lease);
-            age = known.age(now);
+            let record = endpoints.iter().next().unwrap();
+            prop_assert!(record.expires() <= written + announcement.lease);
+            age = record.age(now);
         }
     }
 }
 
 #[test]
-fn leaving_wins_over_a_later_sequence_of_the_same_life() {
+fn leaving_overrides_a_later_sequence_of_the_same_incarnation() {
     let mut endpoints = Endpoints::default();
     let now = MonotonicTime::from_millis(1_000);
     endpoints.announce(now, service(1, 1, 9), Duration::ZERO).unwrap();
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn new_life_replaces_the_old_at_once_and_after_leaving() {
+fn new_incarnation_replaces_a_ready_or_leaving_one() {
     let mut endpoints = Endpoints::default();
     let now = MonotonicTime::from_millis(1_000);
     for incarnation in 1..4 {
@@ -133,7 +134,7 @@
 }
 
 #[test]
-fn expired_life_comes_back_only_with_a_higher_sequence() {
+fn expired_incarnation_is_renewed_only_by_a_higher_sequence() {
     let mut endpoints = Endpoints::default();
     let start = MonotonicTime::from_millis(1_000);
     endpoints.announce(start, service(1, 1, 4), Duration::ZERO).unwrap();
@@ -145,7 +146,7 @@
 }
 
 #[test]
-fn ended_lives_are_bounded_in_number_and_time() {
+fn tombstones_are_bounded_in_number_and_age() {
     let mut endpoints = Endpoints::default();
     let mut now = MonotonicTime::from_millis(1_000);
     for id in 0..MAX_TOMBSTONES + 500 {
@@ -160,7 +161,7 @@
     now += Duration::from_secs(10);
     endpoints.tick(now);
     assert!(endpoints.iter().count() <= MAX_TOMBSTONES);
-    endpoints.tick(now + TOMBSTONE_TIME + Duration::from_secs(1));
+    endpoints.tick(now + TOMBSTONE_RETENTION + Duration::from_secs(1));
     assert_eq!(endpoints.iter().count(), 0);
 }
 
@@ -168,40 +169,40 @@
     net.now.since_origin().as_millis() as u64
 }
 
-/// Announces ten services each second to random routers.
+/// Announces ten services every second at random routers.
 fn renew(net: &mut Net) {
     if millis(net).is_multiple_of(1_000) {
         net.announce(0..10, 1, millis(net));
     }
 }
 
-/// Announces all but the tenth.
-fn renew_nine(net: &mut Net) {
+/// Announces all ten services but the last, as [`renew`] does.
+fn renew_all_but_tenth(net: &mut Net) {
     if millis(net).is_multiple_of(1_000) {
         net.announce(0..9, 1, millis(net));
     }
 }
 
-macro_rules! leaving_spreads {
+macro_rules! leaving_is_gossiped {
     ($($name:ident: $size:literal,)*) => {$(
         #[test]
         fn $name() {
-            let mut net = Net::settle($size, 11);
+            let mut net = Net::settled($size, 11);
             net.run(10_000, renew);
             (0..$size).for_each(|index| assert_eq!(net.ready_at(index), 10));
-            net.group[2] = 1;
+            net.partition[2] = 1;
             net.run(2_000, renew);
             let mut leaving = service(9, 1, millis(&net));
             leaving.leaving = true;
             net.routers[5].announce(net.now, leaving.clone()).unwrap();
-            net.run(3_000, renew_nine);
+            net.run(3_000, renew_all_but_tenth);
             let has_left = |net: &Net, index: usize| {
                 net.routers[index].ready().all(|ready| ready.endpoint != leaving.endpoint)
             };
             (0..$size).for_each(|index| assert!(has_left(&net, index), "router {index}"));
-            net.group[2] = 0;
+            net.partition[2] = 0;
             net.run(20_000, |net| {
-                renew_nine(net);
+                renew_all_but_tenth(net);
                 assert!(net.routers.iter().all(|router| {
                     router.ready().all(|ready| ready.endpoint != leaving.endpoint)
                 }));
@@ -211,14 +212,14 @@
     )*};
 }
 
-leaving_spreads! {
-    leaving_is_known_to_eight_within_three_seconds: 8,
-    leaving_is_known_to_thirty_two_within_three_seconds: 32,
+leaving_is_gossiped! {
+    leaving_reaches_eight_routers_within_three_seconds: 8,
+    leaving_reaches_thirty_two_routers_within_three_seconds: 32,
 }
 
 #[test]
-fn leases_hold_under_loss_and_end_when_the_endpoints_die() {
-    let mut net = Net::settle(8, 12);
+fn leases_survive_message_loss_and_expire_without_announcements() {
+    let mut net = Net::settled(8, 12);
     net.loss = 0.1;
     net.run(10_000, renew);
     let mut ended = 0;
--- a/crates/member/tests/net/mod.rs
+++ b/crates/member/tests/net/mod.rs
@@ -1,4 +1,4 @@
-//! A message loop with a virtual clock, in which messages are lost, delayed and doubled.
+//! A simulated network with a virtual clock that loses, delays and duplicates messages.
 #![allow(dead_code)]
 
 use std::{collections::BTreeMap, net::SocketAddr, ops::Range, time::Duration};
@@ -13,23 +13,23 @@
 pub struct Net {
     pub now: MonotonicTime,
     pub routers: Vec<Membership>,
-    pub group: Vec<u8>,
+    pub partition: Vec<u8>,
     pub stopped: Vec<bool>,
     pub loss: f64,
-    pub doubling: f64,
+    pub duplication: f64,
     pub delay: Range<u64>,
     pub bytes: Vec<u64>,
     rng: Pcg64,
-    calls: BTreeMap<(MonotonicTime, u64), Call>,
+    in_flight: BTreeMap<(MonotonicTime, u64), Envelope>,
     count: u64,
 }
 
 #[derive(Clone)]
-struct Call {
+struct Envelope {
     from: usize,
     to: usize,
     sent: MonotonicTime,
-    is_answer: bool,
+    is_response: bool,
     message: Gossip,
 }
 
@@ -72,14 +72,14 @@
         let mut net = Self {
             now,
             routers: Vec::new(),
-            group: vec![0; size],
+            partition: vec![0; size],
             stopped: vec![false; size],
             loss: 0.0,
-            doubling: 0.0,
+            duplication: 0.0,
             delay: 3..6,
             bytes: vec![0; size],
             rng: Pcg64::seed_from_u64(seed),
-            calls: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             count: 0,
         };
         net.routers = (0..size).map(|index| net.start(index, 1)).collect();
@@ -91,7 +91,7 @@
         self.stopped[index] = false;
     }
 
-    /// Runs for `millis`, calling `each` before every tick.
+    /// Runs for `millis` milliseconds, calling `each` before every tick.
     pub fn run(&mut self, millis: u64, mut each: impl FnMut(&mut Self)) {
         let end = self.now + Duration::from_millis(millis);
         while self.now < end {
@@ -102,7 +102,7 @@
                 }
                 let out = self.routers[index].tick(self.now, &mut self.rng);
                 for outgoing in out {
-                    self.call(index, outgoing.to, outgoing.message);
+                    self.send(index, outgoing.to, outgoing.message);
                 }
             }
             let next = self.now + TICK_INTERVAL;
@@ -111,7 +111,7 @@
         }
     }
 
-    pub fn settle(size: usize, seed: u64) -> Self {
+    pub fn settled(size: usize, seed: u64) -> Self {
         let mut net = Self::new(size, seed);
         net.run(30_000, |_| ());
         net
@@ -126,7 +126,7 @@
         self.routers[index].ready().count()
     }
 
-    /// Announces services, each to a random one of the routers that run.
+    /// Announces services, each at a random running router.
     pub fn announce(&mut self, ids: Range<usize>, incarnation: u64, sequence: u64) {
         let running: Vec<_> =
             (0..self.routers.len()).filter(|&index| !self.stopped[index]).collect();
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Announces services as [`Net::announce`] does, if `period` milliseconds have passed again.
-    pub fn announce_each(&mut self, period: u64, ids: Range<usize>) {
+    /// Announces services as [`Net::announce`] does, once every `period` milliseconds.
+    pub fn announce_every(&mut self, period: u64, ids: Range<usize>) {
         let millis = self.now.since_origin().as_millis() as u64;
         if millis.is_multiple_of(period) {
             self.announce(ids, 1, millis);
@@ -149,47 +149,55 @@
         Membership::new(self.now, peer(index, incarnation), seeds, Budget::default())
     }
 
-    fn call(&mut self, from: usize, to: SocketAddr, message: Gossip) {
+    fn send(&mut self, from: usize, to: SocketAddr, message: Gossip) {
         let to = usize::from(to.port()) - 10_000;
-        self.post(self.now, Call { from, to, sent: self.now, is_answer: false, message });
+        self.transmit(self.now, Envelope { from, to, sent: self.now, is_response: false, message });
     }
 
-    fn post(&mut self, at: MonotonicTime, call: Call) {
-        let bytes = postcard::to_allocvec(&call.message).unwrap().len() as u64;
-        self.bytes[call.from] += bytes;
-        if self.group[call.from] != self.group[call.to] || self.rng.random_bool(self.loss) {
+    fn transmit(&mut self, at: MonotonicTime, envelope: Envelope) {
+        let bytes = postcard::to_allocvec(&envelope.message).unwrap().len() as u64;
+        self.bytes[envelope.from] += bytes;
+        if self.partition[envelope.from] != self.partition[envelope.to]
+            || self.rng.random_bool(self.loss)
+        {
             return;
         }
-        self.bytes[call.to] += bytes;
-        let copies = if self.rng.random_bool(self.doubling) { 2 } else { 1 };
+        self.bytes[envelope.to] += bytes;
+        let copies = if self.rng.random_bool(self.duplication) { 2 } else { 1 };
         for _ in 0..copies {
             let delay = Duration::from_millis(self.rng.random_range(self.delay.clone()));
             self.count += 1;
-            self.calls.insert((at + delay, self.count), call.clone());
+            self.in_flight.insert((at + delay, self.count), envelope.clone());
         }
     }
 
     fn deliver_until(&mut self, end: MonotonicTime) {
-        while let Some(((at, _), _)) = self.calls.first_key_value() {
+        while let Some(((at, _), _)) = self.in_flight.first_key_value() {
             if end <= *at {
                 return;
             }
-            let ((at, _), call) = self.calls.pop_first().unwrap();
-            if self.stopped[call.to] {
+            let ((at, _), envelope) = self.in_flight.pop_first().unwrap();
+            if self.stopped[envelope.to] {
                 continue;
             }
-            let router = &mut self.routers[call.to];
-            if call.is_answer {
-                for outgoing in router.handle_response(at, call.sent, call.message) {
+            let router = &mut self.routers[envelope.to];
+            if envelope.is_response {
+                for outgoing in router.handle_response(at, envelope.sent, envelope.message) {
                     let to = usize::from(outgoing.to.port()) - 10_000;
                     let message = outgoing.message;
-                    self.post(at, Call { from: call.to, to, sent: at, is_answer: false, message });
+                    self.transmit(
+                        at,
+                        Envelope { from: envelope.to, to, sent: at, is_response: false, message },
+                    );
                 }
                 continue;
             }
-            let message = router.handle_request(at, call.message);
-            let (from, to) = (call.to, call.from);
-            self.post(at, Call { from, to, sent: call.sent, is_answer: true, message });
+            let message = router.handle_request(at, envelope.message);
+            let (from, to) = (envelope.to, envelope.from);
+            self.transmit(
+                at,
+                Envelope { from, to, sent: envelope.sent, is_response: true, message },
+            );
         }
     }
 
--- a/crates/member/tests/peers.rs
+++ b/crates/member/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Routers find each other, notice deaths, and come back without disturbing.
+//! Discovery, failure detection and recovery of routers.
 
 mod net;
 
@@ -11,7 +11,7 @@
     ($($name:ident: $size:literal,)*) => {$(
         #[test]
         fn $name() {
-            let net = Net::settle($size, 1);
+            let net = Net::settled($size, 1);
             for index in 0..$size {
                 assert_eq!(net.alive_at(index), $size - 1, "router {index}");
             }
@@ -20,14 +20,14 @@
 }
 
 sizes! {
-    two_find_each_other: 2,
-    eight_find_each_other: 8,
-    thirty_two_find_each_other: 32,
+    two_routers_discover_each_other: 2,
+    eight_routers_discover_each_other: 8,
+    thirty_two_routers_discover_each_other: 32,
 }
 
 #[test]
-fn dead_router_is_noticed_by_all() {
-    let mut net = Net::settle(8, 2);
+fn stopped_router_is_detected_by_all() {
+    let mut net = Net::settled(8, 2);
     net.stopped[5] = true;
     net.run(25_000, |_| ());
     for index in (0..8).filter(|&index| index != 5) {
@@ -36,11 +36,11 @@
 }
 
 #[test]
-fn nobody_dies_of_loss_and_varying_delay() {
-    let mut net = Net::settle(8, 3);
+fn loss_and_jitter_cause_no_false_deaths() {
+    let mut net = Net::settled(8, 3);
     net.loss = 0.3;
     net.delay = 1..150;
-    net.doubling = 0.1;
+    net.duplication = 0.1;
     let mut dead = 0;
     net.run(120_000, |net| {
         dead += net
@@ -53,31 +53,31 @@
 }
 
 #[test]
-fn router_frozen_for_ten_seconds_comes_back_without_a_death() {
-    let mut net = Net::settle(8, 4);
+fn router_paused_for_ten_seconds_recovers_without_false_suspicions() {
+    let mut net = Net::settled(8, 4);
     net.stopped[3] = true;
     net.run(10_000, |_| ());
     net.stopped[3] = false;
-    let mut doubted = 0;
+    let mut suspected = 0;
     net.run(10_000, |net| {
         let others = net.routers.iter().flat_map(|router| router.peers().iter());
-        let doubts = others.filter(|peer| peer.update.state != PeerState::Alive);
-        doubted += doubts.filter(|peer| peer.update.host.as_str() != "entry-host-3").count();
+        let suspicions = others.filter(|peer| peer.update.state != PeerState::Alive);
+        suspected += suspicions.filter(|peer| peer.update.host.as_str() != "entry-host-3").count();
     });
-    assert_eq!(doubted, 0);
+    assert_eq!(suspected, 0);
     for index in 0..8 {
         assert_eq!(net.alive_at(index), 7, "router {index}");
     }
 }
 
 #[test]
-fn cut_off_router_doubts_nobody() {
-    let mut net = Net::settle(8, 5);
-    net.group[2] = 1;
+fn isolated_router_suspects_no_other() {
+    let mut net = Net::settled(8, 5);
+    net.partition[2] = 1;
     net.run(60_000, |_| ());
     assert!(net.routers[2].peers().is_isolated(net.now));
     assert_eq!(net.routers[2].peers().live().count(), 7);
-    net.group[2] = 0;
+    net.partition[2] = 0;
     net.run(15_000, |_| ());
     for index in 0..8 {
         assert_eq!(net.alive_at(index), 7, "router {index}");
@@ -86,12 +86,12 @@
 
 #[test]
 fn partition_heals() {
-    let mut net = Net::settle(12, 6);
-    (0..6).for_each(|index| net.group[index] = 1);
+    let mut net = Net::settled(12, 6);
+    (0..6).for_each(|index| net.partition[index] = 1);
     net.run(60_000, |_| ());
     assert_eq!(net.alive_at(0), 5);
     assert_eq!(net.alive_at(11), 5);
-    net.group.fill(0);
+    net.partition.fill(0);
     net.run(30_000, |_| ());
     for index in 0..12 {
         assert_eq!(net.alive_at(index), 11, "router {index}");
@@ -99,8 +99,8 @@
 }
 
 #[test]
-fn restarted_router_learns_the_roster_within_two_seconds() {
-    let mut net = Net::settle(32, 7);
+fn restarted_router_has_the_roster_within_two_seconds() {
+    let mut net = Net::settled(32, 7);
     net.run(5_000, |net| net.announce(0..20, 1, net.now.since_origin().as_millis() as u64));
     net.restart(9, 2);
     net.run(2_000, |net| net.announce(0..20, 1, net.now.since_origin().as_millis() as u64));
@@ -109,20 +109,20 @@
 }
 
 #[test]
-fn restart_with_a_lower_incarnation_is_outgrown() {
-    let mut net = Net::settle(8, 8);
+fn restart_with_a_lower_incarnation_raises_it() {
+    let mut net = Net::settled(8, 8);
     net.restart(4, 0);
     net.run(10_000, |_| ());
     let me = net.routers[4].peers().me().clone();
     for index in (0..8).filter(|&index| index != 4) {
-        let known = net.routers[index].peers().find(&me.host).unwrap();
-        assert_eq!(known.update.incarnation, me.incarnation, "router {index}");
+        let peer = net.routers[index].peers().find(&me.host).unwrap();
+        assert_eq!(peer.update.incarnation, me.incarnation, "router {index}");
     }
 }
 
 #[test]
-fn newest_revision_is_known_everywhere_within_two_seconds() {
-    let mut net = Net::settle(32, 9);
+fn newest_revision_reaches_all_routers_within_two_seconds() {
+    let mut net = Net::settled(32, 9);
     net.routers[17].set_revision(Revision::new(5));
     net.run(2_000, |_| ());
     for router in &net.routers {
@@ -131,8 +131,8 @@
 }
 
 #[test]
-fn draining_is_known_everywhere_within_three_seconds() {
-    let mut net = Net::settle(32, 10);
+fn draining_reaches_all_routers_within_three_seconds() {
+    let mut net = Net::settled(32, 10);
     net.routers[6].set_draining(true);
     let host = net.routers[6].peers().me().host.clone();
     net.run(3_000, |_| ());
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn roster_is_bounded() {
+fn number_of_peers_is_bounded() {
     let mut net = Net::new(1, 11);
     for index in 1..MAX_PEERS + 100 {
         let mut other = Net::new(1, 12).routers.remove(0).tick(net.now, &mut rng());
--- a/crates/member/tests/regression/main.rs
+++ b/crates/member/tests/regression/main.rs
@@ -1,8 +1,8 @@
-//! Faults found, a file each.
+//! Regression tests, one file for each fault.
 
 #[path = "../net/mod.rs"]
 mod net;
 
 mod catch_up_deadlock;
-mod newcomer_drops_old_news;
-mod simultaneous_ends;
+mod new_router_rejects_old_records;
+mod simultaneous_expiry;
--- a/crates/member/tests/regression/newcomer_drops_old_news.rs
+++ b/crates/member/tests/regression/new_router_rejects_old_records.rs
@@ -1,9 +1,9 @@
 use crate::net::Net;
 
-/// A newcomer knew few endpoints, took the shortest lease of a small fleet, and refused records
-/// that the fleet renews seldom.
+/// A new router had few endpoints, so it computed the lease floor of a small fleet and rejected
+/// records that the fleet renews rarely.
 #[test]
-fn newcomer_takes_records_older_than_the_lease_of_a_small_fleet() {
+fn new_router_accepts_records_older_than_the_lease_floor_of_a_small_fleet() {
     let mut net = Net::new(8, 32);
     net.stopped[7] = true;
     net.run(3_000, |_| ());
--- a/crates/member/tests/regression/simultaneous_ends.rs
+++ b/crates/member/tests/regression/simultaneous_expiry.rs
@@ -5,9 +5,9 @@
 
 use crate::net::service;
 
-/// Lives that ended in one tick were all kept, beyond the bound.
+/// Tombstones of leases that expired in the same tick were all kept, beyond the bound.
 #[test]
-fn ends_in_the_same_tick_are_bounded() {
+fn tombstones_of_the_same_tick_are_bounded() {
     let mut endpoints = Endpoints::default();
     let now = MonotonicTime::from_millis(1_000);
     for id in 0..MAX_TOMBSTONES + 100 {
