--- a/crates/base/src/id.rs
+++ b/crates/base/src/id.rs
@@ -14,7 +14,7 @@
 }
 
 macro_rules! text_ids {
-    ($($(#[$doc:meta])* $name:ident: $what:literal,)*) => {$(
+    ($($(#[$doc:meta])* $name:ident: $type_name:literal,)*) => {$(
         $(#[$doc])*
         #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
         #[serde(transparent)]
@@ -33,7 +33,7 @@
             fn from_str(text: &str) -> Result<Self, ParseError> {
                 let has_valid_length = (1..=MAX_ID_BYTES).contains(&text.len());
                 if !has_valid_length || !text.bytes().all(is_id_byte) {
-                    return Err(ParseError::new($what, text, ID_SYNTAX));
+                    return Err(ParseError::new($type_name, text, ID_SYNTAX));
                 }
                 Ok(Self(text.into()))
             }
--- a/crates/base/src/number.rs
+++ b/crates/base/src/number.rs
@@ -5,7 +5,7 @@
 use crate::ParseError;
 
 macro_rules! numbers {
-    ($($(#[$doc:meta])* $name:ident: $what:literal,)*) => {$(
+    ($($(#[$doc:meta])* $name:ident: $type_name:literal,)*) => {$(
         $(#[$doc])*
         #[derive(
             Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
@@ -46,7 +46,7 @@
             fn from_str(text: &str) -> Result<Self, ParseError> {
                 text.parse()
                     .map(Self)
-                    .map_err(|_| ParseError::new($what, text, "a whole number from 0"))
+                    .map_err(|_| ParseError::new($type_name, text, "a whole number from 0"))
             }
         }
     )*};
--- a/crates/base/src/parse.rs
+++ b/crates/base/src/parse.rs
@@ -1,25 +1,25 @@
 use std::{error, fmt};
 
-/// The error of parsing a text that is not a valid value of the target type.
+/// An error from parsing a text that is not a valid value of the target type.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParseError {
-    what: &'static str,
+    type_name: &'static str,
     text: String,
     allowed: &'static str,
 }
 
 impl ParseError {
-    /// Creates an error for `text`, which is not a valid `what`; `allowed` describes valid texts.
-    pub fn new(what: &'static str, text: &str, allowed: &'static str) -> Self {
+    /// Creates an error for `text`, which is not a valid `type_name`; `allowed` describes valid texts.
+    pub fn new(type_name: &'static str, text: &str, allowed: &'static str) -> Self {
         const MAX_SHOWN_CHARS: usize = 80;
         let text = text.chars().take(MAX_SHOWN_CHARS).collect();
-        Self { what, text, allowed }
+        Self { type_name, text, allowed }
     }
 }
 
 impl fmt::Display for ParseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} is not a valid {}; expected {}", self.text, self.what, self.allowed)
+        write!(f, "{:?} is not a valid {}; expected {}", self.text, self.type_name, self.allowed)
     }
 }
 
--- a/crates/member/src/announcement.rs
+++ b/crates/member/src/announcement.rs
@@ -6,7 +6,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// An endpoint's announcement of itself, which holds a lease.
+/// An endpoint's announcement, which grants it a lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Announcement {
     /// The endpoint.
--- a/crates/member/src/endpoints.rs
+++ b/crates/member/src/endpoints.rs
@@ -74,7 +74,7 @@
     Expired(EndpointId),
 }
 
-/// The error of an announcement that is older than the one already applied.
+/// Rejection of an announcement that is older than the one already applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StaleAnnouncement {
     /// The endpoint.
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -5,8 +5,8 @@
 //! [`NewestRevision`] the newest revision of the configuration. It is a state machine without
 //! sockets or clocks. The driver calls [`Membership::tick`] every [`TICK_INTERVAL`] and sends the
 //! returned messages; it passes each request that arrives to [`Membership::handle_request`] and
-//! sends the response back, and passes each response to [`Membership::handle_response`]. Messages may
-//! be lost, delayed, duplicated and reordered.
+//! sends the response back, and passes each response to [`Membership::handle_response`]. Messages
+//! may be lost, delayed, duplicated and reordered.
 //!
 //! # Example
 //!
--- a/crates/member/src/peers.rs
+++ b/crates/member/src/peers.rs
@@ -54,7 +54,7 @@
 /// A request for an indirect probe.
 #[derive(Debug)]
 pub(crate) struct IndirectProbe {
-    /// The router to ask.
+    /// The router that should send the probe.
     pub(crate) helper: HostId,
     /// The router to probe.
     pub(crate) subject: HostId,
--- a/crates/member/tests/ages.rs
+++ b/crates/member/tests/ages.rs
@@ -11,7 +11,7 @@
 const WARM_UP_MILLIS: u64 = 30_000;
 const MEASURED_MILLIS: u64 = 20_000;
 
-/// Largest part of the announcements of running endpoints that may look stale.
+/// Upper bound on the ratio of announcements of running endpoints that look stale.
 const MAX_STALE_RATIO: f64 = 0.001;
 
 /// Returns the part of the announcements of running endpoints that look stale.
--- a/crates/member/tests/endpoints.rs
+++ b/crates/member/tests/endpoints.rs
@@ -176,7 +176,7 @@
     }
 }
 
-/// Announces all ten services but the last, as [`renew`] does.
+/// Announces the first nine of the ten services every second at random routers.
 fn renew_all_but_tenth(net: &mut Net) {
     if millis(net).is_multiple_of(1_000) {
         net.announce(0..9, 1, millis(net));
--- a/crates/routes/src/route.rs
+++ b/crates/routes/src/route.rs
@@ -62,7 +62,7 @@
 }
 
 impl Route {
-    /// Returns a service chosen by weight; `draw` is a random number in `0.0..1.0`.
+    /// Returns a service chosen by weight; `draw` is a random number from 0 below 1.
     pub fn pick_service(&self, draw: f64) -> Option<&ServiceId> {
         let total: f64 = self.services.iter().map(|entry| f64::from(entry.weight)).sum();
         let mut remaining = draw * total;
--- a/crates/routes/src/table_error.rs
+++ b/crates/routes/src/table_error.rs
@@ -2,7 +2,7 @@
 
 use base::ServiceId;
 
-/// The error of building a [`Table`](crate::Table) from inconsistent parts.
+/// Reason why a [`Table`](crate::Table) can't be built.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TableError {
     /// A route refers to a service that is not in the table.
