--- a/crates/member/src/link.rs
+++ b/crates/member/src/link.rs
@@ -3,7 +3,7 @@
 /// Number of recent round trips from which the timeout is computed.
 const ROUND_TRIP_WINDOW: usize = 32;
 
-/// Divisor of the newest probe's weight in the moving average of the loss.
+/// Reciprocal of the newest probe's weight in the moving average of the loss.
 const LOSS_SMOOTHING: f64 = 16.0;
 
 const MIN_TIMEOUT: Duration = Duration::from_millis(100);
