--- a/crates/bench/src/slopes/net.rs
+++ b/crates/bench/src/slopes/net.rs
@@ -5,7 +5,7 @@
 use base::{BlockCount, EndpointId, Incarnation, MonotonicTime, Revision, Sequence, TokenCount};
 use member::{
     Announcement, Budget, EndpointKind, Engine, Load, Membership, PeerState, PeerUpdate,
-    ServedModel, TICK,
+    ServedModel, TICK_INTERVAL,
 };
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
@@ -114,7 +114,7 @@
                 self.tick(i);
             }
         }
-        let next = self.now + TICK;
+        let next = self.now + TICK_INTERVAL;
         self.deliver_until(next);
         self.now = next;
     }
@@ -167,10 +167,10 @@
         let Message { from, to, sent, is_answer, body } = message;
         let gossip = gossip_from_bytes(&body).expect("own bytes can be read");
         if !is_answer {
-            let body = gossip_to_bytes(&self.routers[to].request(at, gossip));
+            let body = gossip_to_bytes(&self.routers[to].handle_request(at, gossip));
             return self.post(at, Message { from: to, to: from, sent, is_answer: true, body });
         }
-        for outgoing in self.routers[to].response(at, sent, gossip) {
+        for outgoing in self.routers[to].handle_response(at, sent, gossip) {
             self.calls[to] += 1;
             let body = gossip_to_bytes(&outgoing.message);
             let from = to;
--- a/crates/daemon/src/admin/status.rs
+++ b/crates/daemon/src/admin/status.rs
@@ -1,7 +1,7 @@
 use std::{sync::Arc, time::Duration};
 
 use base::{LogIndex, Term};
-use member::{EndpointKind, Known, PeerState as MemberState, Roster};
+use member::{EndpointKind, EndpointRecord, PeerState as MemberState, Roster};
 use telemetry::QuorumRole as Role;
 use wire::operator::{
     Counts, EndpointState, EndpointStatus, Endpoints, Peer, PeerState, QuorumRole, QuorumStatus,
@@ -92,7 +92,7 @@
         },
         revision: peer.update.revision,
         laggard: is_laggard(peer, newest),
-        heard_ms: millis(now.saturating_since(peer.heard.unwrap_or(peer.changed))),
+        heard_ms: millis(now.saturating_since(peer.last_contact.unwrap_or(peer.state_changed_at))),
     };
     roster.peers.iter().map(peer).collect()
 }
@@ -134,7 +134,7 @@
     }
 }
 
-fn endpoint(pages: &Pages, known: &Known, load: &Load) -> Option<EndpointStatus> {
+fn endpoint(pages: &Pages, known: &EndpointRecord, load: &Load) -> Option<EndpointStatus> {
     let now = pages.sources.clock.now();
     let announcement = &known.announcement;
     let state = match known.state {
--- a/crates/daemon/src/gateway/exchange.rs
+++ b/crates/daemon/src/gateway/exchange.rs
@@ -153,7 +153,7 @@
     }
 
     fn may_attempt_again(&self) -> bool {
-        self.route.repetition.may_repeat()
+        self.route.retry_policy.may_repeat()
             && self.progress.ran < self.route.max_attempts
             && self.progress.tried.len() < MAX_ENDPOINTS_TRIED
     }
@@ -278,7 +278,7 @@
         let gateway = &self.gateway;
         let now = gateway.clock.now();
         let draw = self.service_draw();
-        let service = self.route.service_at(draw).ok_or(NoTarget::Unknown)?;
+        let service = self.route.pick_service(draw).ok_or(NoTarget::Unknown)?;
         let newest = gateway.active_configuration();
         let table = &self.active_configuration.table;
         let configured = table.service(service);
@@ -346,7 +346,7 @@
         let sending =
             tokio::time::timeout_at(self.attempt_deadline(), sender.send_request(request));
         let unreachable =
-            wait_until_unreachable(&self.gateway, target, self.route.repetition.may_repeat());
+            wait_until_unreachable(&self.gateway, target, self.route.retry_policy.may_repeat());
         let response = tokio::select! {
             biased;
             sent = sending => match sent {
@@ -440,12 +440,12 @@
 
     /// Returns an attempt's deadline, which leaves time for another attempt if one is allowed.
     fn attempt_deadline(&self) -> Instant {
-        let repeatable = self.route.repetition.may_repeat();
+        let repeatable = self.route.retry_policy.may_repeat();
         if !repeatable || self.route.max_attempts <= self.progress.ran + 1 {
             return self.deadline;
         }
         let now = Instant::now();
-        if self.route.repetition.is_stream() {
+        if self.route.retry_policy.is_stream() {
             return (now + EVENT_TIMEOUT).min(self.deadline);
         }
         let left = self.deadline.saturating_duration_since(now);
--- a/crates/daemon/src/gateway/forward.rs
+++ b/crates/daemon/src/gateway/forward.rs
@@ -137,7 +137,7 @@
         recorder: recorder.clone(),
         progress: Progress::default(),
     };
-    if route.repetition.is_stream() {
+    if route.retry_policy.is_stream() {
         return stream(exchange, active).await;
     }
     let response = buffered_response(exchange).await?;
--- a/crates/daemon/src/gateway/relay.rs
+++ b/crates/daemon/src/gateway/relay.rs
@@ -180,7 +180,7 @@
 
 impl Segment {
     fn new<D: Dialect>(exchange: &Exchange<D>, opened: StartedResponse) -> Self {
-        let may_migrate = exchange.route.repetition.may_repeat();
+        let may_migrate = exchange.route.retry_policy.may_repeat();
         Self { opened, cutter: Cutter::new(MAX_EVENT_BYTES), is_started: false, may_migrate }
     }
 }
@@ -243,7 +243,7 @@
     last_id: &mut Option<String>,
     timing: &mut StreamTiming,
 ) -> SegmentEnd {
-    let resumable = exchange.route.repetition.may_repeat();
+    let resumable = exchange.route.retry_policy.may_repeat();
     let Segment { opened, cutter, is_started, may_migrate } = segment;
     loop {
         let event_deadline =
--- a/crates/daemon/src/gateway/targets.rs
+++ b/crates/daemon/src/gateway/targets.rs
@@ -10,7 +10,9 @@
 
 use base::{DataCentreId, EndpointId, Incarnation, ModelId, MonotonicTime, ServiceId, TokenCount};
 use fleet::EngineNews;
-use member::{Announcement, EndpointKind, EndpointState, Known, Leavers, LifeKey, Roster};
+use member::{
+    Announcement, EndpointKind, EndpointRecord, EndpointState, IncarnationKey, LeavingSet, Roster,
+};
 use prefix::{PartCacheModel, PartChain, SentPrompt, rank_by_name};
 use route::{EndpointKey, InFlightLoad, SentLoad};
 use routes::KvStore;
@@ -106,7 +108,7 @@
 }
 
 impl Target {
-    fn new(known: &Known, service: ServiceId, kv_tokens: TokenCount) -> Self {
+    fn new(known: &EndpointRecord, service: ServiceId, kv_tokens: TokenCount) -> Self {
         let (announcement, written) = (known.announcement.as_ref(), known.written);
         let model = served_model(announcement);
         Self {
@@ -218,7 +220,7 @@
     loads_at: MonotonicTime,
     stores: Vec<Store>,
     /// Incarnations of endpoints that announced to any host that they leave.
-    leavers: Leavers,
+    leavers: LeavingSet,
 }
 
 /// Changes of the set of endpoints.
@@ -333,8 +335,8 @@
     /// Removes the endpoints that announced to any host that they leave; they get no more requests.
     ///
     /// A new leader may know of none yet, so those known here stay removed.
-    fn remove_leaving(&mut self, now: MonotonicTime, leaving: &[LifeKey]) {
-        self.leavers.hear(now, leaving);
+    fn remove_leaving(&mut self, now: MonotonicTime, leaving: &[IncarnationKey]) {
+        self.leavers.record_leaving(now, leaving);
         self.by_id.retain(|id, target| {
             let leaves = self.leavers.contains(id, target.incarnation);
             if leaves {
@@ -399,7 +401,7 @@
 /// Returns the ready endpoints.
 ///
 /// Of two endpoints at one address, only the one with the higher incarnation can still run there.
-fn usable(endpoints: &[Known]) -> BTreeMap<&EndpointId, &Known> {
+fn usable(endpoints: &[EndpointRecord]) -> BTreeMap<&EndpointId, &EndpointRecord> {
     let mut newest_at: HashMap<SocketAddr, &Announcement> = HashMap::new();
     for known in endpoints.iter().filter(|known| is_running(known)) {
         let announcement = known.announcement.as_ref();
@@ -420,7 +422,7 @@
         .collect()
 }
 
-fn is_running(known: &Known) -> bool {
+fn is_running(known: &EndpointRecord) -> bool {
     matches!(known.state, EndpointState::Ready | EndpointState::Leaving)
 }
 
--- a/crates/daemon/src/replica/followers.rs
+++ b/crates/daemon/src/replica/followers.rs
@@ -4,7 +4,7 @@
 
 use base::{HostId, ModelId, MonotonicTime, Term};
 use fleet::{EngineNews, Published, WeightsAge, WeightsHistory};
-use member::Leavers;
+use member::LeavingSet;
 use prefix::SentPromptLog;
 use route::{LoadAggregator, SentLoad};
 use wire::leader::{Follow, PublishedView, Seen, ViewVersion};
@@ -28,7 +28,7 @@
     engines: Vec<EngineNews>,
     loads: LoadAggregator,
     sent: SentPromptLog,
-    leavers: Leavers,
+    leavers: LeavingSet,
     /// When weights were named, as far as this host observed or received it.
     weights: BTreeMap<ModelId, WeightsHistory>,
     /// Number of changes that end held polls early.
@@ -49,7 +49,7 @@
             engines: Vec::new(),
             loads: LoadAggregator::new(LOAD_REPORT_TTL),
             sent: SentPromptLog::new(MAX_SENT_PROMPTS),
-            leavers: Leavers::default(),
+            leavers: LeavingSet::default(),
             weights: BTreeMap::new(),
             changes: 0,
         }
@@ -61,7 +61,7 @@
     pub(super) fn hold(&mut self, now: MonotonicTime, mut poll: Follow, reply: ReplySender) {
         self.loads.report(now, poll.from.clone(), std::mem::take(&mut poll.loads));
         self.sent.extend(&poll.from, std::mem::take(&mut poll.sent));
-        if self.leavers.hear(now, &poll.leaving) {
+        if self.leavers.record_leaving(now, &poll.leaving) {
             self.changes += 1;
         }
         let until = now + poll.hold.min(MAX_HOLD);
@@ -144,7 +144,7 @@
             weights: self.weight_ages(now),
             engines: self.engines.clone(),
             loads: self.loads.totals(now),
-            leaving: self.leavers.lives(now),
+            leaving: self.leavers.leaving(now),
             sent: sent.unwrap_or_default(),
             next_sent: self.sent.next(),
         }
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -5,7 +5,7 @@
 };
 
 use base::{ByteCount, HostId, MonotonicTime, Revision, Term};
-use member::{Announcement, Budget, Change, Membership, PeerUpdate, Roster, TICK};
+use member::{Announcement, Budget, EndpointChange, Membership, PeerUpdate, Roster, TICK_INTERVAL};
 use rand::SeedableRng as _;
 use rand_pcg::Pcg64Mcg;
 use telemetry::{Metrics, QuorumRole};
@@ -146,7 +146,7 @@
             let now = self.clock.now();
             let ticked = self.next_tick <= now;
             if ticked {
-                self.next_tick = now + TICK;
+                self.next_tick = now + TICK_INTERVAL;
                 self.tick(now);
             }
             if self.log_changes() || ticked {
@@ -180,7 +180,7 @@
             Ok(message) => {
                 // A router that starts takes the first answers for what its peers hold.
                 self.membership.set_revision(self.rings.configurations.revision());
-                let answer = gossip_to_bytes(&self.membership.request(now, message));
+                let answer = gossip_to_bytes(&self.membership.handle_request(now, message));
                 self.rings.metrics.gossip_sent(byte_count(&answer));
                 let _ = call.reply.try_send(answer);
             }
@@ -192,7 +192,7 @@
         self.rings.metrics.gossip_received(byte_count(message));
         match gossip_from_bytes(message) {
             Ok(message) => {
-                let follow_ups = self.membership.response(now, sent, message);
+                let follow_ups = self.membership.handle_response(now, sent, message);
                 self.send(now, follow_ups);
             }
             Err(e) => log::warn!(error:% = e; "answer to gossip dropped"),
@@ -286,10 +286,10 @@
         let mut changed = false;
         for change in self.membership.take_changes() {
             match change {
-                Change::Renewed(_) => continue,
-                Change::Joined(endpoint) => log::info!(endpoint:%; "joined"),
-                Change::Leaving(endpoint) => log::info!(endpoint:%; "leaving"),
-                Change::Expired(endpoint) => log::info!(endpoint:%; "lease ended"),
+                EndpointChange::Renewed(_) => continue,
+                EndpointChange::Joined(endpoint) => log::info!(endpoint:%; "joined"),
+                EndpointChange::Leaving(endpoint) => log::info!(endpoint:%; "leaving"),
+                EndpointChange::Expired(endpoint) => log::info!(endpoint:%; "lease ended"),
             }
             changed = true;
         }
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,22 +1,21 @@
-//! Routes from callers' hosts and paths to services, and who may use them.
+//! Routing table from callers' hosts and paths to services, with the organisations allowed to call.
 //!
-//! A [`Table`] is one configuration, checked as a whole: routes, services, organisations with their
-//! keys, and limits on callers. It only answers questions; numbering, replication and the format in
-//! which it is written belong to others.
+//! A [`Table`] is an immutable, validated configuration: routes, services, organisations with their
+//! keys, and limits on callers.
 //!
 //! # Example
 //!
 //! ```
 //! use std::time::Duration;
 //!
-//! use routes::{Limits, Repetition, Route, Service, Table, WeightedService};
+//! use routes::{Limits, RetryPolicy, Route, Service, Table, WeightedService};
 //!
 //! let orders = Route {
 //!     name: "orders".into(),
 //!     host: "desk.example".into(),
 //!     prefix: "/orders/".into(),
 //!     services: vec![WeightedService { service: "desk".parse()?, weight: 1 }],
-//!     repetition: Repetition::AtMostOnce,
+//!     retry_policy: RetryPolicy::AtMostOnce,
 //!     timeout: Duration::from_millis(800),
 //!     objective: Duration::from_millis(120),
 //!     priority: 2,
@@ -31,16 +30,16 @@
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
-mod invalid;
 mod organisation;
 mod route;
 mod service;
 mod table;
+mod table_error;
 
 pub use crate::{
-    invalid::Invalid,
     organisation::{ApiKey, Organisation},
-    route::{Repetition, Route, WeightedService},
+    route::{RetryPolicy, Route, WeightedService},
     service::{Engine, KvStore, Service},
     table::{Limits, Table},
+    table_error::TableError,
 };
