--- a/crates/daemon/src/edge/mod.rs
+++ b/crates/daemon/src/edge/mod.rs
@@ -64,8 +64,8 @@
 /// Time between looks for the first endpoints.
 const ROSTER_POLL: Duration = Duration::from_millis(5);
 
-/// Rings that join the edge thread to the others.
-pub(crate) struct Rings {
+/// EdgeChannels that join the edge thread to the others.
+pub(crate) struct EdgeChannels {
     /// Newest view of the endpoints.
     pub rosters: flume::Receiver<Arc<Roster>>,
     /// Announcements that endpoints posted here.
@@ -130,7 +130,7 @@
 }
 
 impl Edge {
-    fn new(cfg: Arc<Settings>, clock: Clock, rings: &Rings) -> Self {
+    fn new(cfg: Arc<Settings>, clock: Clock, rings: &EdgeChannels) -> Self {
         let seed = rand::random();
         let owner = Owner { host: cfg.host.clone(), incarnation: rings.incarnation };
         let rng = Pcg64Mcg::seed_from_u64(seed);
@@ -214,7 +214,7 @@
     cfg: Arc<Settings>,
     clock: Clock,
     listener: std::net::TcpListener,
-    rings: Rings,
+    rings: EdgeChannels,
 ) -> io::Result<JoinHandle<EdgeEnd>> {
     listener.set_nonblocking(true)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -15,7 +15,7 @@
     clock::Clock,
     configurations::Configurations,
     directory::Directory,
-    edge::{self, Control, EdgeEnd, Inquiry, Rings},
+    edge::{self, Control, EdgeChannels, EdgeEnd, Inquiry},
     gateway::{self, Dialect, GatewayListeners, GatewayRings, GatewaySettings, Identity},
     leader_client::LeaderClient,
     net,
@@ -84,7 +84,7 @@
         let news = shared.news(leader.clone())?;
         let inquiries = shared.start_admin(leader.clone())?;
         let (control, control_rx) = flume::bounded(RING);
-        let rings = Rings {
+        let rings = EdgeChannels {
             rosters,
             announcements: shared.roster.clone(),
             control: control_rx,
