--- a/crates/daemon/src/admin/explain.rs
+++ b/crates/daemon/src/admin/explain.rs
@@ -3,7 +3,7 @@
 use rouille::Request;
 use wire::operator::{ExplainRequest, Explanation};
 
-use crate::edge::Inquiry;
+use crate::edge::AdminQuery;
 
 use super::{Pages, body, problems::Refused};
 
@@ -15,7 +15,7 @@
     let request: ExplainRequest = body::read(req, pages.sources.cfg.limits.body_bytes.as_u64())?;
     let nowhere = format!("no endpoint serves model {}", request.model);
     let (reply, answer) = flume::bounded(1);
-    let asked = pages.sources.inquiries.try_send(Inquiry::Explain { request, reply });
+    let asked = pages.sources.admin_queries.try_send(AdminQuery::Explain { request, reply });
     let busy = || Refused::unavailable("the router is busy or ending");
     asked.map_err(|_| busy())?;
     let explanation = answer.recv_timeout(EDGE_TIMEOUT).map_err(|_| busy())?;
--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -21,7 +21,7 @@
 };
 
 use crate::{
-    Settings, clock::Clock, configurations::Configurations, edge::Inquiry,
+    Settings, clock::Clock, configurations::Configurations, edge::AdminQuery,
     leader_client::LeaderClient, readiness::Readiness, replica::ReplicaState, roster::Latest,
 };
 
@@ -50,7 +50,7 @@
     pub replica: ReplicaState,
     pub configurations: Configurations,
     pub leader: LeaderClient,
-    pub inquiries: flume::Sender<Inquiry>,
+    pub admin_queries: flume::Sender<AdminQuery>,
     pub metrics: Arc<Metrics>,
 }
 
--- a/crates/daemon/src/admin/status.rs
+++ b/crates/daemon/src/admin/status.rs
@@ -9,7 +9,7 @@
 };
 
 use crate::{
-    edge::{Inquiry, Load},
+    edge::{AdminQuery, Load},
     replica::ReplicaView,
     roster::{is_laggard, role},
 };
@@ -73,7 +73,7 @@
 
 fn load(pages: &Pages) -> Load {
     let (reply, answer) = flume::bounded(1);
-    let asked = pages.sources.inquiries.try_send(Inquiry::Load { reply });
+    let asked = pages.sources.admin_queries.try_send(AdminQuery::Load { reply });
     asked.ok().and_then(|()| answer.recv_timeout(EDGE_TIMEOUT).ok()).unwrap_or_default()
 }
 
--- a/crates/daemon/src/edge/inquiry.rs
+++ b/crates/daemon/src/edge/inquiry.rs
@@ -7,7 +7,7 @@
 use super::{Edge, policies::Preferences, router::Wanted};
 
 /// A question of an operator.
-pub(crate) enum Inquiry {
+pub(crate) enum AdminQuery {
     /// Where a request would go.
     Explain {
         /// The request.
@@ -32,13 +32,13 @@
 }
 
 /// Answers operators until no more can ask.
-pub(super) async fn answer_all(edge: Rc<Edge>, inquiries: flume::Receiver<Inquiry>) {
-    while let Ok(inquiry) = inquiries.recv_async().await {
+pub(super) async fn answer_all(edge: Rc<Edge>, admin_queries: flume::Receiver<AdminQuery>) {
+    while let Ok(inquiry) = admin_queries.recv_async().await {
         match inquiry {
-            Inquiry::Explain { request, reply } => {
+            AdminQuery::Explain { request, reply } => {
                 let _ = reply.try_send(explain(&edge, &request));
             }
-            Inquiry::Load { reply } => {
+            AdminQuery::Load { reply } => {
                 let endpoints = edge.router.borrow().in_flight();
                 let _ = reply.try_send(Load { requests: edge.active.borrow().len(), endpoints });
             }
--- a/crates/daemon/src/edge/mod.rs
+++ b/crates/daemon/src/edge/mod.rs
@@ -53,7 +53,7 @@
 use router::{NoEndpoint, Router};
 use targets::InFlight;
 
-pub(crate) use inquiry::{Inquiry, Load};
+pub(crate) use inquiry::{AdminQuery, Load};
 
 /// Time that a request waits for the first endpoints, as right after the start.
 const ROSTER_WAIT: Duration = Duration::from_secs(1);
@@ -73,7 +73,7 @@
     /// Orders to drain or to end.
     pub control: flume::Receiver<Control>,
     /// Questions of operators.
-    pub inquiries: flume::Receiver<Inquiry>,
+    pub admin_queries: flume::Receiver<AdminQuery>,
     /// The configuration in force.
     pub configurations: Configurations,
     /// The way to the quorum's leader.
@@ -227,7 +227,7 @@
             tokio::task::spawn_local(follow_rosters(Rc::clone(&edge), rings.rosters));
             tokio::task::spawn_local(follow_configurations(Rc::clone(&edge)));
             tokio::task::spawn_local(edge.gate.clone().watch_deadlines());
-            tokio::task::spawn_local(inquiry::answer_all(Rc::clone(&edge), rings.inquiries));
+            tokio::task::spawn_local(inquiry::answer_all(Rc::clone(&edge), rings.admin_queries));
             tokio::task::spawn_local(claims::end_earlier_lives(Rc::clone(&edge)));
             listen::run(edge, listener, rings.control).await
         })
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -15,7 +15,7 @@
     clock::Clock,
     configurations::Configurations,
     directory::Directory,
-    edge::{self, Control, EdgeChannels, EdgeEnd, Inquiry},
+    edge::{self, AdminQuery, Control, EdgeChannels, EdgeEnd},
     gateway::{self, Dialect, GatewayListeners, GatewayRings, GatewaySettings, Identity},
     leader_client::LeaderClient,
     net,
@@ -82,13 +82,13 @@
         let Common { replica, leader, rosters } =
             shared.start_common(peer_listener, outbox_rx, roster_inputs)?;
         let news = shared.news(leader.clone())?;
-        let inquiries = shared.start_admin(leader.clone())?;
+        let admin_queries = shared.start_admin(leader.clone())?;
         let (control, control_rx) = flume::bounded(RING);
         let rings = EdgeChannels {
             rosters,
             announcements: shared.roster.clone(),
             control: control_rx,
-            inquiries,
+            admin_queries,
             configurations: shared.configurations.clone(),
             leader,
             incarnation: shared.incarnation,
@@ -300,8 +300,8 @@
     }
 
     /// Starts the operator's pages; returns the ring of their questions to the edge thread.
-    fn start_admin(&self, leader: LeaderClient) -> eyre::Result<flume::Receiver<Inquiry>> {
-        let (inquiries, inquiries_rx) = flume::bounded(INQUIRY_RING);
+    fn start_admin(&self, leader: LeaderClient) -> eyre::Result<flume::Receiver<AdminQuery>> {
+        let (admin_queries, admin_queries_rx) = flume::bounded(INQUIRY_RING);
         let sources = Sources {
             cfg: Arc::clone(&self.cfg),
             clock: self.clock,
@@ -311,12 +311,12 @@
             replica: self.replica_state.clone(),
             configurations: self.configurations.clone(),
             leader,
-            inquiries,
+            admin_queries,
             metrics: Arc::clone(&self.metrics),
         };
         admin::spawn(self.cfg.admin_listen, sources)
             .wrap_err("could not serve the operator's pages")?;
-        Ok(inquiries_rx)
+        Ok(admin_queries_rx)
     }
 }
 
