--- a/crates/daemon/src/edge/listen.rs
+++ b/crates/daemon/src/edge/listen.rs
@@ -12,7 +12,8 @@
 use crate::failure::Failure;
 
 use super::{
-    Control, Edge, EdgeEnd, active::ActiveRequest, announce, body::Body, completions, services,
+    Edge, ServerCommand, ServerExit, active::ActiveRequest, announce, body::Body, completions,
+    services,
 };
 
 /// Most header fields in a request.
@@ -22,8 +23,8 @@
 pub(super) async fn run(
     edge: Rc<Edge>,
     listener: std::net::TcpListener,
-    control: flume::Receiver<Control>,
-) -> EdgeEnd {
+    control: flume::Receiver<ServerCommand>,
+) -> ServerExit {
     let listener = TcpListener::from_std(listener).expect("the listener is in non-blocking mode");
     let (drain_tx, drain_rx) = watch::channel(false);
     let accepting = tokio::task::spawn_local(serve::accept(Rc::clone(&edge), listener, drain_rx));
@@ -31,7 +32,7 @@
     accepting.abort();
     let active = edge.active.borrow();
     active.log_cut(edge.clock.now());
-    EdgeEnd { cut: active.len() }
+    ServerExit { cut: active.len() }
 }
 
 impl Drain for Edge {
--- a/crates/daemon/src/edge/mod.rs
+++ b/crates/daemon/src/edge/mod.rs
@@ -71,7 +71,7 @@
     /// Announcements that endpoints posted here.
     pub announcements: flume::Sender<RosterInput>,
     /// Orders to drain or to end.
-    pub control: flume::Receiver<Control>,
+    pub control: flume::Receiver<ServerCommand>,
     /// Questions of operators.
     pub admin_queries: flume::Receiver<AdminQuery>,
     /// The configuration in force.
@@ -88,7 +88,7 @@
 
 /// An order to the edge thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Control {
+pub(crate) enum ServerCommand {
     /// Serve what still arrives, and ask callers to use other hosts.
     Leave,
     /// Accept nothing new and end once all requests have ended.
@@ -99,7 +99,7 @@
 
 /// How the edge thread ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EdgeEnd {
+pub struct ServerExit {
     /// Requests that had not ended.
     pub cut: u64,
 }
@@ -215,7 +215,7 @@
     clock: Clock,
     listener: std::net::TcpListener,
     rings: EdgeChannels,
-) -> io::Result<JoinHandle<EdgeEnd>> {
+) -> io::Result<JoinHandle<ServerExit>> {
     listener.set_nonblocking(true)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let (started_tx, started_rx) = flume::bounded(1);
--- a/crates/daemon/src/gateway/listen.rs
+++ b/crates/daemon/src/gateway/listen.rs
@@ -7,7 +7,7 @@
 use tokio::{net::TcpListener, sync::watch};
 
 use crate::{
-    edge::{Control, EdgeEnd},
+    edge::{ServerCommand, ServerExit},
     serve::{self, ConnectionBounds, Drain, Serve},
 };
 
@@ -104,8 +104,8 @@
 pub(super) async fn run<D: Dialect>(
     gateway: Rc<Gateway<D>>,
     listeners: GatewayListeners,
-    orders: flume::Receiver<Control>,
-) -> EdgeEnd {
+    orders: flume::Receiver<ServerCommand>,
+) -> ServerExit {
     let (drain_tx, drain_rx) = watch::channel(false);
     let GatewayListeners { callers, readiness, control } = listeners;
     start(Callers(Rc::clone(&gateway)), callers, &drain_rx);
@@ -114,7 +114,7 @@
     start(balancer, readiness, &drain_rx);
     let limit = gateway.cfg.drain_limit(gateway.drain_notice);
     serve::until_ended(&*gateway, &orders, &drain_tx, Some(limit)).await;
-    EdgeEnd { cut: gateway.active.get() }
+    ServerExit { cut: gateway.active.get() }
 }
 
 fn start<S: Serve>(
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -39,7 +39,7 @@
 
 use crate::{
     clock::Clock,
-    edge::{Control, EdgeEnd},
+    edge::{ServerCommand, ServerExit},
     leader_client::LeaderClient,
     replica::{ReplicaInput, ReplicaState},
     roster::{Latest, RosterInput},
@@ -87,7 +87,7 @@
     /// Takes announcements.
     pub roster: flume::Sender<RosterInput>,
     /// Orders to drain or to end.
-    pub control: flume::Receiver<Control>,
+    pub control: flume::Receiver<ServerCommand>,
     /// The way to the quorum's leader.
     pub leader: LeaderClient,
     /// The replica thread, on a host with a vote.
@@ -328,7 +328,7 @@
     clock: Clock,
     listeners: GatewayListeners,
     rings: GatewayRings,
-) -> io::Result<JoinHandle<EdgeEnd>> {
+) -> io::Result<JoinHandle<ServerExit>> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     std::thread::Builder::new().name("gateway".into()).spawn(move || {
         let tasks = tokio::task::LocalSet::new();
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -41,7 +41,7 @@
 mod signals;
 
 pub use crate::{
-    edge::EdgeEnd,
+    edge::ServerExit,
     gateway::{
         AnswerHead, Arrival, AttemptHead, BadCall, ControlAnswer, ControlCall, Dialect, EngineHead,
         EngineReport, FleetRetries, GatewaySettings, LoadCall, Prompt, Unreadable,
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -15,7 +15,7 @@
     clock::Clock,
     configurations::Configurations,
     directory::Directory,
-    edge::{self, AdminQuery, Control, EdgeChannels, EdgeEnd},
+    edge::{self, AdminQuery, EdgeChannels, ServerCommand, ServerExit},
     gateway::{self, Dialect, GatewayListeners, GatewayRings, GatewaySettings, Identity},
     leader_client::LeaderClient,
     net,
@@ -36,8 +36,8 @@
 
 /// The process's threads, as far as its end needs them.
 pub(crate) struct Process {
-    pub edge: JoinHandle<EdgeEnd>,
-    pub control: flume::Sender<Control>,
+    pub edge: JoinHandle<ServerExit>,
+    pub control: flume::Sender<ServerCommand>,
     pub readiness: Readiness,
     /// News of peers to wait for, where readiness depends on it.
     pub news: Option<News>,
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     Settings, SettingsError,
-    edge::{Control, EdgeEnd},
+    edge::{ServerCommand, ServerExit},
     gateway::{Dialect, GatewaySettings},
     process::{Process, RING},
     readiness::NEWS_TIMEOUT,
@@ -57,7 +57,7 @@
 }
 
 /// Runs the daemon with its log and turns the way it ended into an exit code.
-fn logged(cfg: Settings, run: impl FnOnce(Settings) -> eyre::Result<EdgeEnd>) -> ExitCode {
+fn logged(cfg: Settings, run: impl FnOnce(Settings) -> eyre::Result<ServerExit>) -> ExitCode {
     let _logs = match init_logs(cfg.telemetry.log_format, cfg.telemetry.log_level) {
         Ok(guard) => guard,
         Err(e) => {
@@ -68,10 +68,10 @@
     ended(run(cfg))
 }
 
-fn ended(end: eyre::Result<EdgeEnd>) -> ExitCode {
+fn ended(end: eyre::Result<ServerExit>) -> ExitCode {
     match end {
-        Ok(EdgeEnd { cut: 0 }) => ExitCode::SUCCESS,
-        Ok(EdgeEnd { cut }) => {
+        Ok(ServerExit { cut: 0 }) => ExitCode::SUCCESS,
+        Ok(ServerExit { cut }) => {
             log::error!(cut; "ended with requests cut, by a second signal or at the end of its time");
             ExitCode::from(EXIT_CUT)
         }
@@ -88,7 +88,7 @@
 ///
 /// Returns an error if an address can't be bound, the data folder can't be used, or a thread can't
 /// be made.
-pub fn run(cfg: Settings) -> eyre::Result<EdgeEnd> {
+pub fn run(cfg: Settings) -> eyre::Result<ServerExit> {
     let cfg = Arc::new(cfg);
     let (signal_tx, signals) = flume::bounded(RING);
     signals::spawn(signal_tx).wrap_err("could not watch signals")?;
@@ -121,7 +121,7 @@
     cfg: Settings,
     gateway_cfg: GatewaySettings,
     dialect: D,
-) -> eyre::Result<EdgeEnd> {
+) -> eyre::Result<ServerExit> {
     let cfg = Arc::new(cfg);
     let (signal_tx, signals) = flume::bounded(RING);
     signals::spawn(signal_tx).wrap_err("could not watch signals")?;
@@ -173,7 +173,7 @@
     process: Process,
     signal: Signal,
     signals: &flume::Receiver<Signal>,
-) -> eyre::Result<EdgeEnd> {
+) -> eyre::Result<ServerExit> {
     log::info!(host:% = cfg.host; "draining after a termination signal");
     begin_drain(&process, signal, signals, cfg.timeouts.drain_notice);
     let end = process.edge.join().map_err(|_| eyre::eyre!("the edge thread panicked"))?;
@@ -207,20 +207,20 @@
     notice: Duration,
 ) {
     process.readiness.set_draining();
-    let _ = process.control.send(Control::Leave);
+    let _ = process.control.send(ServerCommand::Leave);
     let _ = process.roster.send(RosterInput::Draining);
     let second = match signal {
         Signal::Immediate => Some(signal),
         _ => next_end(signals, notice),
     };
     if second.is_some() {
-        let _ = process.control.send(Control::Abort);
+        let _ = process.control.send(ServerCommand::Abort);
     }
-    let _ = process.control.send(Control::Drain);
+    let _ = process.control.send(ServerCommand::Drain);
     let (signals, control) = (signals.clone(), process.control.clone());
     std::thread::spawn(move || {
         if wait_for_end(&signals).is_ok() {
-            let _ = control.send(Control::Abort);
+            let _ = control.send(ServerCommand::Abort);
         }
     });
 }
--- a/crates/daemon/src/serve.rs
+++ b/crates/daemon/src/serve.rs
@@ -16,7 +16,7 @@
     time::Instant,
 };
 
-use crate::edge::Control;
+use crate::edge::ServerCommand;
 
 /// Time from the end of accepting to the close of idle connections.
 ///
@@ -115,29 +115,33 @@
 /// Follows orders until told to abort, or to drain and that is done or has taken `limit`.
 pub(crate) async fn until_ended(
     service: &impl Drain,
-    orders: &flume::Receiver<Control>,
+    orders: &flume::Receiver<ServerCommand>,
     draining: &watch::Sender<bool>,
     limit: Option<Duration>,
 ) {
     while let Ok(order) = orders.recv_async().await {
         match order {
-            Control::Leave => service.leave(),
-            Control::Drain => {
+            ServerCommand::Leave => service.leave(),
+            ServerCommand::Drain => {
                 service.leave();
                 let _ = draining.send(true);
                 return drain(service, orders, limit).await;
             }
-            Control::Abort => return,
+            ServerCommand::Abort => return,
         }
     }
 }
 
-async fn drain(service: &impl Drain, orders: &flume::Receiver<Control>, limit: Option<Duration>) {
+async fn drain(
+    service: &impl Drain,
+    orders: &flume::Receiver<ServerCommand>,
+    limit: Option<Duration>,
+) {
     let until = limit.map(|limit| Instant::now() + limit);
     while !service.is_idle() && until.is_none_or(|until| Instant::now() < until) {
         tokio::select! {
             order = orders.recv_async() => {
-                if !matches!(order, Ok(Control::Drain | Control::Leave)) {
+                if !matches!(order, Ok(ServerCommand::Drain | ServerCommand::Leave)) {
                     return;
                 }
             }
