--- a/crates/daemon/src/edge/active.rs
+++ b/crates/daemon/src/edge/active.rs
@@ -7,14 +7,14 @@
 /// The requests under way.
 #[derive(Default)]
 pub(super) struct ActiveRequests {
-    last: u64,
-    requests: BTreeMap<u64, Described>,
+    last_number: u64,
+    requests: BTreeMap<u64, RequestInfo>,
 }
 
-struct Described {
+struct RequestInfo {
     path: String,
     request: Option<String>,
-    since: MonotonicTime,
+    started_at: MonotonicTime,
 }
 
 /// Counts a request as active; ends on drop.
@@ -29,10 +29,10 @@
     }
 
     /// Logs each request under way as cut at `now`.
-    pub(super) fn log_cut(&self, now: MonotonicTime) {
-        for Described { path, request, since } in self.requests.values() {
+    pub(super) fn log_aborted(&self, now: MonotonicTime) {
+        for RequestInfo { path, request, started_at } in self.requests.values() {
             let request = request.as_deref().unwrap_or("-");
-            let age = Duration::as_millis(&now.saturating_since(*since));
+            let age = Duration::as_millis(&now.saturating_since(*started_at));
             log::error!(request, path, age_ms = age as u64; "request cut");
         }
     }
@@ -41,17 +41,18 @@
 impl ActiveRequest {
     pub(super) fn begin(edge: &Rc<Edge>, path: &str) -> Self {
         let mut active = edge.active.borrow_mut();
-        active.last += 1;
-        let number = active.last;
-        let described = Described { path: path.to_owned(), request: None, since: edge.clock.now() };
-        active.requests.insert(number, described);
+        active.last_number += 1;
+        let number = active.last_number;
+        let info =
+            RequestInfo { path: path.to_owned(), request: None, started_at: edge.clock.now() };
+        active.requests.insert(number, info);
         Self { edge: Rc::clone(edge), number }
     }
 
     /// Names the request in logs.
-    pub(super) fn name(&self, request: &str) {
-        if let Some(described) = self.edge.active.borrow_mut().requests.get_mut(&self.number) {
-            described.request = Some(request.to_owned());
+    pub(super) fn set_request_id(&self, request: &str) {
+        if let Some(info) = self.edge.active.borrow_mut().requests.get_mut(&self.number) {
+            info.request = Some(request.to_owned());
         }
     }
 }
--- a/crates/daemon/src/edge/inquiry.rs
+++ b/crates/daemon/src/edge/admin_queries.rs
@@ -4,7 +4,7 @@
 use fleet::Scope;
 use wire::operator::{ExplainRequest, Explanation, PromptPart};
 
-use super::{Edge, policies::Preferences, router::Wanted};
+use super::{Edge, policies::RoutingPreferences, router::EngineRequirements};
 
 /// A question of an operator.
 pub(crate) enum AdminQuery {
@@ -12,12 +12,12 @@
     Explain {
         /// The request.
         request: ExplainRequest,
-        /// Takes the answer; none if no endpoint serves the request.
+        /// Takes the response; none if no endpoint serves the request.
         reply: flume::Sender<Option<Explanation>>,
     },
     /// What is under way.
     Load {
-        /// Takes the answer.
+        /// Takes the response.
         reply: flume::Sender<Load>,
     },
 }
@@ -32,9 +32,9 @@
 }
 
 /// Answers operators until no more can ask.
-pub(super) async fn answer_all(edge: Rc<Edge>, admin_queries: flume::Receiver<AdminQuery>) {
-    while let Ok(inquiry) = admin_queries.recv_async().await {
-        match inquiry {
+pub(super) async fn handle_all(edge: Rc<Edge>, admin_queries: flume::Receiver<AdminQuery>) {
+    while let Ok(query) = admin_queries.recv_async().await {
+        match query {
             AdminQuery::Explain { request, reply } => {
                 let _ = reply.try_send(explain(&edge, &request));
             }
@@ -55,13 +55,13 @@
         ..Scope::default()
     };
     let settings = edge.settings(&scope);
-    let wanted = Wanted {
+    let requirements = EngineRequirements {
         organisation: &request.organisation,
         model: &request.model,
         adapter: request.adapter.as_ref(),
         weights: None,
         prompt: &prompt,
-        preferences: Preferences::from(&settings),
+        preferences: RoutingPreferences::from(&settings),
     };
-    edge.router.borrow_mut().explain(edge.clock.now(), &wanted)
+    edge.router.borrow_mut().explain(edge.clock.now(), &requirements)
 }
--- a/crates/daemon/src/edge/auth.rs
+++ b/crates/daemon/src/edge/auth.rs
@@ -9,13 +9,13 @@
 use crate::failure::Failure;
 
 /// The keys that callers and endpoints may show, kept as digests.
-pub(super) struct Keys {
+pub(super) struct AuthKeys {
     fleet: Digest,
     organisations: HashMap<Digest, OrganisationId>,
     configurations: Configurations,
 }
 
-impl Keys {
+impl AuthKeys {
     pub(super) fn new(cfg: &Settings, configurations: Configurations) -> Self {
         let organisations =
             cfg.organisation_keys.iter().map(|key| (key.digest, key.organisation.clone()));
@@ -30,29 +30,30 @@
     ///
     /// A key of the declaration in force counts before one of the settings.
     pub(super) fn organisation(&self, headers: &HeaderMap) -> Result<OrganisationId, Failure> {
-        let shown = bearer(headers)?;
+        let presented = bearer_digest(headers)?;
         let in_force = self.configurations.in_force();
-        let declared =
-            in_force.as_ref().and_then(|held| held.declaration.organisation_of_key(&shown));
+        let declared = in_force
+            .as_ref()
+            .and_then(|in_force| in_force.declaration.organisation_of_key(&presented));
         if let Some(declared) = declared {
             return Ok(declared.id.clone());
         }
-        let found = self.organisations.get_key_value(&shown);
-        let matching = found.filter(|(known, _)| same(known, &shown));
+        let found = self.organisations.get_key_value(&presented);
+        let matching = found.filter(|(known, _)| digests_equal(known, &presented));
         matching.map(|(_, organisation)| organisation.clone()).ok_or_else(Failure::unauthorised)
     }
 
     /// Checks that the request shows the fleet's key.
     pub(super) fn check_fleet(&self, headers: &HeaderMap) -> Result<(), Failure> {
-        let shown = bearer(headers)?;
-        if !same(&self.fleet, &shown) {
+        let presented = bearer_digest(headers)?;
+        if !digests_equal(&self.fleet, &presented) {
             return Err(Failure::unauthorised());
         }
         Ok(())
     }
 }
 
-fn bearer(headers: &HeaderMap) -> Result<Digest, Failure> {
+fn bearer_digest(headers: &HeaderMap) -> Result<Digest, Failure> {
     let mut values = headers.get_all(AUTHORIZATION).iter();
     let (Some(value), None) = (values.next(), values.next()) else {
         return Err(Failure::unauthorised());
@@ -61,6 +62,6 @@
     Ok(Digest::of(key))
 }
 
-fn same(known: &Digest, shown: &Digest) -> bool {
-    known.as_bytes().ct_eq(shown.as_bytes()).into()
+fn digests_equal(known: &Digest, presented: &Digest) -> bool {
+    known.as_bytes().ct_eq(presented.as_bytes()).into()
 }
--- a/crates/daemon/src/edge/body.rs
+++ b/crates/daemon/src/edge/body.rs
@@ -12,7 +12,7 @@
 
 use super::{ActiveRequest, Edge};
 
-/// The body of an answer.
+/// The body of a response.
 pub(super) enum Body {
     /// A body that is there as a whole.
     Whole(Full<Bytes>),
--- a/crates/daemon/src/edge/whole_answer.rs
+++ b/crates/daemon/src/edge/buffered_response.rs
@@ -9,20 +9,20 @@
 
 use crate::failure::Failure;
 
-/// The pieces of an answer put together, for a caller that wants no stream.
+/// The pieces of a response put together, for a caller that wants no stream.
 #[derive(Default)]
-pub(super) struct WholeAnswer {
-    choices: BTreeMap<u32, WholeChoice>,
+pub(super) struct BufferedResponse {
+    choices: BTreeMap<u32, BufferedChoice>,
     usage: Usage,
 }
 
 #[derive(Default)]
-struct WholeChoice {
+struct BufferedChoice {
     text: String,
     finish_reason: Option<String>,
 }
 
-impl WholeAnswer {
+impl BufferedResponse {
     /// Adds a chunk.
     ///
     /// # Errors
@@ -42,7 +42,7 @@
         Ok(())
     }
 
-    /// Returns the body of the answer.
+    /// Returns the body of the response.
     pub(super) fn to_body(&self, request: &RequestId, kind: CompletionKind) -> Value {
         let object = match kind {
             CompletionKind::Text => "text_completion",
@@ -54,7 +54,7 @@
     }
 }
 
-impl WholeChoice {
+impl BufferedChoice {
     fn to_json(&self, index: u32, kind: CompletionKind) -> Value {
         let Self { text, finish_reason } = self;
         match kind {
--- a/crates/daemon/src/edge/claims.rs
+++ b/crates/daemon/src/edge/claims.rs
@@ -17,87 +17,89 @@
 use super::{Edge, body::Body};
 
 /// Pause between two looks at a call that another host has claimed.
-const WAIT_PAUSE: Duration = Duration::from_millis(50);
+const CLAIM_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time for which a report holds up the end of the process.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time for which an answer waits until the ledger has it.
+/// Time for which a response waits until the ledger has it.
 const RECORD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What callers are told to wait when no quorum is reached.
+/// What callers are reported to wait when no quorum is reached.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A call that may not be repeated, with the name that its caller gave it.
-pub(super) struct Keyed {
+pub(super) struct KeyedCall {
     pub call: CallKey,
     pub request: Digest,
 }
 
 /// What a claim allows.
-pub(super) enum Claimed {
+pub(super) enum ClaimOutcome {
     /// The call may be sent once.
-    Send(Permit),
-    /// The call was sent before, and this was its answer.
-    Answered(Response<Body>),
+    Send(SendPermit),
+    /// The call was sent before, and this was its response.
+    AlreadyAnswered(Response<Body>),
 }
 
 /// The right to send a call once, until a deadline.
 ///
 /// A permit that is dropped unused is given back, since its call was never sent.
-pub(super) struct Permit {
-    attempt: Attempt,
+pub(super) struct SendPermit {
+    attempt: ClaimAttempt,
     deadline: MonotonicTime,
 }
 
 /// An attempt to claim a call; released on drop unless it is used or known to hold nothing.
-struct Attempt {
+struct ClaimAttempt {
     edge: Rc<Edge>,
     call: CallKey,
     request: Digest,
     id: ClaimId,
-    held: bool,
+    release_on_drop: bool,
 }
 
-impl Keyed {
-    /// Claims the call, or waits for the answer of whoever did.
+impl KeyedCall {
+    /// Claims the call, or waits for the response of whoever did.
     pub(super) async fn claim(
         &self,
         edge: &Rc<Edge>,
         timeout: Duration,
         wait: Duration,
-    ) -> Result<Claimed, Failure> {
+    ) -> Result<ClaimOutcome, Failure> {
         let wait_until = edge.clock.now() + wait;
         loop {
-            let mut attempt = self.attempt(edge);
+            let mut attempt = self.new_attempt(edge);
             let proposed = edge.clock.now();
             let reply = match self.propose(edge, attempt.id, timeout).await {
                 Ok(reply) => reply,
                 Err(NoAnswer::NotTaken) => {
-                    attempt.held = false;
+                    attempt.release_on_drop = false;
                     return Err(no_quorum());
                 }
                 Err(NoAnswer::Unknown) => return Err(no_quorum()),
             };
             if let ClaimReply::Claimed { send_within } = reply {
                 let deadline = proposed + send_within;
-                return Ok(Claimed::Send(Permit { attempt, deadline }));
+                return Ok(ClaimOutcome::Send(SendPermit { attempt, deadline }));
             }
-            attempt.held = false;
+            attempt.release_on_drop = false;
             match reply {
-                ClaimReply::InProgress(owner) => self.wait(edge, &owner, wait_until).await?,
-                settled => return settled_answer(settled),
+                ClaimReply::InProgress(owner) => {
+                    self.wait_until_settled(edge, &owner, wait_until).await?
+                }
+                settled => return settled_response(settled),
             }
         }
     }
 
-    fn attempt(&self, edge: &Rc<Edge>) -> Attempt {
-        Attempt {
+    fn new_attempt(&self, edge: &Rc<Edge>) -> ClaimAttempt {
+        ClaimAttempt {
             edge: Rc::clone(edge),
             call: self.call.clone(),
             request: self.request,
             id: ClaimId::new(rand::random()),
-            held: true,
+            release_on_drop: true,
         }
     }
 
@@ -121,10 +123,15 @@
     }
 
     /// Waits until the call is no longer claimed by another.
-    async fn wait(&self, edge: &Edge, owner: &Owner, until: MonotonicTime) -> Result<(), Failure> {
+    async fn wait_until_settled(
+        &self,
+        edge: &Edge,
+        owner: &Owner,
+        until: MonotonicTime,
+    ) -> Result<(), Failure> {
         let request = LeaderRequest::ReadCall(self.call.clone());
         while edge.clock.now() < until {
-            tokio::time::sleep(WAIT_PAUSE).await;
+            tokio::time::sleep(CLAIM_POLL_INTERVAL).await;
             let left = until.saturating_since(edge.clock.now());
             if let Ok(LeaderAnswer::Call(call)) = edge.leader.ask(&request, left).await
                 && !call.is_some_and(|call| call.state.is_open())
@@ -132,31 +139,31 @@
                 return Ok(());
             }
         }
-        let detail = format!("{owner} holds the call and has not told its outcome");
+        let detail = format!("{owner} holds the call and has not reported its outcome");
         Err(Failure::timed_out(detail, Verdict::MayHaveRun))
     }
 }
 
-impl Permit {
+impl SendPermit {
     /// Uses the permit up, right before the first byte is sent.
     ///
     /// # Errors
     ///
     /// Returns a failure with the verdict that nothing has run if the deadline has passed.
-    pub(super) fn redeem(mut self) -> Result<Sent, Failure> {
+    pub(super) fn redeem(mut self) -> Result<SentCall, Failure> {
         let attempt = &mut self.attempt;
         if self.deadline <= attempt.edge.clock.now() {
             return Err(Failure::timed_out("the claim took too long", Verdict::NotRun));
         }
-        attempt.held = false;
+        attempt.release_on_drop = false;
         let (edge, call) = (Rc::clone(&attempt.edge), attempt.call.clone());
-        Ok(Sent { edge, call, id: attempt.id, told: false })
+        Ok(SentCall { edge, call, id: attempt.id, reported: false })
     }
 }
 
-impl Drop for Attempt {
+impl Drop for ClaimAttempt {
     fn drop(&mut self) {
-        if self.held {
+        if self.release_on_drop {
             let release = Release {
                 call: self.call.clone(),
                 request: self.request,
@@ -165,26 +172,26 @@
                 at: UnixMillis::default(),
             };
             let edge = Rc::clone(&self.edge);
-            tokio::task::spawn_local(report(edge, Command::Release(release)));
+            tokio::task::spawn_local(submit_until_accepted(edge, Command::Release(release)));
         }
     }
 }
 
 /// A call that was sent under a claim; its outcome is reported once, as unknown if it is dropped.
-pub(super) struct Sent {
+pub(super) struct SentCall {
     edge: Rc<Edge>,
     call: CallKey,
     id: ClaimId,
-    told: bool,
+    reported: bool,
 }
 
-impl Sent {
-    /// Reports the answer, and waits a while until the ledger has it.
+impl SentCall {
+    /// Reports the response, and waits a while until the ledger has it.
     ///
     /// The report goes on after the wait, and if the wait is cancelled.
-    pub(super) async fn answered(mut self, answer: Answer) {
-        self.told = true;
-        let report = self.report(Outcome::Answered(answer));
+    pub(super) async fn report_response(mut self, response: Answer) {
+        self.reported = true;
+        let report = self.report(Outcome::Answered(response));
         let _ = tokio::time::timeout(RECORD_TIMEOUT, report).await;
     }
 
@@ -196,20 +203,23 @@
             outcome,
             at: UnixMillis::default(),
         };
-        tokio::task::spawn_local(report(Rc::clone(&self.edge), Command::Finish(finish)))
+        tokio::task::spawn_local(submit_until_accepted(
+            Rc::clone(&self.edge),
+            Command::Finish(finish),
+        ))
     }
 }
 
-impl Drop for Sent {
+impl Drop for SentCall {
     fn drop(&mut self) {
-        if !self.told {
+        if !self.reported {
             drop(self.report(Outcome::Unknown));
         }
     }
 }
 
 /// Tells the ledger that this host's earlier processes have ended.
-pub(super) async fn end_earlier_lives(edge: Rc<Edge>) {
+pub(super) async fn report_earlier_incarnations_ended(edge: Rc<Edge>) {
     let before = edge.owner.incarnation.as_u64().saturating_sub(1);
     let owner = Owner { host: edge.owner.host.clone(), incarnation: Incarnation::new(before) };
     let gone = OwnerGone { owner, at: UnixMillis::default() };
@@ -219,14 +229,14 @@
 /// Tells the ledger of a call, for as long as it takes.
 ///
 /// The process doesn't end gracefully before that, or before [`REPORT_TIMEOUT`].
-async fn report(edge: Rc<Edge>, told: Command) {
-    let active = edge.begin();
-    if command(&edge, told.clone(), REPORT_TIMEOUT).await.is_ok() {
+async fn submit_until_accepted(edge: Rc<Edge>, reported: Command) {
+    let active = edge.begin_report();
+    if command(&edge, reported.clone(), REPORT_TIMEOUT).await.is_ok() {
         return;
     }
     drop(active);
-    log::warn!("the ledger has not been told yet: {told:?}");
-    while command(&edge, told.clone(), REPORT_TIMEOUT).await.is_err() {}
+    log::warn!("the ledger has not been reported yet: {reported:?}");
+    while command(&edge, reported.clone(), REPORT_TIMEOUT).await.is_err() {}
 }
 
 async fn command(edge: &Edge, command: Command, timeout: Duration) -> Result<Reply, NoAnswer> {
@@ -248,10 +258,14 @@
     failure
 }
 
-fn settled_answer(settled: ClaimReply) -> Result<Claimed, Failure> {
+fn settled_response(settled: ClaimReply) -> Result<ClaimOutcome, Failure> {
     match settled {
-        ClaimReply::Finished(answer) => kept_answer(answer).map(Claimed::Answered),
-        ClaimReply::Ran => Err(ran("the call ran by an operator's word; no answer is known")),
+        ClaimReply::Finished(response) => {
+            stored_response(response).map(ClaimOutcome::AlreadyAnswered)
+        }
+        ClaimReply::Ran => {
+            Err(already_ran("the call already_ran by an operator's word; no response is known"))
+        }
         ClaimReply::MayHaveRun { why, .. } => {
             let why = match why {
                 Doubt::OutcomeLost => "the endpoint was lost after the call had been sent",
@@ -275,17 +289,17 @@
     }
 }
 
-fn ran(detail: &str) -> Failure {
+fn already_ran(detail: &str) -> Failure {
     Failure::new(StatusCode::CONFLICT, "already run", detail, Verdict::Ran)
 }
 
-fn kept_answer(answer: Answer) -> Result<Response<Body>, Failure> {
-    let Some(body) = answer.body else {
-        return Err(ran("the call ran; its answer was too large to keep"));
+fn stored_response(stored: Answer) -> Result<Response<Body>, Failure> {
+    let Some(body) = stored.body else {
+        return Err(already_ran("the call already_ran; its response was too large to keep"));
     };
     let mut response = Response::new(Body::whole(Bytes::copy_from_slice(&body)));
-    *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
-    if let Some(content_type) = answer.content_type.and_then(|text| text.parse().ok()) {
+    *response.status_mut() = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
+    if let Some(content_type) = stored.content_type.and_then(|text| text.parse().ok()) {
         response.headers_mut().insert(CONTENT_TYPE, content_type);
     }
     Ok(response)
--- a/crates/daemon/src/edge/completions.rs
+++ b/crates/daemon/src/edge/completions.rs
@@ -22,14 +22,14 @@
 use super::{
     ActiveRequest, Edge,
     body::{self, Body},
-    relay::{self, Job, Piece},
+    buffered_response::BufferedResponse,
+    relay::{self, CompletionJob, StreamItem},
     router,
-    tracked::Tracked,
-    whole_answer::WholeAnswer,
+    tracked::TrackedRequest,
 };
 
-/// Pieces of an answer that wait for a slow caller, before the engine's stream is held back.
-const RING_PIECES: usize = 64;
+/// Pieces of a response that wait for a slow caller, before the engine's stream is held back.
+const CHANNEL_CAPACITY: usize = 64;
 
 /// Answers `POST /v1/completions` and `POST /v1/chat/completions`.
 pub(super) async fn handle(
@@ -48,10 +48,10 @@
     if resume.is_some() && !stream {
         return Err(Failure::bad_request("\"Last-Event-ID\" resumes streams only"));
     }
-    let tracked = Tracked::begin(edge, &organisation, &parts.headers);
-    let shown_id = tracked.shown_id(&parts.headers);
+    let tracked = TrackedRequest::begin(edge, &organisation, &parts.headers);
+    let caller_id = tracked.caller_id(&parts.headers);
     let request = tracked.id.clone();
-    active.name(request.as_str());
+    active.set_request_id(request.as_str());
     let scope = Scope {
         organisation: Some(organisation.clone()),
         model: Some(completion.model().clone()),
@@ -61,14 +61,15 @@
     let prompt_bytes = check_prompt(&completion, &settings)?;
     let cost = admission_cost(prompt_bytes, completion.max_tokens());
     let queued = tracked.span.child(Hop::Queue);
-    let place = edge.gate.admit(&organisation, &settings, cost).await.inspect_err(|_| {
-        tracked.recorder.refusal(Refusal::OverShare);
-    })?;
+    let admission_permit =
+        edge.admission.admit(&organisation, &settings, cost).await.inspect_err(|_| {
+            tracked.recorder.refusal(Refusal::OverShare);
+        })?;
     drop(queued);
     tracked.recorder.queue_wait(edge.clock.now().saturating_since(tracked.arrived));
     edge.retries.earn(&settings);
-    let Tracked { arrived, recorder, span, .. } = tracked;
-    let job = Job {
+    let TrackedRequest { arrived, recorder, span, .. } = tracked;
+    let job = CompletionJob {
         request: request.clone(),
         organisation,
         completion,
@@ -77,10 +78,10 @@
         resume,
         recorder,
         span,
-        _place: place,
+        _admission_permit: admission_permit,
     };
 
-    let (tx, rx) = flume::bounded(RING_PIECES);
+    let (tx, rx) = flume::bounded(CHANNEL_CAPACITY);
     let kind = job.completion.kind();
     let in_flight = job.recorder.in_flight();
     let relay = relay::run(Rc::clone(edge), job, tx);
@@ -91,9 +92,9 @@
     let mut response = if stream {
         streamed(rx, task, active).await?
     } else {
-        whole(&request, kind, rx, task).await?
+        buffered(&request, kind, rx, task).await?
     };
-    shown_id.show(&mut response);
+    caller_id.set_header(&mut response);
     Ok(response)
 }
 
@@ -141,16 +142,16 @@
     }
 }
 
-/// Starts a streamed answer once the engine has sent its first piece.
+/// Starts a streamed response once the engine has sent its first item.
 async fn streamed(
-    rx: flume::Receiver<Piece>,
+    rx: flume::Receiver<StreamItem>,
     task: AbortOnDrop,
     active: ActiveRequest,
 ) -> Result<Response<Body>, Failure> {
     let first = match rx.recv_async().await {
-        Ok(Piece::Failed(failure)) => return Err(failure),
+        Ok(StreamItem::Failed(failure)) => return Err(failure),
         Ok(first) => first,
-        Err(_) => return Err(lost_relay()),
+        Err(_) => return Err(relay_ended_early()),
     };
     let (tx, bytes) = flume::bounded(1);
     let writer = tokio::task::spawn_local(write_events(first, rx, tx, task));
@@ -162,48 +163,50 @@
 }
 
 async fn write_events(
-    first: Piece,
-    rx: flume::Receiver<Piece>,
+    first: StreamItem,
+    rx: flume::Receiver<StreamItem>,
     tx: flume::Sender<Bytes>,
     _task: AbortOnDrop,
 ) {
     let mut next = Some(first);
-    while let Some(piece) = next {
-        let ends = !matches!(piece, Piece::Data { .. });
-        let text = event_text(piece);
+    while let Some(item) = next {
+        let ends = !matches!(item, StreamItem::Data { .. });
+        let text = event_text(item);
         if tx.send_async(text.into()).await.is_err() || ends {
             return;
         }
         next = rx.recv_async().await.ok();
     }
-    let _ = tx.send_async(event_text(Piece::Failed(lost_relay())).into()).await;
+    let _ = tx.send_async(event_text(StreamItem::Failed(relay_ended_early())).into()).await;
 }
 
-fn event_text(piece: Piece) -> String {
-    match piece {
-        Piece::Data { id, data } => Event { id: Some(id.to_string()), kind: None, data }.to_text(),
-        Piece::Done => Event::data(DONE).to_text(),
-        Piece::Failed(failure) => {
+fn event_text(item: StreamItem) -> String {
+    match item {
+        StreamItem::Data { id, data } => {
+            Event { id: Some(id.to_string()), kind: None, data }.to_text()
+        }
+        StreamItem::Done => Event::data(DONE).to_text(),
+        StreamItem::Failed(failure) => {
             let data = serde_json::to_string(&failure.to_problem()).expect("a problem is JSON");
             Event { id: None, kind: Some("error".into()), data }.to_text()
         }
     }
 }
 
-/// Collects the pieces of an answer for a caller that wants no stream.
-async fn whole(
+/// Collects the pieces of a response for a caller that wants no stream.
+async fn buffered(
     request: &RequestId,
     kind: CompletionKind,
-    rx: flume::Receiver<Piece>,
+    rx: flume::Receiver<StreamItem>,
     _task: AbortOnDrop,
 ) -> Result<Response<Body>, Failure> {
-    let mut answer = WholeAnswer::default();
+    let mut response = BufferedResponse::default();
     loop {
         match rx.recv_async().await {
-            Ok(Piece::Data { data, .. }) => answer.add(&data)?,
-            Ok(Piece::Done) => return Ok(json_response(&answer.to_body(request, kind))),
-            Ok(Piece::Failed(failure)) => return Err(failure),
-            Err(_) => return Err(lost_relay()),
+            Ok(StreamItem::Data { data, .. }) => response.add(&data)?,
+            Ok(StreamItem::Done) => return Ok(json_response(&response.to_body(request, kind))),
+            Ok(StreamItem::Failed(failure)) => return Err(failure),
+            Err(_) => return Err(relay_ended_early()),
         }
     }
 }
@@ -214,6 +217,6 @@
     response
 }
 
-fn lost_relay() -> Failure {
-    Failure::broken("the relay ended without an answer", base::Verdict::MayHaveRun)
+fn relay_ended_early() -> Failure {
+    Failure::broken("the relay ended without a response", base::Verdict::MayHaveRun)
 }
--- a/crates/daemon/src/edge/idempotent.rs
+++ b/crates/daemon/src/edge/idempotent.rs
@@ -12,7 +12,7 @@
 use super::{
     Edge,
     body::Body,
-    services::{self, Call, ServiceAnswer},
+    services::{self, ServiceCall, ServiceResponse},
     targets::InFlight,
 };
 
@@ -20,7 +20,7 @@
 const MAX_ATTEMPTS: u32 = 3;
 
 /// Sends a call, and again to another endpoint if it fails.
-pub(super) async fn send(edge: &Rc<Edge>, call: &Call) -> Result<Response<Body>, Failure> {
+pub(super) async fn send(edge: &Rc<Edge>, call: &ServiceCall) -> Result<Response<Body>, Failure> {
     let mut tried = Vec::new();
     let mut last = None;
     for attempt in 0..MAX_ATTEMPTS {
@@ -30,37 +30,39 @@
         if last.is_some() {
             call.tracked.recorder.retry();
         }
-        let first = match edge.choose_service(call, &tried) {
+        let first = match edge.choose_service_endpoint(call, &tried) {
             Ok(first) => first,
             Err(why) => return Err(last.unwrap_or_else(|| services::no_endpoint(call, why))),
         };
         tried.push(first.0.clone());
         match attempt_hedged(edge, call, first, &mut tried).await {
-            Ok(answer) => return Ok(answer.into_response()),
+            Ok(response) => return Ok(response.into_response()),
             Err(failure) => last = Some(failure),
         }
     }
     Err(last.expect("the loop ran at least once"))
 }
 
-/// Sends a call, and to a second endpoint too if the answer is late and the settings say so.
+/// Sends a call, and to a second endpoint too if the response is late and the settings say so.
 ///
-/// The first answer counts; the other call is cut.
+/// The first response counts; the other call is cut.
 async fn attempt_hedged(
     edge: &Edge,
-    call: &Call,
+    call: &ServiceCall,
     first: (EndpointId, InFlight),
     tried: &mut Vec<EndpointId>,
-) -> Result<ServiceAnswer, Failure> {
+) -> Result<ServiceResponse, Failure> {
     let (endpoint, in_flight) = first;
     let first = attempt(edge, call, endpoint, in_flight);
     let HedgeDelay::After(delay) = call.settings.hedge_delay else { return first.await };
     tokio::pin!(first);
     let delay: Duration = delay.as_duration();
-    if let Ok(answer) = tokio::time::timeout(delay, first.as_mut()).await {
-        return answer;
+    if let Ok(response) = tokio::time::timeout(delay, first.as_mut()).await {
+        return response;
     }
-    let Ok((endpoint, in_flight)) = edge.choose_service(call, tried) else { return first.await };
+    let Ok((endpoint, in_flight)) = edge.choose_service_endpoint(call, tried) else {
+        return first.await;
+    };
     if !edge.retries.try_spend() {
         return first.await;
     }
@@ -69,36 +71,36 @@
     let second = attempt(edge, call, endpoint, in_flight);
     tokio::pin!(second);
     tokio::select! {
-        answer = first.as_mut() => if answer.is_ok() { answer } else { second.await },
-        answer = second.as_mut() => if answer.is_ok() { answer } else { first.await },
+        response = first.as_mut() => if response.is_ok() { response } else { second.await },
+        response = second.as_mut() => if response.is_ok() { response } else { first.await },
     }
 }
 
 async fn attempt(
     edge: &Edge,
-    call: &Call,
+    call: &ServiceCall,
     endpoint: EndpointId,
     in_flight: InFlight,
-) -> Result<ServiceAnswer, Failure> {
-    let begun = edge.clock.now();
-    let answer = exchange(edge, call, &in_flight).await;
-    let outcome = match &answer {
-        Ok(_) => Outcome::Answered(edge.clock.now().saturating_since(begun)),
+) -> Result<ServiceResponse, Failure> {
+    let started_at = edge.clock.now();
+    let response = exchange(edge, call, &in_flight).await;
+    let outcome = match &response {
+        Ok(_) => Outcome::Answered(edge.clock.now().saturating_since(started_at)),
         Err(_) => Outcome::Failed,
     };
-    edge.service_ended(&endpoint, outcome);
-    answer
+    edge.record_service_outcome(&endpoint, outcome);
+    response
 }
 
 async fn exchange(
     edge: &Edge,
-    call: &Call,
+    call: &ServiceCall,
     in_flight: &InFlight,
-) -> Result<ServiceAnswer, Failure> {
+) -> Result<ServiceResponse, Failure> {
     let pool = in_flight.target().pool();
     let timeout = call.settings.connect_timeout.as_duration();
     let (response, connection) = pool.send(call.request(in_flight), timeout).await?;
-    let answer = services::read_answer(edge, response).await?;
-    pool.put_back(connection);
-    Ok(answer)
+    let response = services::read_response(edge, response).await?;
+    pool.return_idle(connection);
+    Ok(response)
 }
--- a/crates/daemon/src/edge/listen.rs
+++ b/crates/daemon/src/edge/listen.rs
@@ -31,7 +31,7 @@
     serve::until_ended(&*edge, &control, &drain_tx, None).await;
     accepting.abort();
     let active = edge.active.borrow();
-    active.log_cut(edge.clock.now());
+    active.log_aborted(edge.clock.now());
     ServerExit { cut: active.len() }
 }
 
@@ -68,7 +68,7 @@
 
 async fn handle(edge: Rc<Edge>, req: Request<Incoming>) -> Response<Body> {
     let active = ActiveRequest::begin(&edge, req.uri().path());
-    let answer = match (req.method(), req.uri().path()) {
+    let response = match (req.method(), req.uri().path()) {
         (&Method::POST, "/v1/completions" | "/v1/chat/completions") => {
             completions::handle(&edge, req, active).await
         }
@@ -82,7 +82,7 @@
         }
         _ => Err(Failure::not_found("no such path")),
     };
-    let mut response = answer.unwrap_or_else(|failure| failure.to_response());
+    let mut response = response.unwrap_or_else(|failure| failure.to_response());
     if edge.leaving.get() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
--- a/crates/daemon/src/edge/mod.rs
+++ b/crates/daemon/src/edge/mod.rs
@@ -1,15 +1,17 @@
 mod active;
+mod admin_queries;
 mod admission;
 mod announce;
 mod auth;
 mod body;
+mod buffered_response;
 mod claims;
 mod completions;
 mod drains;
 mod idempotent;
-mod inquiry;
 mod listen;
 mod policies;
+mod prefix_tracker;
 mod relay;
 mod retries;
 mod round_trips;
@@ -18,8 +20,6 @@
 mod targets;
 mod tracked;
 mod upstream;
-mod warmth;
-mod whole_answer;
 
 use std::{
     cell::{Cell, RefCell},
@@ -47,22 +47,22 @@
 };
 
 use active::{ActiveRequest, ActiveRequests};
-use admission::Gate;
-use auth::Keys;
+use admission::AdmissionController;
+use auth::AuthKeys;
 use retries::Retries;
 use router::{NoEndpoint, Router};
 use targets::InFlight;
 
-pub(crate) use inquiry::{AdminQuery, Load};
+pub(crate) use admin_queries::{AdminQuery, Load};
 
 /// Time that a request waits for the first endpoints, as right after the start.
-const ROSTER_WAIT: Duration = Duration::from_secs(1);
+const FIRST_ROSTER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Age from which a view of the endpoints is not believed, as after a pause of the whole process.
-const STALE_ROSTER: Duration = Duration::from_millis(1_500);
+const MAX_ROSTER_AGE: Duration = Duration::from_millis(1_500);
 
 /// Time between looks for the first endpoints.
-const ROSTER_POLL: Duration = Duration::from_millis(5);
+const ROSTER_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// EdgeChannels that join the edge thread to the others.
 pub(crate) struct EdgeChannels {
@@ -107,16 +107,16 @@
 /// State of the edge thread, shared by its tasks.
 struct Edge {
     cfg: Arc<Settings>,
-    keys: Keys,
+    keys: AuthKeys,
     router: RefCell<Router>,
     /// When the router's view of the endpoints was made.
     roster_at: Cell<MonotonicTime>,
-    gate: Gate,
+    admission: AdmissionController,
     retries: Retries,
     active: RefCell<ActiveRequests>,
     /// Open connections from callers.
     connections: Cell<u64>,
-    /// Whether answers ask callers to use other hosts.
+    /// Whether responses ask callers to use other hosts.
     leaving: Cell<bool>,
     next_request: Cell<u64>,
     announcements: flume::Sender<RosterInput>,
@@ -130,30 +130,30 @@
 }
 
 impl Edge {
-    fn new(cfg: Arc<Settings>, clock: Clock, rings: &EdgeChannels) -> Self {
+    fn new(cfg: Arc<Settings>, clock: Clock, channels: &EdgeChannels) -> Self {
         let seed = rand::random();
-        let owner = Owner { host: cfg.host.clone(), incarnation: rings.incarnation };
+        let owner = Owner { host: cfg.host.clone(), incarnation: channels.incarnation };
         let rng = Pcg64Mcg::seed_from_u64(seed);
         let router = Router::new(cfg.listen.ip(), cfg.data_centre.clone(), rng);
         Self {
-            keys: Keys::new(&cfg, rings.configurations.clone()),
+            keys: AuthKeys::new(&cfg, channels.configurations.clone()),
             router: RefCell::new(router),
             roster_at: Cell::new(MonotonicTime::ZERO),
-            gate: Gate::new(clock),
+            admission: AdmissionController::new(clock),
             retries: Retries::new(clock, seed),
             cfg,
             active: RefCell::default(),
             connections: Cell::new(0),
             leaving: Cell::new(false),
             next_request: Cell::new(seed),
-            announcements: rings.announcements.clone(),
-            configurations: rings.configurations.clone(),
-            in_force: RefCell::new(rings.configurations.in_force().unwrap_or_default()),
-            leader: rings.leader.clone(),
+            announcements: channels.announcements.clone(),
+            configurations: channels.configurations.clone(),
+            in_force: RefCell::new(channels.configurations.in_force().unwrap_or_default()),
+            leader: channels.leader.clone(),
             owner,
             clock,
-            metrics: Arc::clone(&rings.metrics),
-            tracer: rings.tracer.clone(),
+            metrics: Arc::clone(&channels.metrics),
+            tracer: channels.tracer.clone(),
         }
     }
 
@@ -167,33 +167,33 @@
     /// So a restarted router serves at once, and one that was frozen sends nothing to endpoints
     /// whose leases have ended meanwhile.
     async fn wait_for_endpoints(&self) {
-        let until = self.clock.now() + ROSTER_WAIT;
-        while !self.knows_endpoints() && self.clock.now() < until {
-            tokio::time::sleep(ROSTER_POLL).await;
+        let until = self.clock.now() + FIRST_ROSTER_TIMEOUT;
+        while !self.has_fresh_endpoints() && self.clock.now() < until {
+            tokio::time::sleep(ROSTER_POLL_INTERVAL).await;
         }
     }
 
-    fn knows_endpoints(&self) -> bool {
+    fn has_fresh_endpoints(&self) -> bool {
         let age = self.clock.now().saturating_since(self.roster_at.get());
-        age < STALE_ROSTER && !self.router.borrow().is_empty()
+        age < MAX_ROSTER_AGE && !self.router.borrow().is_empty()
     }
 
     /// Chooses an endpoint for a call to a plain service that isn't among `tried`.
-    fn choose_service(
+    fn choose_service_endpoint(
         &self,
-        call: &services::Call,
+        call: &services::ServiceCall,
         tried: &[EndpointId],
     ) -> Result<(EndpointId, InFlight), NoEndpoint> {
-        self.router.borrow_mut().choose_service(self.clock.now(), &call.service, tried)
+        self.router.borrow_mut().choose_service_endpoint(self.clock.now(), &call.service, tried)
     }
 
     /// Learns how a call at an endpoint of a plain service went.
-    fn service_ended(&self, endpoint: &EndpointId, outcome: Outcome) {
-        self.router.borrow_mut().service_ended(self.clock.now(), endpoint, outcome);
+    fn record_service_outcome(&self, endpoint: &EndpointId, outcome: Outcome) {
+        self.router.borrow_mut().record_service_outcome(self.clock.now(), endpoint, outcome);
     }
 
     /// Keeps the process from ending before a report is made.
-    fn begin(self: &Rc<Self>) -> ActiveRequest {
+    fn begin_report(self: &Rc<Self>) -> ActiveRequest {
         ActiveRequest::begin(self, "report")
     }
 
@@ -214,7 +214,7 @@
     cfg: Arc<Settings>,
     clock: Clock,
     listener: std::net::TcpListener,
-    rings: EdgeChannels,
+    channels: EdgeChannels,
 ) -> io::Result<JoinHandle<ServerExit>> {
     listener.set_nonblocking(true)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -222,38 +222,41 @@
     let thread = std::thread::Builder::new().name("edge".into()).spawn(move || {
         let tasks = tokio::task::LocalSet::new();
         tasks.block_on(&runtime, async move {
-            let edge = Rc::new(Edge::new(cfg, clock, &rings));
+            let edge = Rc::new(Edge::new(cfg, clock, &channels));
             let _ = started_tx.send(());
-            tokio::task::spawn_local(follow_rosters(Rc::clone(&edge), rings.rosters));
-            tokio::task::spawn_local(follow_configurations(Rc::clone(&edge)));
-            tokio::task::spawn_local(edge.gate.clone().watch_deadlines());
-            tokio::task::spawn_local(inquiry::answer_all(Rc::clone(&edge), rings.admin_queries));
-            tokio::task::spawn_local(claims::end_earlier_lives(Rc::clone(&edge)));
-            listen::run(edge, listener, rings.control).await
+            tokio::task::spawn_local(apply_rosters(Rc::clone(&edge), channels.rosters));
+            tokio::task::spawn_local(apply_configurations(Rc::clone(&edge)));
+            tokio::task::spawn_local(edge.admission.clone().watch_deadlines());
+            tokio::task::spawn_local(admin_queries::handle_all(
+                Rc::clone(&edge),
+                channels.admin_queries,
+            ));
+            tokio::task::spawn_local(claims::report_earlier_incarnations_ended(Rc::clone(&edge)));
+            listen::run(edge, listener, channels.control).await
         })
     })?;
     let _ = started_rx.recv();
     Ok(thread)
 }
 
-async fn follow_rosters(edge: Rc<Edge>, rosters: flume::Receiver<Arc<Roster>>) {
+async fn apply_rosters(edge: Rc<Edge>, rosters: flume::Receiver<Arc<Roster>>) {
     while let Ok(roster) = rosters.recv_async().await {
         let in_force = Arc::clone(&edge.in_force.borrow());
         let is_drained = drains::is_drained(&in_force.declaration, edge.clock.wall());
         let mut router = edge.router.borrow_mut();
         router.update(edge.clock.now(), &roster, is_drained);
         edge.roster_at.set(roster.at);
-        edge.gate.size(router.engines(), router.slots(), router.routers());
+        edge.admission.resize(router.engine_count(), router.max_slots(), router.router_count());
     }
 }
 
-async fn follow_configurations(edge: Rc<Edge>) {
+async fn apply_configurations(edge: Rc<Edge>) {
     let configurations = edge.configurations.subscribe();
     let configured = edge.cfg.organisation_keys.iter().map(|key| &key.organisation);
     edge.metrics.label_organisations(configured);
     while let Ok(in_force) = configurations.recv_async().await {
         let is_drained = drains::is_drained(&in_force.declaration, edge.clock.wall());
-        edge.router.borrow().drain(is_drained);
+        edge.router.borrow().update_drained(is_drained);
         edge.in_force.replace(Arc::clone(&in_force));
         let declared = in_force.declaration.contents().organisations.iter();
         edge.metrics.label_organisations(declared.map(|organisation| &organisation.id));
--- a/crates/daemon/src/edge/policies.rs
+++ b/crates/daemon/src/edge/policies.rs
@@ -10,35 +10,35 @@
 
 /// How a request's endpoint is chosen, by the settings in force for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Preferences {
+pub(super) struct RoutingPreferences {
     pub policy: RoutingPolicy,
-    pub warmth: f64,
-    pub wait: f64,
+    pub warmth_weight: f64,
+    pub wait_weight: f64,
     /// Blocks of the prompt that decide its home.
-    pub level: usize,
+    pub placement_level: usize,
     pub kv_transfer: KvTransfer,
 }
 
-impl From<&fleet::Settings> for Preferences {
+impl From<&fleet::Settings> for RoutingPreferences {
     fn from(settings: &fleet::Settings) -> Self {
         Self {
             policy: settings.routing_policy,
-            warmth: settings.warmth_weight.as_f64(),
-            wait: settings.wait_weight.as_f64(),
-            level: settings.placement_level.as_u32() as usize,
+            warmth_weight: settings.warmth_weight.as_f64(),
+            wait_weight: settings.wait_weight.as_f64(),
+            placement_level: settings.placement_level.as_u32() as usize,
             kv_transfer: settings.kv_transfer,
         }
     }
 }
 
 /// Fewest computed tokens that tell an engine's rate.
-const MIN_RATED_TOKENS: u64 = 128;
+const MIN_RATE_SAMPLE_TOKENS: u64 = 128;
 
-/// Part of the estimated rate that one answer makes up.
-const RATE_PARTS: u64 = 16;
+/// Part of the estimated rate that one response makes up.
+const RATE_SMOOTHING: u64 = 16;
 
 /// Part of the estimated time that one request makes up.
-const HOLD_PARTS: u32 = 64;
+const HOLD_TIME_SMOOTHING: u32 = 64;
 
 /// Every policy, with what it remembers from choice to choice.
 #[derive(Default)]
@@ -54,7 +54,7 @@
     /// Returns the position of the chosen candidate, `None` if there is none.
     pub(super) fn choose<R: Rng>(
         &mut self,
-        preferences: &Preferences,
+        preferences: &RoutingPreferences,
         req: &Request,
         candidates: &[Candidate],
         rng: &mut R,
@@ -74,7 +74,7 @@
     /// Returns the parts of each candidate's score under the policy `warm`.
     pub(super) fn explain(
         &mut self,
-        preferences: &Preferences,
+        preferences: &RoutingPreferences,
         req: &Request,
         candidates: &[Candidate],
     ) -> Vec<Estimate> {
@@ -82,20 +82,21 @@
         self.warm.explain(req, candidates)
     }
 
-    /// Learns the engines' prefill rate from an answer to the only request under way.
-    pub(super) fn learn_prefill_rate(&mut self, computed_tokens: u64, took: Duration) {
-        if computed_tokens < MIN_RATED_TOKENS || took.is_zero() {
+    /// Learns the engines' prefill rate from a response to the only request under way.
+    pub(super) fn record_prefill_rate(&mut self, computed_tokens: u64, elapsed: Duration) {
+        if computed_tokens < MIN_RATE_SAMPLE_TOKENS || elapsed.is_zero() {
             return;
         }
-        let rate = (computed_tokens as f64 / took.as_secs_f64()) as u64;
-        let known = self.prefill_rate.unwrap_or(rate);
-        self.prefill_rate = Some((known * (RATE_PARTS - 1) + rate) / RATE_PARTS);
+        let rate = (computed_tokens as f64 / elapsed.as_secs_f64()) as u64;
+        let previous = self.prefill_rate.unwrap_or(rate);
+        self.prefill_rate = Some((previous * (RATE_SMOOTHING - 1) + rate) / RATE_SMOOTHING);
     }
 
-    /// Learns how long an engine took from a request's first token to its last.
-    pub(super) fn learn_hold_time(&mut self, took: Duration) {
-        let known = self.hold_time.unwrap_or(took);
-        self.hold_time = Some((known * (HOLD_PARTS - 1) + took) / HOLD_PARTS);
+    /// Learns how long an engine elapsed from a request's first token to its last.
+    pub(super) fn record_hold_time(&mut self, elapsed: Duration) {
+        let previous = self.hold_time.unwrap_or(elapsed);
+        self.hold_time =
+            Some((previous * (HOLD_TIME_SMOOTHING - 1) + elapsed) / HOLD_TIME_SMOOTHING);
     }
 
     /// Returns how long a request holds an engine's slot, if one has ended.
@@ -108,14 +109,14 @@
         self.prefill_rate.map_or(WarmSettings::default().prefill_rate, TokenRate::new)
     }
 
-    fn warm_settings(&self, preferences: &Preferences) -> WarmSettings {
-        let usual = WarmSettings::default();
+    fn warm_settings(&self, preferences: &RoutingPreferences) -> WarmSettings {
+        let defaults = WarmSettings::default();
         WarmSettings {
             prefill_rate: self.prefill_rate(),
-            hold_time: self.hold_time.unwrap_or(usual.hold_time),
-            warmth: preferences.warmth,
-            wait: preferences.wait,
-            ..usual
+            hold_time: self.hold_time.unwrap_or(defaults.hold_time),
+            warmth: preferences.warmth_weight,
+            wait: preferences.wait_weight,
+            ..defaults
         }
     }
 }
--- a/crates/daemon/src/edge/relay/attempt.rs
+++ b/crates/daemon/src/edge/relay/attempt.rs
@@ -11,42 +11,42 @@
 use telemetry::Hop;
 use wire::completion::{CompletionKind, Delivered};
 
-use crate::edge::router::{Chosen, cache_salt};
+use crate::edge::router::{ChosenEngine, cache_salt};
 
 use crate::{failure::Failure, net};
 
-use super::{End, Relay};
+use super::{Relay, RelayEnd};
 
 /// Asks an engine for the rest of a stream after some of its tokens.
-const RESUME_AFTER: &str = "x-resume-after";
+const RESUME_AFTER_HEADER: &str = "x-resume-after";
 
 /// Longest part of an engine's refusal that callers are shown.
-const SHOWN_BYTES: usize = 512;
+const MAX_REFUSAL_BYTES: usize = 512;
 
-/// Why an attempt gave no whole answer.
-pub(super) struct Broken {
+/// Why an attempt gave no whole response.
+pub(super) struct AttemptError {
     pub failure: Failure,
     /// Whether the engine may hold the stream.
-    pub held: bool,
+    pub resumable: bool,
     /// Whether no other engine is to be asked.
-    pub final_answer: bool,
+    pub is_final: bool,
 }
 
-impl Broken {
+impl AttemptError {
     /// A stream that no engine holds.
-    pub(super) fn not_held() -> Self {
+    pub(super) fn stream_gone() -> Self {
         let detail = "the engine no longer holds the stream; ask again without Last-Event-ID";
-        Self { failure: Failure::gone(detail), held: false, final_answer: true }
+        Self { failure: Failure::gone(detail), resumable: false, is_final: true }
     }
 
     /// A stream that was cut on its way.
-    pub(super) fn cut(detail: impl Into<String>) -> Self {
+    pub(super) fn interrupted(detail: impl Into<String>) -> Self {
         let failure = Failure::broken(detail, Verdict::MayHaveRun);
-        Self { failure, held: true, final_answer: false }
+        Self { failure, resumable: true, is_final: false }
     }
 
     /// An engine that sends nothing any more.
-    pub(super) fn silent() -> Self {
+    pub(super) fn timed_out() -> Self {
         Failure::timed_out("the engine sent nothing in time", Verdict::MayHaveRun).into()
     }
 
@@ -58,66 +58,70 @@
             "the caller has resumed the stream on another connection",
             Verdict::MayHaveRun,
         );
-        Self { failure, held: false, final_answer: true }
+        Self { failure, resumable: false, is_final: true }
     }
 }
 
-impl From<Failure> for Broken {
+impl From<Failure> for AttemptError {
     fn from(failure: Failure) -> Self {
-        Self { failure, held: false, final_answer: false }
+        Self { failure, resumable: false, is_final: false }
     }
 }
 
 impl Relay<'_> {
-    /// Asks an engine for the answer, or for its rest if it `resumes`.
-    pub(super) async fn attempt(&mut self, chosen: &Chosen, resumes: bool) -> End {
+    /// Asks an engine for the response, or for its rest if it `resumes`.
+    pub(super) async fn attempt(&mut self, chosen: &ChosenEngine, resumes: bool) -> RelayEnd {
         let pool = chosen.in_flight.target().pool();
         let mut span = self.job.span.child(Hop::Connect);
         span.set("endpoint", chosen.endpoint.to_string());
         let req = self.request(chosen, resumes);
         let connect_timeout = self.job.settings.connect_timeout.as_duration();
-        let wait = self.first_wait(resumes);
-        let first_token_by = self.edge.clock.now() + wait;
+        let wait = self.response_timeout(resumes);
+        let first_token_deadline = self.edge.clock.now() + wait;
         let sent = tokio::time::timeout(wait, pool.send(req, connect_timeout)).await;
         let (response, connection) = match sent {
             Ok(Ok(sent)) => sent,
             Ok(Err(failure)) => {
-                let held = failure.verdict != Verdict::NotRun;
-                return End::Broken(Broken { held, ..failure.into() });
+                let resumable = failure.verdict != Verdict::NotRun;
+                return RelayEnd::Failed(AttemptError { resumable, ..failure.into() });
             }
-            Err(_) => return End::Broken(Broken::silent()),
+            Err(_) => return RelayEnd::Failed(AttemptError::timed_out()),
         };
         drop(span);
         let status = response.status();
         if status != StatusCode::OK {
-            return End::Broken(self.refusal(status, response.into_body(), resumes).await);
+            return RelayEnd::Failed(
+                self.refusal_error(status, response.into_body(), resumes).await,
+            );
         }
         if !resumes {
-            self.edge.router.borrow_mut().head_arrived(self.edge.clock.now(), chosen);
+            self.edge.router.borrow_mut().record_response_head(self.edge.clock.now(), chosen);
         }
         if self.progress.weights.is_none() {
             self.progress.weights = Some(chosen.weights.clone());
         }
-        let end = self.pump(chosen, response.into_body(), first_token_by, resumes).await;
-        if matches!(end, End::Done) {
-            pool.put_back(connection);
+        let end =
+            self.forward_events(chosen, response.into_body(), first_token_deadline, resumes).await;
+        if matches!(end, RelayEnd::Done) {
+            pool.return_idle(connection);
         }
         end
     }
 
-    fn first_wait(&self, resumes: bool) -> Duration {
+    fn response_timeout(&self, resumes: bool) -> Duration {
         if resumes {
             return self.edge.cfg.timeouts.idle;
         }
         self.job.settings.first_token_timeout.as_duration()
     }
 
-    fn request(&self, chosen: &Chosen, resumes: bool) -> Request<Full<Bytes>> {
+    fn request(&self, chosen: &ChosenEngine, resumes: bool) -> Request<Full<Bytes>> {
         let salt = cache_salt(chosen.salt);
         let priority = self.job.settings.priority.as_u32().cast_signed();
         let begun = Delivered::default();
-        let taken = if resumes { &begun } else { self.progress.taken() };
-        let body = self.job.completion.to_engine(&salt, priority, taken, chosen.transfer.as_ref());
+        let received = if resumes { &begun } else { self.progress.received() };
+        let body =
+            self.job.completion.to_engine(&salt, priority, received, chosen.transfer.as_ref());
         let path = match self.job.completion.kind() {
             CompletionKind::Text => "/v1/completions",
             CompletionKind::Chat => "/v1/chat/completions",
@@ -127,9 +131,9 @@
             .header(HOST, net::host_value(address))
             .header(CONTENT_TYPE, "application/json")
             .header(AUTHORIZATION, format!("Bearer {}", self.edge.cfg.fleet_key))
-            .header("x-request-id", self.engine_request().as_str());
+            .header("x-request-id", self.engine_request_id().as_str());
         if resumes {
-            req = req.header(RESUME_AFTER, self.progress.engine_tokens());
+            req = req.header(RESUME_AFTER_HEADER, self.progress.engine_tokens());
         }
         if let Some(context) = self.job.span.context() {
             req = req.header("traceparent", context.to_string());
@@ -137,29 +141,34 @@
         req.body(Full::new(body.into())).expect("the request's parts are valid")
     }
 
-    async fn refusal(&self, status: StatusCode, body: Incoming, resumes: bool) -> Broken {
-        let body = Limited::new(body, SHOWN_BYTES).collect().await;
+    async fn refusal_error(
+        &self,
+        status: StatusCode,
+        body: Incoming,
+        resumes: bool,
+    ) -> AttemptError {
+        let body = Limited::new(body, MAX_REFUSAL_BYTES).collect().await;
         let text = body.map(|body| String::from_utf8_lossy(&body.to_bytes()).into_owned());
         let detail = format!("the engine answered {status}: {}", text.unwrap_or_default());
         if resumes {
-            return self.resume_refusal(status, detail);
+            return self.resume_error(status, detail);
         }
         let busy = matches!(status, StatusCode::TOO_MANY_REQUESTS | StatusCode::REQUEST_TIMEOUT);
         if status.is_client_error() && !busy {
             let failure = Failure::new(status, "refused by the engine", detail, Verdict::NotRun);
-            return Broken { failure, held: false, final_answer: true };
+            return AttemptError { failure, resumable: false, is_final: true };
         }
         Failure::broken(detail, Verdict::MayHaveRun).into()
     }
 
-    fn resume_refusal(&self, status: StatusCode, detail: String) -> Broken {
+    fn resume_error(&self, status: StatusCode, detail: String) -> AttemptError {
         let caller_resumes = self.job.resume.is_some();
         if caller_resumes && status == StatusCode::CONFLICT {
             let failure = Failure::conflict("Last-Event-ID belongs to another request");
-            return Broken { failure, held: false, final_answer: true };
+            return AttemptError { failure, resumable: false, is_final: true };
         }
-        if caller_resumes && !self.progress.knows_text() {
-            return Broken::not_held();
+        if caller_resumes && !self.progress.has_full_text() {
+            return AttemptError::stream_gone();
         }
         Failure::broken(detail, Verdict::MayHaveRun).into()
     }
--- a/crates/daemon/src/edge/relay/pump.rs
+++ b/crates/daemon/src/edge/relay/forward.rs
@@ -9,54 +9,54 @@
     sse::{Event, Parser},
 };
 
-use crate::edge::router::Chosen;
+use crate::edge::router::ChosenEngine;
 
-use super::{End, Piece, Relay, attempt::Broken, progress::Step};
+use super::{Relay, RelayEnd, StreamItem, attempt::AttemptError, progress::ChunkAction};
 
 /// Longest event taken from an engine.
-const MAX_EVENT: ByteCount = ByteCount::new(1 << 20);
+const MAX_EVENT_BYTES: ByteCount = ByteCount::new(1 << 20);
 
 /// Type of the event with which an engine tells that another reader has taken the stream over.
-const TAKEN_OVER: &str = "taken-over";
+const TAKEN_OVER_EVENT: &str = "received-over";
 
 impl Relay<'_> {
     /// Passes an engine's events on until the stream ends.
-    pub(super) async fn pump(
+    pub(super) async fn forward_events(
         &mut self,
-        chosen: &Chosen,
+        chosen: &ChosenEngine,
         mut body: Incoming,
-        first_token_by: MonotonicTime,
+        first_token_deadline: MonotonicTime,
         resumes: bool,
-    ) -> End {
+    ) -> RelayEnd {
         self.progress.begin_attempt();
         let before = self.progress.tokens();
         let mut span = self.job.span.child(Hop::FirstToken);
-        let mut parser = Parser::new(MAX_EVENT);
+        let mut parser = Parser::new(MAX_EVENT_BYTES);
         let mut events = Vec::new();
         let mut last_token = None;
         loop {
             let wait = match last_token {
-                None => first_token_by.saturating_since(self.edge.clock.now()),
+                None => first_token_deadline.saturating_since(self.edge.clock.now()),
                 Some(_) => self.edge.cfg.timeouts.idle,
             };
             let frame = match next_frame(&mut body, wait).await {
                 Ok(frame) => frame,
-                Err(broken) => return End::Broken(self.unless_unnumbered(broken)),
+                Err(error) => return RelayEnd::Failed(self.resumable_if_numbered(error)),
             };
             let Ok(data) = frame.into_data() else { continue };
             if let Err(e) = parser.push(&data, &mut events) {
-                return End::Broken(Broken::cut(e.to_string()));
+                return RelayEnd::Failed(AttemptError::interrupted(e.to_string()));
             }
             for event in events.drain(..) {
-                let taken = self.progress.tokens();
-                if let Some(end) = self.take(chosen, event).await {
+                let received = self.progress.tokens();
+                if let Some(end) = self.handle_event(chosen, event).await {
                     return end;
                 }
-                if taken == self.progress.tokens() {
+                if received == self.progress.tokens() {
                     continue;
                 }
                 if last_token.is_none() {
-                    self.note_first_token(chosen, resumes);
+                    self.report_first_token(chosen, resumes);
                     drop(std::mem::replace(&mut span, self.job.span.child(Hop::Stream)));
                     span.set("resumed_after", i64::try_from(before).unwrap_or(i64::MAX));
                 }
@@ -66,34 +66,42 @@
     }
 
     /// Takes an event; returns how the attempt ends if it ends with it.
-    async fn take(&mut self, chosen: &Chosen, event: Event) -> Option<End> {
+    async fn handle_event(&mut self, chosen: &ChosenEngine, event: Event) -> Option<RelayEnd> {
         if event.data == DONE {
-            if self.progress.has_tail() {
-                return Some(End::Done);
+            if self.progress.has_final_chunk() {
+                return Some(RelayEnd::Done);
             }
-            return Some(End::Broken(Broken::cut("the end mark came before the answer's end")));
+            return Some(RelayEnd::Failed(AttemptError::interrupted(
+                "the end mark came before the response's end",
+            )));
         }
-        if event.kind.as_deref() == Some(TAKEN_OVER) {
-            return Some(End::Broken(Broken::taken_over()));
+        if event.kind.as_deref() == Some(TAKEN_OVER_EVENT) {
+            return Some(RelayEnd::Failed(AttemptError::taken_over()));
         }
         let chunk = match Chunk::parse(&event.data) {
             Ok(chunk) => chunk,
-            Err(e) => return Some(End::Broken(Broken::cut(format!("a malformed chunk: {e}")))),
+            Err(e) => {
+                return Some(RelayEnd::Failed(AttemptError::interrupted(format!(
+                    "a malformed chunk: {e}"
+                ))));
+            }
         };
-        if !chunk.answers(self.engine_request().as_str()) {
+        if !chunk.answers(self.engine_request_id().as_str()) {
             self.job.recorder.crossed_answer();
-            log::warn!(request:% = self.job.request, other:? = chunk.id; "crossed answer dropped");
+            log::warn!(request:% = self.job.request, other:? = chunk.id; "crossed response dropped");
             return None;
         }
         let number = event.id.as_deref().and_then(|id| id.parse().ok());
-        match self.progress.take(&chunk, number) {
-            Step::Deliver => {}
-            Step::Skip => return None,
-            Step::Gap => return Some(End::Broken(Broken::cut("tokens are missing"))),
+        match self.progress.accept(&chunk, number) {
+            ChunkAction::Deliver => {}
+            ChunkAction::Skip => return None,
+            ChunkAction::Gap => {
+                return Some(RelayEnd::Failed(AttemptError::interrupted("tokens are missing")));
+            }
         }
         let usage = chunk.usage.map(|usage| usage.after(self.progress.offset));
         if let Some(usage) = usage {
-            self.record_prompt(chosen, usage);
+            self.record_usage(chosen, usage);
         }
         let data = match usage {
             Some(_) if self.progress.offset != 0 => {
@@ -102,19 +110,19 @@
             }
             _ => event.data,
         };
-        let id = self.progress.event_id(chosen, self.engine_request());
-        if self.tx.send_async(Piece::Data { id, data }).await.is_err() {
-            return Some(End::CallerGone);
+        let id = self.progress.event_id(chosen, self.engine_request_id());
+        if self.tx.send_async(StreamItem::Data { id, data }).await.is_err() {
+            return Some(RelayEnd::CallerGone);
         }
         None
     }
 
     /// Tells the router and the gate how long an attempt's first token took.
-    fn note_first_token(&self, chosen: &Chosen, resumes: bool) {
+    fn report_first_token(&self, chosen: &ChosenEngine, resumes: bool) {
         let now = self.edge.clock.now();
-        let took = self.edge.router.borrow_mut().first_token(now, chosen);
+        let took = self.edge.router.borrow_mut().record_first_token(now, chosen);
         if let (Some(took), false) = (took, resumes) {
-            self.edge.gate.first_token(took);
+            self.edge.admission.record_first_token(took);
         }
     }
 
@@ -131,23 +139,26 @@
         now
     }
 
-    fn record_prompt(&self, chosen: &Chosen, usage: Usage) {
+    fn record_usage(&self, chosen: &ChosenEngine, usage: Usage) {
         let cached = TokenCount::new(usage.prompt_tokens_details.cached_tokens);
-        self.edge.router.borrow_mut().answered(self.edge.clock.now(), chosen, cached);
+        self.edge.router.borrow_mut().record_usage(self.edge.clock.now(), chosen, cached);
         self.job.recorder.prompt(TokenCount::new(usage.prompt_tokens), cached);
     }
 
     /// Keeps a stream without numbers from being resumed at its engine.
-    fn unless_unnumbered(&self, broken: Broken) -> Broken {
-        Broken { held: broken.held && self.progress.is_numbered(), ..broken }
+    fn resumable_if_numbered(&self, error: AttemptError) -> AttemptError {
+        AttemptError { resumable: error.resumable && self.progress.is_numbered(), ..error }
     }
 }
 
-async fn next_frame(body: &mut Incoming, wait: Duration) -> Result<Frame<bytes::Bytes>, Broken> {
+async fn next_frame(
+    body: &mut Incoming,
+    wait: Duration,
+) -> Result<Frame<bytes::Bytes>, AttemptError> {
     match tokio::time::timeout(wait, body.frame()).await {
-        Err(_) => Err(Broken::silent()),
-        Ok(None) => Err(Broken::cut("the stream ended without its end mark")),
-        Ok(Some(Err(e))) => Err(Broken::cut(e.to_string())),
+        Err(_) => Err(AttemptError::timed_out()),
+        Ok(None) => Err(AttemptError::interrupted("the stream ended without its end mark")),
+        Ok(Some(Err(e))) => Err(AttemptError::interrupted(e.to_string())),
         Ok(Some(Ok(frame))) => Ok(frame),
     }
 }
--- a/crates/daemon/src/edge/relay/mod.rs
+++ b/crates/daemon/src/edge/relay/mod.rs
@@ -5,8 +5,8 @@
 //! from the prompt and the text delivered.
 
 mod attempt;
+mod forward;
 mod progress;
-mod pump;
 
 use std::{borrow::Cow, rc::Rc, time::Duration};
 
@@ -14,31 +14,31 @@
 use telemetry::{Hop, Recorder, Span};
 use wire::{EventId, completion::Completion};
 
-use self::{attempt::Broken, progress::Progress};
+use self::{attempt::AttemptError, progress::Progress};
 
 use crate::failure::Failure;
 
 use super::{
-    Edge, ROSTER_POLL, ROSTER_WAIT,
-    admission::Place,
-    policies::Preferences,
-    router::{Chosen, NoEndpoint, Wanted},
+    Edge, FIRST_ROSTER_TIMEOUT, ROSTER_POLL_INTERVAL,
+    admission::AdmissionPermit,
+    policies::RoutingPreferences,
+    router::{ChosenEngine, EngineRequirements, NoEndpoint},
 };
 
 /// Most attempts in a row that deliver nothing.
-const MAX_FRUITLESS: usize = 4;
+const MAX_ATTEMPTS_WITHOUT_PROGRESS: usize = 4;
 
 /// Most attempts for one request.
 const MAX_ATTEMPTS: usize = 64;
 
-/// Time after which engines that failed are tried again for an answer that has begun.
-const ENGINE_PAUSE: Duration = Duration::from_millis(250);
+/// Time after which engines that failed are tried again for a response that has begun.
+const ENGINE_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// What callers are told to wait when no engine is available.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A completion to be relayed.
-pub(super) struct Job {
+pub(super) struct CompletionJob {
     /// The request's id at this router, and at engines unless it resumes an earlier one.
     pub request: RequestId,
     pub organisation: OrganisationId,
@@ -51,25 +51,25 @@
     pub recorder: Recorder,
     pub span: Span,
     /// Its place among the organisations' requests.
-    pub _place: Place,
+    pub _admission_permit: AdmissionPermit,
 }
 
-/// A piece of the answer, on its way to the caller.
+/// A piece of the response, on its way to the caller.
 #[derive(Debug)]
-pub(super) enum Piece {
+pub(super) enum StreamItem {
     /// A token, or a chunk without one; the id counts the tokens up to here.
     Data { id: EventId, data: String },
-    /// The whole answer has been sent.
+    /// The whole response has been sent.
     Done,
-    /// The answer ends here.
+    /// The response ends here.
     Failed(Failure),
 }
 
 /// Progress of a relayed completion over all attempts.
 struct Relay<'a> {
     edge: &'a Rc<Edge>,
-    job: &'a Job,
-    tx: &'a flume::Sender<Piece>,
+    job: &'a CompletionJob,
+    tx: &'a flume::Sender<StreamItem>,
     progress: Progress,
     tried: Vec<EndpointId>,
     /// Whether an engine may have taken the request.
@@ -77,14 +77,14 @@
 }
 
 /// How an attempt, or the whole relay, ended.
-enum End {
+enum RelayEnd {
     Done,
     CallerGone,
-    Broken(Broken),
+    Failed(AttemptError),
 }
 
 /// Relays a completion into `tx`, going on at another engine when one fails.
-pub(super) async fn run(edge: Rc<Edge>, job: Job, tx: flume::Sender<Piece>) {
+pub(super) async fn run(edge: Rc<Edge>, job: CompletionJob, tx: flume::Sender<StreamItem>) {
     let mut relay = Relay {
         edge: &edge,
         job: &job,
@@ -94,17 +94,19 @@
         may_have_run: job.resume.is_some(),
     };
     let timeout = job.settings.request_timeout.as_duration().min(edge.cfg.timeouts.request);
-    let ended = tokio::time::timeout(timeout, relay.attempts()).await;
+    let ended = tokio::time::timeout(timeout, relay.run_attempts()).await;
     let last = match ended {
-        Ok(End::Done) => Piece::Done,
-        Ok(End::CallerGone) => return,
-        Ok(End::Broken(broken)) => Piece::Failed(relay.truthful(broken.failure)),
+        Ok(RelayEnd::Done) => StreamItem::Done,
+        Ok(RelayEnd::CallerGone) => return,
+        Ok(RelayEnd::Failed(error)) => {
+            StreamItem::Failed(relay.with_overall_verdict(error.failure))
+        }
         Err(_) => {
             let failure = Failure::timed_out("the request timed out", Verdict::NotRun);
-            Piece::Failed(relay.truthful(failure))
+            StreamItem::Failed(relay.with_overall_verdict(failure))
         }
     };
-    if let Piece::Failed(failure) = &last {
+    if let StreamItem::Failed(failure) = &last {
         job.recorder.verdict(failure.verdict);
         let tokens = relay.progress.tokens();
         let (request, verdict) = (&job.request, failure.verdict);
@@ -115,33 +117,35 @@
 }
 
 impl Relay<'_> {
-    async fn attempts(&mut self) -> End {
+    async fn run_attempts(&mut self) -> RelayEnd {
         self.edge.wait_for_endpoints().await;
-        let mut held = None;
+        let mut resumable = None;
         if let Some(id) = &self.job.resume {
-            match self.wait_for_held(id).await {
-                Some(chosen) => held = Some(chosen),
-                None => return End::Broken(Broken::not_held()),
+            match self.wait_for_resumable(id).await {
+                Some(chosen) => resumable = Some(chosen),
+                None => return RelayEnd::Failed(AttemptError::stream_gone()),
             }
         }
-        let mut fruitless = 0;
+        let mut without_progress = 0;
         let mut last = None;
         for _ in 0..MAX_ATTEMPTS {
-            let resumes = held.is_some();
-            let chosen = match held.take().map_or_else(|| self.choose(), Ok) {
+            let resumes = resumable.is_some();
+            let chosen = match resumable.take().map_or_else(|| self.choose(), Ok) {
                 Ok(chosen) => chosen,
                 Err(why) => {
-                    let Some(broken) = last else {
-                        return End::Broken(no_engine(self.job, why).into());
+                    let Some(error) = last else {
+                        return RelayEnd::Failed(no_engine(self.job, why).into());
                     };
-                    fruitless += 1;
-                    if MAX_FRUITLESS <= fruitless || self.progress.tokens() == 0 {
-                        return End::Broken(broken);
+                    without_progress += 1;
+                    if MAX_ATTEMPTS_WITHOUT_PROGRESS <= without_progress
+                        || self.progress.tokens() == 0
+                    {
+                        return RelayEnd::Failed(error);
                     }
                     // An engine that was tried may be back before the deadline.
                     self.tried.clear();
-                    last = Some(broken);
-                    tokio::time::sleep(ENGINE_PAUSE).await;
+                    last = Some(error);
+                    tokio::time::sleep(ENGINE_RETRY_DELAY).await;
                     continue;
                 }
             };
@@ -149,116 +153,119 @@
             // The deadline may end the attempt at any point.
             let ran_before = std::mem::replace(&mut self.may_have_run, true);
             let end = self.attempt(&chosen, resumes).await;
-            let End::Broken(broken) = end else { return end };
-            self.may_have_run = ran_before || broken.failure.verdict != Verdict::NotRun;
+            let RelayEnd::Failed(error) = end else { return end };
+            self.may_have_run = ran_before || error.failure.verdict != Verdict::NotRun;
             let delivered = self.progress.tokens();
-            fruitless = if delivered == before { fruitless + 1 } else { 0 };
-            if !broken.failure.status.is_client_error() {
-                self.edge.router.borrow_mut().failed(self.edge.clock.now(), &chosen);
+            without_progress = if delivered == before { without_progress + 1 } else { 0 };
+            if !error.failure.status.is_client_error() {
+                self.edge.router.borrow_mut().record_failure(self.edge.clock.now(), &chosen);
             }
             let request = &self.job.request;
-            let (endpoint, detail) = (&chosen.endpoint, &broken.failure.detail);
+            let (endpoint, detail) = (&chosen.endpoint, &error.failure.detail);
             log::info!(request:%, endpoint:%, tokens = delivered, detail; "attempt failed");
-            if MAX_FRUITLESS <= fruitless || !self.may_go_on(&broken) {
-                return End::Broken(broken);
+            if MAX_ATTEMPTS_WITHOUT_PROGRESS <= without_progress || !self.may_continue(&error) {
+                return RelayEnd::Failed(error);
             }
-            let fruitless_resume = resumes && delivered == before;
-            if broken.held && !fruitless_resume {
-                held = self.find_held(&self.progress.event_id(&chosen, self.engine_request()));
+            let resume_without_progress = resumes && delivered == before;
+            if error.resumable && !resume_without_progress {
+                resumable =
+                    self.find_resumable(&self.progress.event_id(&chosen, self.engine_request_id()));
             }
-            if held.is_some() {
+            if resumable.is_some() {
                 self.job.recorder.resume();
-            } else if !self.may_retry(fruitless).await {
-                return End::Broken(broken);
+            } else if !self.may_retry(without_progress).await {
+                return RelayEnd::Failed(error);
             } else {
                 self.job.recorder.retry();
             }
-            last = Some(broken);
+            last = Some(error);
         }
-        End::Broken(last.expect("the loop ran at least once"))
+        RelayEnd::Failed(last.expect("the loop ran at least once"))
     }
 
-    /// Takes a retry from the budget, which never ends an answer that has begun.
-    async fn may_retry(&self, fruitless: usize) -> bool {
+    /// Takes a retry from the budget, which never ends a response that has begun.
+    async fn may_retry(&self, without_progress: usize) -> bool {
         if self.progress.tokens() != 0 {
             self.edge.retries.try_spend();
             return true;
         }
-        let attempt = u32::try_from(fruitless.saturating_sub(1)).unwrap_or(u32::MAX);
+        let attempt = u32::try_from(without_progress.saturating_sub(1)).unwrap_or(u32::MAX);
         self.edge.retries.wait(attempt).await
     }
 
     /// Returns the failure with a verdict that counts the attempts before it.
-    fn truthful(&self, mut failure: Failure) -> Failure {
+    fn with_overall_verdict(&self, mut failure: Failure) -> Failure {
         if self.may_have_run && failure.verdict == Verdict::NotRun {
             failure.verdict = Verdict::MayHaveRun;
         }
         failure
     }
 
-    fn choose(&mut self) -> Result<Chosen, NoEndpoint> {
+    fn choose(&mut self) -> Result<ChosenEngine, NoEndpoint> {
         let _span = self.job.span.child(Hop::Route);
         let now = self.edge.clock.now();
         let prompt = self.job.completion.prompt_parts();
-        let wanted = self.wanted(&prompt);
-        let chosen = self.edge.router.borrow_mut().choose_engine(now, &wanted, &self.tried)?;
+        let requirements = self.requirements(&prompt);
+        let chosen =
+            self.edge.router.borrow_mut().choose_engine(now, &requirements, &self.tried)?;
         self.tried.push(chosen.endpoint.clone());
-        self.progress.go_on_elsewhere();
+        self.progress.continue_on_other_engine();
         Ok(chosen)
     }
 
     /// Returns the engine of an event once it is known here, as it may not be right after the start.
-    async fn wait_for_held(&self, id: &EventId) -> Option<Chosen> {
-        let until = self.edge.clock.now() + ROSTER_WAIT;
+    async fn wait_for_resumable(&self, id: &EventId) -> Option<ChosenEngine> {
+        let until = self.edge.clock.now() + FIRST_ROSTER_TIMEOUT;
         loop {
-            let held = self.find_held(id);
-            if held.is_some() || until <= self.edge.clock.now() {
-                return held;
+            let resumable = self.find_resumable(id);
+            if resumable.is_some() || until <= self.edge.clock.now() {
+                return resumable;
             }
-            tokio::time::sleep(ROSTER_POLL).await;
+            tokio::time::sleep(ROSTER_POLL_INTERVAL).await;
         }
     }
 
     /// Returns the engine of an event, if it still runs.
-    fn find_held(&self, id: &EventId) -> Option<Chosen> {
+    fn find_resumable(&self, id: &EventId) -> Option<ChosenEngine> {
         let prompt = self.job.completion.prompt_parts();
-        let wanted = Wanted { weights: Some(&id.weights), ..self.wanted(&prompt) };
+        let requirements =
+            EngineRequirements { weights: Some(&id.weights), ..self.requirements(&prompt) };
         let now = self.edge.clock.now();
-        self.edge.router.borrow().engine_of(now, &id.endpoint, id.incarnation, &wanted)
+        self.edge.router.borrow().resumable_engine(now, &id.endpoint, id.incarnation, &requirements)
     }
 
-    fn wanted<'b>(&'b self, prompt: &'b [Cow<'b, [u8]>]) -> Wanted<'b> {
-        Wanted {
+    fn requirements<'b>(&'b self, prompt: &'b [Cow<'b, [u8]>]) -> EngineRequirements<'b> {
+        EngineRequirements {
             organisation: &self.job.organisation,
             model: self.job.completion.model(),
             adapter: self.job.completion.adapter(),
             weights: self.progress.weights.as_ref(),
             prompt,
-            preferences: Preferences::from(&self.job.settings),
+            preferences: RoutingPreferences::from(&self.job.settings),
         }
     }
 
-    fn may_go_on(&self, broken: &Broken) -> bool {
-        if broken.final_answer {
+    fn may_continue(&self, error: &AttemptError) -> bool {
+        if error.is_final {
             return false;
         }
-        if broken.held || self.progress.tokens() == 0 && self.job.resume.is_none() {
+        if error.resumable || self.progress.tokens() == 0 && self.job.resume.is_none() {
             return true;
         }
-        self.progress.knows_text() && self.job.completion.can_continue()
+        self.progress.has_full_text() && self.job.completion.can_continue()
     }
 
     /// Returns the request's id at engines.
-    fn engine_request(&self) -> &RequestId {
+    fn engine_request_id(&self) -> &RequestId {
         self.job.resume.as_ref().map_or(&self.job.request, |id| &id.request)
     }
 }
 
-fn no_engine(job: &Job, why: NoEndpoint) -> Failure {
+fn no_engine(job: &CompletionJob, why: NoEndpoint) -> Failure {
     let model = job.completion.model();
     match why {
-        NoEndpoint::Unknown => Failure::not_found(format!("no endpoint serves model {model}")),
-        NoEndpoint::AllTried => {
+        NoEndpoint::NotServed => Failure::not_found(format!("no endpoint serves model {model}")),
+        NoEndpoint::Unavailable => {
             Failure::unavailable(format!("no endpoint of model {model} is available"), RETRY_AFTER)
         }
     }
--- a/crates/daemon/src/edge/router.rs
+++ b/crates/daemon/src/edge/router.rs
@@ -1,7 +1,7 @@
 mod explain;
 mod feedback;
+mod requirements;
 mod transfer;
-mod wanted;
 
 use std::{cell::Cell, collections::BTreeMap, net::IpAddr, rc::Rc, time::Duration};
 
@@ -19,18 +19,18 @@
 
 pub(super) use self::transfer::cache_salt;
 
-use self::transfer::{Asking, is_kept_kv};
+use self::transfer::{FetchingEngine, is_kv_store_service};
 
 use super::{
     policies::Policies,
+    prefix_tracker::PrefixTracker,
     round_trips::RoundTrips,
     targets::{InFlight, Target},
-    warmth::PrefixWarmth,
 };
 
-pub(super) use wanted::Wanted;
+pub(super) use requirements::EngineRequirements;
 
-use wanted::Identity;
+use requirements::PrefixIdentity;
 
 /// Bytes of prompt taken as one token.
 pub(super) const BYTES_PER_TOKEN: usize = 4;
@@ -42,10 +42,10 @@
 const BLOCK_TOKENS: u64 = (BLOCK_BYTES.as_usize() / BYTES_PER_TOKEN) as u64;
 
 /// Part of an engine's requests that one prefix may make up before it gets another home.
-const HOT_SHARE: f64 = 0.2;
+const HOT_PREFIX_SHARE: f64 = 0.2;
 
 /// Blocks beyond the placement level that tell prompts of one hot prefix apart.
-const FINE_BLOCKS: usize = 4;
+const LONGER_PREFIX_BLOCKS: usize = 4;
 
 /// Chooses endpoints for requests.
 pub(super) struct Router {
@@ -53,18 +53,18 @@
     targets: BTreeMap<EndpointId, Rc<Target>>,
     policies: Policies,
     service_policy: Warm,
-    warmth: PrefixWarmth,
+    prefixes: PrefixTracker,
     round_trips: RoundTrips,
     engine_outliers: Outliers,
     service_outliers: Outliers,
-    routers: usize,
+    router_count: usize,
     /// Most requests that an engine ran while others waited.
-    slots: u32,
+    max_slots: u32,
     rng: Pcg64Mcg,
 }
 
 /// An engine chosen for a completion.
-pub(super) struct Chosen {
+pub(super) struct ChosenEngine {
     pub in_flight: InFlight,
     pub endpoint: EndpointId,
     pub weights: WeightsVersion,
@@ -74,23 +74,23 @@
     chain: Chain,
     prompt_tokens: TokenCount,
     /// Blocks of the chain that the engine was believed to hold.
-    believed: usize,
-    sent: MonotonicTime,
+    expected_blocks: usize,
+    sent_at: MonotonicTime,
     was_idle: bool,
-    begun: Cell<Option<Duration>>,
+    first_token_after: Cell<Option<Duration>>,
 }
 
 /// Why no endpoint was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NoEndpoint {
     /// No endpoint serves what is asked for.
-    Unknown,
+    NotServed,
     /// Every endpoint that serves it has been tried, or takes no new work.
-    AllTried,
+    Unavailable,
 }
 
 /// An endpoint that can serve a request, for an engine with the weights it would serve it by.
-struct Able<'a, W> {
+struct EligibleEndpoint<'a, W> {
     id: &'a EndpointId,
     target: &'a Rc<Target>,
     weights: W,
@@ -104,12 +104,12 @@
             targets: BTreeMap::new(),
             policies: Policies::default(),
             service_policy: Warm::default(),
-            warmth: PrefixWarmth::new(rng.random()),
+            prefixes: PrefixTracker::new(rng.random()),
             round_trips: RoundTrips::new(data_centre),
             engine_outliers: Outliers::new(OutlierSettings::default()),
             service_outliers: Outliers::new(OutlierSettings::default()),
-            routers: 1,
-            slots: 0,
+            router_count: 1,
+            max_slots: 0,
             rng,
         }
     }
@@ -122,25 +122,25 @@
         is_drained: impl Fn(&Announcement) -> bool,
     ) {
         let alive = roster.peers.iter().filter(|peer| peer.update.state == PeerState::Alive);
-        self.routers = alive.count() + 1;
-        self.warmth.set_routers(self.routers);
+        self.router_count = alive.count() + 1;
+        self.prefixes.set_routers(self.router_count);
         let mut old = std::mem::take(&mut self.targets);
         let ready = roster.endpoints.iter().filter(|known| known.state == EndpointState::Ready);
         for known in ready {
             let endpoint = known.announcement.endpoint.clone();
-            let target = old.remove(&endpoint).filter(|target| target.renew(known));
-            let target = target.unwrap_or_else(|| Rc::new(self.join(now, known)));
+            let target = old.remove(&endpoint).filter(|target| target.update(known));
+            let target = target.unwrap_or_else(|| Rc::new(self.add_target(now, known)));
             target.set_drained(is_drained(&known.announcement));
             self.targets.insert(endpoint, target);
         }
         for endpoint in old.keys() {
-            self.leave(endpoint);
+            self.remove_endpoint(endpoint);
         }
-        self.size_homes();
+        self.update_home_rate();
     }
 
     /// Decides anew which endpoints get no new work.
-    pub(super) fn drain(&self, is_drained: impl Fn(&Announcement) -> bool) {
+    pub(super) fn update_drained(&self, is_drained: impl Fn(&Announcement) -> bool) {
         for target in self.targets.values() {
             let drained = is_drained(&target.announcement());
             target.set_drained(drained);
@@ -148,7 +148,7 @@
     }
 
     /// Returns the number of engines that get new work.
-    pub(super) fn engines(&self) -> usize {
+    pub(super) fn engine_count(&self) -> usize {
         let is_engine = |target: &&Rc<Target>| {
             matches!(target.announcement().kind, EndpointKind::Engine(_)) && !target.is_drained()
         };
@@ -156,13 +156,13 @@
     }
 
     /// Returns the most requests that an engine ran while others waited, 0 if none ever waited.
-    pub(super) fn slots(&self) -> u32 {
-        self.slots
+    pub(super) fn max_slots(&self) -> u32 {
+        self.max_slots
     }
 
     /// Returns the number of routers that share the requests.
-    pub(super) fn routers(&self) -> usize {
-        self.routers
+    pub(super) fn router_count(&self) -> usize {
+        self.router_count
     }
 
     /// Returns whether no endpoint is known, as right after the start.
@@ -187,60 +187,68 @@
     pub(super) fn choose_engine(
         &mut self,
         now: MonotonicTime,
-        wanted: &Wanted<'_>,
+        requirements: &EngineRequirements<'_>,
         tried: &[EndpointId],
-    ) -> Result<Chosen, NoEndpoint> {
-        let able: Vec<_> = self
+    ) -> Result<ChosenEngine, NoEndpoint> {
+        let eligible: Vec<_> = self
             .targets
             .iter()
             .filter_map(|(id, target)| {
-                let weights = target.serves(|m| wanted.fits(m))?;
-                Some(Able { id, target, weights })
+                let weights = target.served_weights(|m| requirements.fits(m))?;
+                Some(EligibleEndpoint { id, target, weights })
             })
             .collect();
-        if able.is_empty() {
-            return Err(NoEndpoint::Unknown);
+        if eligible.is_empty() {
+            return Err(NoEndpoint::NotServed);
         }
-        let mut open = open(now, &able, tried, &self.engine_outliers);
+        let mut available = available(now, &eligible, tried, &self.engine_outliers);
         // Engines of the same weights stand together, as warmth is measured for one chain at a time.
-        open.sort_by(|a, b| a.weights.cmp(&b.weights));
-        let req = Request { prompt_tokens: wanted.prompt_tokens(), homes: 1 };
-        let mut identities: Vec<Identity> = Vec::new();
-        let mut candidates = Vec::with_capacity(open.len());
-        for able in &open {
-            if !identities.iter().any(|identity| identity.weights == able.weights) {
-                let identity = wanted.identity(&able.weights);
-                identities.push(count_homes(identity, now, wanted, &mut self.warmth));
+        available.sort_by(|a, b| a.weights.cmp(&b.weights));
+        let req = Request { prompt_tokens: requirements.prompt_tokens(), homes: 1 };
+        let mut identities: Vec<PrefixIdentity> = Vec::new();
+        let mut candidates = Vec::with_capacity(available.len());
+        for eligible in &available {
+            if !identities.iter().any(|identity| identity.weights == eligible.weights) {
+                let identity = requirements.identity(&eligible.weights);
+                identities.push(with_home_count(identity, now, requirements, &mut self.prefixes));
             }
-            let identity = find(&identities, &able.weights).ok_or(NoEndpoint::Unknown)?;
-            let warm = self.warmth_of(able.target);
-            candidates.push(self.candidate(now, wanted, (able.id, able.target), identity, warm));
+            let identity =
+                find_identity(&identities, &eligible.weights).ok_or(NoEndpoint::NotServed)?;
+            let warm = self.matched_blocks(eligible.target);
+            candidates.push(self.candidate(
+                now,
+                requirements,
+                (eligible.id, eligible.target),
+                identity,
+                warm,
+            ));
         }
         let homes = identities.iter().map(|identity| identity.homes).max().unwrap_or(1);
         let req = Request { homes, ..req };
-        let chosen = self.policies.choose(&wanted.preferences, &req, &candidates, &mut self.rng);
-        let chosen = chosen.ok_or(NoEndpoint::AllTried)?;
-        let Able { id, target, weights } = open[chosen];
+        let chosen =
+            self.policies.choose(&requirements.preferences, &req, &candidates, &mut self.rng);
+        let chosen = chosen.ok_or(NoEndpoint::Unavailable)?;
+        let EligibleEndpoint { id, target, weights } = available[chosen];
         let identity = identities.iter().position(|identity| identity.weights == *weights);
-        let Identity { salt, chain, .. } =
-            identities.swap_remove(identity.ok_or(NoEndpoint::Unknown)?);
+        let PrefixIdentity { salt, chain, .. } =
+            identities.swap_remove(identity.ok_or(NoEndpoint::NotServed)?);
         let warm = candidates[chosen].warm_tokens;
-        let believed = (warm.as_u64() / BLOCK_TOKENS) as usize;
+        let expected_blocks = (warm.as_u64() / BLOCK_TOKENS) as usize;
         let mut transfer = None;
-        if wanted.preferences.kv_transfer != KvTransferSetting::Off {
-            self.warmth.measure(now, &chain);
-            let asking = Asking { endpoint: id, target, salt, held: believed };
-            transfer = self.find_transfer(wanted, &asking);
+        if requirements.preferences.kv_transfer != KvTransferSetting::Off {
+            self.prefixes.match_chain(now, &chain);
+            let fetching = FetchingEngine { endpoint: id, target, salt, expected_blocks };
+            transfer = self.choose_transfer(requirements, &fetching);
         }
-        if let Some(slot) = self.store_slot(wanted) {
-            self.warmth.sent(now, slot, &chain);
+        if let Some(slot) = self.kv_store_slot(requirements) {
+            self.prefixes.record_sent(now, slot, &chain);
         }
         if let Some(slot) = target.slot() {
-            self.warmth.sent(now, slot, &chain);
+            self.prefixes.record_sent(now, slot, &chain);
         }
         self.engine_outliers.sent(now, id);
         let cold = req.prompt_tokens.as_u64().saturating_sub(warm.as_u64());
-        Ok(Chosen {
+        Ok(ChosenEngine {
             was_idle: target.in_flight() == 0,
             in_flight: InFlight::begin(target, TokenCount::new(cold)),
             endpoint: (*id).clone(),
@@ -249,27 +257,27 @@
             transfer,
             chain,
             prompt_tokens: req.prompt_tokens,
-            believed,
-            sent: now,
-            begun: Cell::new(None),
+            expected_blocks,
+            sent_at: now,
+            first_token_after: Cell::new(None),
         })
     }
 
-    /// Returns an engine that has begun an answer, if that life of it still serves the same.
-    pub(super) fn engine_of(
+    /// Returns an engine that has first_token_after a response, if that life of it still serves the same.
+    pub(super) fn resumable_engine(
         &self,
         now: MonotonicTime,
         endpoint: &EndpointId,
         incarnation: Incarnation,
-        wanted: &Wanted<'_>,
-    ) -> Option<Chosen> {
+        requirements: &EngineRequirements<'_>,
+    ) -> Option<ChosenEngine> {
         let target = self.targets.get(endpoint)?;
         if target.announcement().incarnation != incarnation {
             return None;
         }
-        let weights = target.serves(|m| wanted.fits(m))?;
-        let Identity { salt, chain, .. } = wanted.identity(&weights);
-        Some(Chosen {
+        let weights = target.served_weights(|m| requirements.fits(m))?;
+        let PrefixIdentity { salt, chain, .. } = requirements.identity(&weights);
+        Some(ChosenEngine {
             was_idle: false,
             in_flight: InFlight::begin(target, TokenCount::new(0)),
             endpoint: endpoint.clone(),
@@ -277,58 +285,58 @@
             salt,
             transfer: None,
             chain,
-            prompt_tokens: wanted.prompt_tokens(),
-            believed: 0,
-            sent: now,
-            begun: Cell::new(None),
+            prompt_tokens: requirements.prompt_tokens(),
+            expected_blocks: 0,
+            sent_at: now,
+            first_token_after: Cell::new(None),
         })
     }
 
     /// Chooses an endpoint of a plain service that isn't among `tried`.
-    pub(super) fn choose_service(
+    pub(super) fn choose_service_endpoint(
         &mut self,
         now: MonotonicTime,
         service: &ServiceId,
         tried: &[EndpointId],
     ) -> Result<(EndpointId, InFlight), NoEndpoint> {
-        if is_kept_kv(service) {
-            return Err(NoEndpoint::Unknown);
+        if is_kv_store_service(service) {
+            return Err(NoEndpoint::NotServed);
         }
-        let able: Vec<_> = self
+        let eligible: Vec<_> = self
             .targets
             .iter()
             .filter(|(_, target)| target.announcement().kind.is_service(service))
-            .map(|(id, target)| Able { id, target, weights: () })
+            .map(|(id, target)| EligibleEndpoint { id, target, weights: () })
             .collect();
-        if able.is_empty() {
-            return Err(NoEndpoint::Unknown);
+        if eligible.is_empty() {
+            return Err(NoEndpoint::NotServed);
         }
-        let open = open(now, &able, tried, &self.service_outliers);
-        let candidates: Vec<_> = open
+        let available = available(now, &eligible, tried, &self.service_outliers);
+        let candidates: Vec<_> = available
             .iter()
-            .map(|able| Candidate {
-                in_flight: able.target.in_flight(),
-                round_trip: self.round_trips.to(&able.target.data_centre()),
+            .map(|eligible| Candidate {
+                in_flight: eligible.target.in_flight(),
+                round_trip: self.round_trips.beyond_local(&eligible.target.data_centre()),
                 ..Candidate::default()
             })
             .collect();
         let req = Request::default();
         let chosen = self.service_policy.choose(&req, &candidates, &mut self.rng);
-        let able = open[chosen.ok_or(NoEndpoint::AllTried)?];
-        self.service_outliers.sent(now, able.id);
-        Ok((able.id.clone(), InFlight::begin(able.target, TokenCount::ZERO)))
+        let eligible = available[chosen.ok_or(NoEndpoint::Unavailable)?];
+        self.service_outliers.sent(now, eligible.id);
+        Ok((eligible.id.clone(), InFlight::begin(eligible.target, TokenCount::ZERO)))
     }
 
-    fn join(&mut self, now: MonotonicTime, known: &Known) -> Target {
+    fn add_target(&mut self, now: MonotonicTime, known: &Known) -> Target {
         let announcement = &known.announcement;
         let endpoint = &announcement.endpoint;
         let slot = match &announcement.kind {
             EndpointKind::Engine(_) => {
                 self.engine_outliers.join(now, endpoint.clone());
-                self.warmth.bind(endpoint, announcement.incarnation)
+                self.prefixes.bind(endpoint, announcement.incarnation)
             }
-            EndpointKind::Service(service) if is_kept_kv(service) => {
-                self.warmth.bind(endpoint, announcement.incarnation)
+            EndpointKind::Service(service) if is_kv_store_service(service) => {
+                self.prefixes.bind(endpoint, announcement.incarnation)
             }
             EndpointKind::Service(_) => {
                 self.service_outliers.join(now, endpoint.clone());
@@ -339,78 +347,85 @@
     }
 
     /// Gives a prefix so many homes that it takes a part of what each can carry.
-    fn size_homes(&mut self) {
-        self.slots = self.targets.values().map(|target| target.slots()).max().unwrap_or(0);
+    fn update_home_rate(&mut self) {
+        self.max_slots = self.targets.values().map(|target| target.slots()).max().unwrap_or(0);
         let Some(hold_time) = self.policies.hold_time() else { return };
-        if self.slots != 0 && !hold_time.is_zero() {
-            let rate = f64::from(self.slots) / hold_time.as_secs_f64();
-            self.warmth.set_rate_per_home(rate * HOT_SHARE);
+        if self.max_slots != 0 && !hold_time.is_zero() {
+            let rate = f64::from(self.max_slots) / hold_time.as_secs_f64();
+            self.prefixes.set_rate_per_home(rate * HOT_PREFIX_SHARE);
         }
     }
 
-    fn leave(&mut self, endpoint: &EndpointId) {
+    fn remove_endpoint(&mut self, endpoint: &EndpointId) {
         self.engine_outliers.leave(endpoint);
         self.service_outliers.leave(endpoint);
-        self.warmth.unbind(endpoint);
+        self.prefixes.unbind(endpoint);
     }
 
-    fn warmth_of(&self, target: &Target) -> usize {
-        target.slot().map_or(0, |slot| self.warmth.blocks(slot))
+    fn matched_blocks(&self, target: &Target) -> usize {
+        target.slot().map_or(0, |slot| self.prefixes.matched_blocks(slot))
     }
 
     fn candidate(
         &self,
         now: MonotonicTime,
-        wanted: &Wanted<'_>,
+        requirements: &EngineRequirements<'_>,
         (id, target): (&EndpointId, &Target),
-        identity: &Identity,
+        identity: &PrefixIdentity,
         warm_blocks: usize,
     ) -> Candidate {
-        let level = wanted.preferences.level;
+        let level = requirements.preferences.placement_level;
         let rank = |level| identity.chain.at_level(level).map_or(0, |home| prefix::rank(home, id));
         let (load, report_age) = target.load(now);
         Candidate {
             rank: rank(level),
-            fine_rank: rank(level + FINE_BLOCKS),
+            fine_rank: rank(level + LONGER_PREFIX_BLOCKS),
             warm_tokens: TokenCount::new(warm_blocks as u64 * BLOCK_TOKENS),
             in_flight: target.in_flight(),
             own_prefill_tokens: target.prefill_tokens(),
             reported_requests: load.running.saturating_add(load.waiting),
             reported_prefill_tokens: load.prefill_tokens,
             report_age,
-            slots: if target.slots() == 0 { self.slots } else { target.slots() },
-            round_trip: self.round_trips.to(&target.data_centre()),
+            slots: if target.slots() == 0 { self.max_slots } else { target.slots() },
+            round_trip: self.round_trips.beyond_local(&target.data_centre()),
         }
     }
 }
 
 /// Returns those that may get new work, or else those kept from it for their failures.
-fn open<'a, 'b, W>(
+fn available<'a, 'b, W>(
     now: MonotonicTime,
-    able: &'b [Able<'a, W>],
+    eligible: &'b [EligibleEndpoint<'a, W>],
     tried: &[EndpointId],
     outliers: &Outliers,
-) -> Vec<&'b Able<'a, W>> {
-    let untried = able.iter().filter(|able| !able.target.is_drained() && !tried.contains(able.id));
+) -> Vec<&'b EligibleEndpoint<'a, W>> {
+    let untried = eligible
+        .iter()
+        .filter(|eligible| !eligible.target.is_drained() && !tried.contains(eligible.id));
     let untried: Vec<_> = untried.collect();
-    let standing = |able: &&&Able<'_, W>| outliers.standing(now, able.id) != Standing::Ejected;
-    let sound: Vec<_> = untried.iter().filter(standing).copied().collect();
-    if sound.is_empty() { untried } else { sound }
+    let not_ejected = |eligible: &&&EligibleEndpoint<'_, W>| {
+        outliers.standing(now, eligible.id) != Standing::Ejected
+    };
+    let healthy: Vec<_> = untried.iter().filter(not_ejected).copied().collect();
+    if healthy.is_empty() { untried } else { healthy }
 }
 
-fn count_homes(
-    mut identity: Identity,
+fn with_home_count(
+    mut identity: PrefixIdentity,
     now: MonotonicTime,
-    wanted: &Wanted<'_>,
-    warmth: &mut PrefixWarmth,
-) -> Identity {
-    warmth.measure(now, &identity.chain);
-    if let Some(home) = identity.chain.at_level(wanted.preferences.level) {
-        identity.homes = warmth.count(now, home);
+    requirements: &EngineRequirements<'_>,
+    prefixes: &mut PrefixTracker,
+) -> PrefixIdentity {
+    prefixes.match_chain(now, &identity.chain);
+    if let Some(home) = identity.chain.at_level(requirements.preferences.placement_level) {
+        identity.homes = prefixes.record_request(now, home);
     }
     identity
 }
 
-fn find<'a>(identities: &'a [Identity], weights: &WeightsVersion) -> Option<&'a Identity> {
+fn find_identity<'a>(
+    identities: &'a [PrefixIdentity],
+    weights: &WeightsVersion,
+) -> Option<&'a PrefixIdentity> {
     identities.iter().find(|identity| identity.weights == *weights)
 }
--- a/crates/daemon/src/edge/router/explain.rs
+++ b/crates/daemon/src/edge/router/explain.rs
@@ -4,36 +4,36 @@
 use route::{Estimate, Request};
 use wire::operator::{ExplainedCandidate, Explanation, ScorePart};
 
-use super::{Router, Target, Wanted};
+use super::{EngineRequirements, Router, Target};
 
 impl Router {
-    /// Returns how a choice among all engines would come out; none if none serves `wanted`.
+    /// Returns how a choice among all engines would come out; none if none serves `requirements`.
     pub(in crate::edge) fn explain(
         &mut self,
         now: MonotonicTime,
-        wanted: &Wanted<'_>,
+        requirements: &EngineRequirements<'_>,
     ) -> Option<Explanation> {
-        let mut able: Vec<(&EndpointId, &Rc<Target>)> = Vec::new();
+        let mut eligible: Vec<(&EndpointId, &Rc<Target>)> = Vec::new();
         let mut candidates = Vec::new();
         let mut homes = 1;
         for (id, target) in &self.targets {
-            let Some(weights) = target.serves(|m| wanted.fits(m)) else { continue };
+            let Some(weights) = target.served_weights(|m| requirements.fits(m)) else { continue };
             if target.is_drained() {
                 continue;
             }
-            let identity = wanted.identity(&weights);
-            self.warmth.measure(now, &identity.chain);
-            if let Some(home) = identity.chain.at_level(wanted.preferences.level) {
-                homes = self.warmth.homes(now, home).max(homes);
+            let identity = requirements.identity(&weights);
+            self.prefixes.match_chain(now, &identity.chain);
+            if let Some(home) = identity.chain.at_level(requirements.preferences.placement_level) {
+                homes = self.prefixes.home_count(now, home).max(homes);
             }
-            let warm = target.slot().map_or(0, |slot| self.warmth.blocks(slot));
-            able.push((id, target));
-            candidates.push(self.candidate(now, wanted, (id, target), &identity, warm));
+            let warm = target.slot().map_or(0, |slot| self.prefixes.matched_blocks(slot));
+            eligible.push((id, target));
+            candidates.push(self.candidate(now, requirements, (id, target), &identity, warm));
         }
         let home = candidates.iter().map(|candidate| candidate.rank).max()?;
-        let req = Request { prompt_tokens: wanted.prompt_tokens(), homes };
-        let estimates = self.policies.explain(&wanted.preferences, &req, &candidates);
-        let explained = able.into_iter().zip(&candidates).zip(estimates);
+        let req = Request { prompt_tokens: requirements.prompt_tokens(), homes };
+        let estimates = self.policies.explain(&requirements.preferences, &req, &candidates);
+        let explained = eligible.into_iter().zip(&candidates).zip(estimates);
         let mut candidates: Vec<_> = explained
             .map(|(((id, target), candidate), estimate)| ExplainedCandidate {
                 endpoint: id.clone(),
--- a/crates/daemon/src/edge/router/feedback.rs
+++ b/crates/daemon/src/edge/router/feedback.rs
@@ -3,73 +3,83 @@
 use base::{EndpointId, MonotonicTime, TokenCount};
 use route::{Outcome, StandingChange};
 
-use super::{BLOCK_TOKENS, Chosen, Router};
+use super::{BLOCK_TOKENS, ChosenEngine, Router};
 
 impl Router {
-    /// Learns that the head of an engine's answer has arrived.
-    pub(in crate::edge) fn head_arrived(&mut self, now: MonotonicTime, chosen: &Chosen) {
+    /// Learns that the head of an engine's response has arrived.
+    pub(in crate::edge) fn record_response_head(
+        &mut self,
+        now: MonotonicTime,
+        chosen: &ChosenEngine,
+    ) {
         let data_centre = chosen.in_flight.target().data_centre();
-        self.round_trips.record(&data_centre, now.saturating_since(chosen.sent));
+        self.round_trips.record(&data_centre, now.saturating_since(chosen.sent_at));
     }
 
     /// Learns that the engine's first token has arrived; returns the time it took.
-    pub(in crate::edge) fn first_token(
+    pub(in crate::edge) fn record_first_token(
         &mut self,
         now: MonotonicTime,
-        chosen: &Chosen,
+        chosen: &ChosenEngine,
     ) -> Option<Duration> {
-        if chosen.begun.get().is_some() {
+        if chosen.first_token_after.get().is_some() {
             return None;
         }
-        let took = now.saturating_since(chosen.sent);
-        chosen.begun.set(Some(took));
+        let took = now.saturating_since(chosen.sent_at);
+        chosen.first_token_after.set(Some(took));
         chosen.in_flight.prefilled();
         let change = self.engine_outliers.record(now, &chosen.endpoint, Outcome::Answered(took));
-        log_change(&chosen.endpoint, change);
+        log_ejection_change(&chosen.endpoint, change);
         Some(took)
     }
 
     /// Learns how many of the prompt's tokens the engine had cached.
-    pub(in crate::edge) fn answered(
+    pub(in crate::edge) fn record_usage(
         &mut self,
         now: MonotonicTime,
-        chosen: &Chosen,
+        chosen: &ChosenEngine,
         cached: TokenCount,
     ) {
         let cached_blocks = (cached.as_u64() / BLOCK_TOKENS) as usize;
         if let Some(slot) = chosen.in_flight.target().slot() {
-            self.warmth.answered(now, slot, &chosen.chain, chosen.believed, cached_blocks);
+            self.prefixes.record_response(
+                now,
+                slot,
+                &chosen.chain,
+                chosen.expected_blocks,
+                cached_blocks,
+            );
         }
-        let Some(took) = chosen.begun.get() else { return };
-        self.policies.learn_hold_time(now.saturating_since(chosen.sent + took));
+        let Some(took) = chosen.first_token_after.get() else { return };
+        self.policies.record_hold_time(now.saturating_since(chosen.sent_at + took));
         if chosen.was_idle {
             let computed = chosen.prompt_tokens.as_u64().saturating_sub(cached.as_u64());
-            self.policies.learn_prefill_rate(computed, took);
+            self.policies.record_prefill_rate(computed, took);
         }
     }
 
     /// Learns that a request at an engine failed.
-    pub(in crate::edge) fn failed(&mut self, now: MonotonicTime, chosen: &Chosen) {
+    pub(in crate::edge) fn record_failure(&mut self, now: MonotonicTime, chosen: &ChosenEngine) {
         let change = self.engine_outliers.record(now, &chosen.endpoint, Outcome::Failed);
-        log_change(&chosen.endpoint, change);
+        log_ejection_change(&chosen.endpoint, change);
         if let Some(slot) = chosen.in_flight.target().slot() {
-            self.warmth.failed(now, slot, &chosen.chain, 0);
+            self.prefixes.record_failure(now, slot, &chosen.chain, 0);
         }
     }
 
     /// Learns how a call at an endpoint of a plain service went.
-    pub(in crate::edge) fn service_ended(
+    pub(in crate::edge) fn record_service_outcome(
         &mut self,
         now: MonotonicTime,
         endpoint: &EndpointId,
         outcome: Outcome,
     ) {
         let change = self.service_outliers.record(now, endpoint, outcome);
-        log_change(endpoint, change);
+        log_ejection_change(endpoint, change);
     }
 }
 
-fn log_change(endpoint: &EndpointId, change: Option<StandingChange>) {
+fn log_ejection_change(endpoint: &EndpointId, change: Option<StandingChange>) {
     match change {
         Some(StandingChange::Ejected(_)) => log::warn!("endpoint={endpoint} ejected as an outlier"),
         Some(StandingChange::Restored) => log::info!("endpoint={endpoint} restored"),
--- a/crates/daemon/src/edge/router/wanted.rs
+++ b/crates/daemon/src/edge/router/requirements.rs
@@ -4,41 +4,41 @@
 use member::ServedModel;
 use prefix::{Chain, Salt};
 
-use crate::edge::policies::Preferences;
+use crate::edge::policies::RoutingPreferences;
 
 use super::{BLOCK_BYTES, BYTES_PER_TOKEN};
 
 /// What a completion needs of an engine.
-pub(in crate::edge) struct Wanted<'a> {
+pub(in crate::edge) struct EngineRequirements<'a> {
     pub organisation: &'a OrganisationId,
     pub model: &'a ModelId,
     pub adapter: Option<&'a AdapterId>,
-    /// Set when part of the answer was made with these weights.
+    /// Set when part of the response was made with these weights.
     pub weights: Option<&'a WeightsVersion>,
     pub prompt: &'a [Cow<'a, [u8]>],
-    pub preferences: Preferences,
+    pub preferences: RoutingPreferences,
 }
 
 /// The identity of a prompt's prefixes under one version of the weights.
-pub(super) struct Identity {
+pub(super) struct PrefixIdentity {
     pub weights: WeightsVersion,
     pub salt: Salt,
     pub chain: Chain,
     pub homes: u32,
 }
 
-impl Wanted<'_> {
+impl EngineRequirements<'_> {
     pub(super) fn fits(&self, served: &ServedModel) -> bool {
         served.model == *self.model
             && self.weights.is_none_or(|weights| *weights == served.weights)
             && self.adapter.is_none_or(|adapter| served.adapters.contains(adapter))
     }
 
-    pub(super) fn identity(&self, weights: &WeightsVersion) -> Identity {
+    pub(super) fn identity(&self, weights: &WeightsVersion) -> PrefixIdentity {
         let salt = Salt::new(self.organisation, self.model, weights, self.adapter);
         let parts = self.prompt.iter().map(AsRef::as_ref);
         let chain = Chain::of_parts(salt, BLOCK_BYTES, parts);
-        Identity { weights: weights.clone(), salt, chain, homes: 1 }
+        PrefixIdentity { weights: weights.clone(), salt, chain, homes: 1 }
     }
 
     pub(super) fn prompt_tokens(&self) -> TokenCount {
--- a/crates/daemon/src/edge/services.rs
+++ b/crates/daemon/src/edge/services.rs
@@ -17,13 +17,13 @@
 
 use super::{
     ActiveRequest, Edge,
-    admission::Counted,
+    admission::ConcurrencyPermit,
     body::{self, Body},
-    claims::{Claimed, Keyed},
+    claims::{ClaimOutcome, KeyedCall},
     idempotent,
     router::NoEndpoint,
     targets::InFlight,
-    tracked::Tracked,
+    tracked::TrackedRequest,
     upstream,
 };
 
@@ -31,22 +31,22 @@
 pub(super) const PATH_PREFIX: &str = "/services/";
 
 /// Headers of a call that the service gets.
-const PASSED_HEADERS: [&str; 3] = ["idempotency-key", "x-request-id", "user-agent"];
+const FORWARDED_HEADERS: [&str; 3] = ["idempotency-key", "x-request-id", "user-agent"];
 
 /// Most endpoints that a call which may not be repeated tries to connect to.
-const MAX_CONNECTS: usize = 3;
+const MAX_CONNECT_ATTEMPTS: usize = 3;
 
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A call to a plain service.
-pub(super) struct Call {
+pub(super) struct ServiceCall {
     organisation: OrganisationId,
     pub service: ServiceId,
     path: String,
     parts: Parts,
     body: Bytes,
     pub settings: fleet::Settings,
-    pub tracked: Tracked,
+    pub tracked: TrackedRequest,
 }
 
 /// Answers calls to plain services.
@@ -65,28 +65,29 @@
         ..Scope::default()
     };
     let settings = edge.settings(&scope);
-    let tracked = Tracked::begin(edge, &organisation, &parts.headers);
-    let shown_id = tracked.shown_id(&parts.headers);
-    active.name(tracked.id.as_str());
-    let counted = edge.gate.count(&organisation, &settings).inspect_err(|_| {
-        tracked.recorder.refusal(Refusal::OverShare);
-    })?;
+    let tracked = TrackedRequest::begin(edge, &organisation, &parts.headers);
+    let caller_id = tracked.caller_id(&parts.headers);
+    active.set_request_id(tracked.id.as_str());
+    let concurrency =
+        edge.admission.acquire_concurrency(&organisation, &settings).inspect_err(|_| {
+            tracked.recorder.refusal(Refusal::OverShare);
+        })?;
     edge.retries.earn(&settings);
-    let call = Rc::new(Call { organisation, service, path, parts, body, settings, tracked });
+    let call = Rc::new(ServiceCall { organisation, service, path, parts, body, settings, tracked });
     // A task of its own, so that a caller who hangs up cuts no call that may not be repeated.
-    let sending = tokio::task::spawn_local(send(Rc::clone(edge), call, active, counted));
-    let mut answer = sending.await.unwrap_or_else(|_| {
-        Err(Failure::broken("the call ended without an answer", Verdict::MayHaveRun))
+    let sending = tokio::task::spawn_local(send(Rc::clone(edge), call, active, concurrency));
+    let mut response = sending.await.unwrap_or_else(|_| {
+        Err(Failure::broken("the call ended without a response", Verdict::MayHaveRun))
     })?;
-    shown_id.show(&mut answer);
-    Ok(answer)
+    caller_id.set_header(&mut response);
+    Ok(response)
 }
 
 async fn send(
     edge: Rc<Edge>,
-    call: Rc<Call>,
+    call: Rc<ServiceCall>,
     _active: ActiveRequest,
-    _counted: Counted,
+    _concurrency: ConcurrencyPermit,
 ) -> Result<Response<Body>, Failure> {
     let settings = &call.settings;
     let sending = async {
@@ -103,17 +104,17 @@
         }
     };
     let timeout = tokio::time::timeout(settings.request_timeout.as_duration(), sending).await;
-    let answer = timeout.unwrap_or_else(|_| {
-        Err(Failure::timed_out("the service did not answer in time", Verdict::MayHaveRun))
+    let response = timeout.unwrap_or_else(|_| {
+        Err(Failure::timed_out("the service did not response in time", Verdict::MayHaveRun))
     });
-    record(&edge, &call, &answer);
-    answer
+    record_outcome(&edge, &call, &response);
+    response
 }
 
-fn record(edge: &Edge, call: &Call, answer: &Result<Response<Body>, Failure>) {
-    let Tracked { id, arrived, recorder, .. } = &call.tracked;
+fn record_outcome(edge: &Edge, call: &ServiceCall, response: &Result<Response<Body>, Failure>) {
+    let TrackedRequest { id, arrived, recorder, .. } = &call.tracked;
     recorder.request_duration(edge.clock.now().saturating_since(*arrived));
-    if let Err(failure) = answer {
+    if let Err(failure) = response {
         recorder.verdict(failure.verdict);
         let (service, verdict) = (&call.service, failure.verdict);
         log::warn!(request:% = id, service:%, verdict:%, detail = failure.detail; "call failed");
@@ -131,10 +132,10 @@
 }
 
 /// Sends a call without a key over a connection of its own.
-async fn send_once(edge: &Rc<Edge>, call: &Call) -> Result<Response<Body>, Failure> {
+async fn send_once(edge: &Rc<Edge>, call: &ServiceCall) -> Result<Response<Body>, Failure> {
     let Connected { mut connection, in_flight } = connect(edge, call).await?;
     let response = upstream::send_once(&mut connection, call.request(&in_flight)).await?;
-    read_answer(edge, response).await.map(ServiceAnswer::into_response)
+    read_response(edge, response).await.map(ServiceResponse::into_response)
 }
 
 /// Sends a call under a claim, so that it runs at most once whoever else sends it.
@@ -143,8 +144,8 @@
 /// nothing in doubt, and is still told the outcome of an earlier arrival.
 async fn send_claimed(
     edge: &Rc<Edge>,
-    call: &Call,
-    keyed: &Keyed,
+    call: &ServiceCall,
+    keyed: &KeyedCall,
 ) -> Result<Response<Body>, Failure> {
     let connected = connect(edge, call).await;
     let claim_timeout = call.settings.claim_send_deadline.as_duration();
@@ -154,16 +155,17 @@
     let claimed = keyed.claim(edge, claim_timeout, wait).await?;
     drop(claiming);
     let permit = match claimed {
-        Claimed::Send(permit) => permit,
-        Claimed::Answered(answer) => return Ok(answer),
+        ClaimOutcome::Send(permit) => permit,
+        ClaimOutcome::AlreadyAnswered(response) => return Ok(response),
     };
     let Connected { mut connection, in_flight } = connected?;
     let request = call.request(&in_flight);
     let sent = permit.redeem()?;
     let response = upstream::send_once(&mut connection, request).await?;
-    let answer = read_answer(edge, response).await?;
-    sent.answered(answer.kept(call.settings.max_answer_bytes.as_u32() as usize)).await;
-    Ok(answer.into_response())
+    let response = read_response(edge, response).await?;
+    sent.report_response(response.to_stored(call.settings.max_answer_bytes.as_u32() as usize))
+        .await;
+    Ok(response.into_response())
 }
 
 /// A fresh connection to an endpoint of a service.
@@ -172,13 +174,13 @@
     in_flight: InFlight,
 }
 
-async fn connect(edge: &Rc<Edge>, call: &Call) -> Result<Connected, Failure> {
+async fn connect(edge: &Rc<Edge>, call: &ServiceCall) -> Result<Connected, Failure> {
     let timeout = call.settings.connect_timeout.as_duration();
     let mut tried = Vec::new();
     let mut last = None;
-    for _ in 0..MAX_CONNECTS {
+    for _ in 0..MAX_CONNECT_ATTEMPTS {
         let routing = call.tracked.span.child(Hop::Route);
-        let chosen = edge.choose_service(call, &tried);
+        let chosen = edge.choose_service_endpoint(call, &tried);
         drop(routing);
         let (endpoint, in_flight) = match chosen {
             Ok(chosen) => chosen,
@@ -190,7 +192,7 @@
         match in_flight.target().pool().connect(timeout).await {
             Ok(connection) => return Ok(Connected { connection, in_flight }),
             Err(failure) => {
-                edge.service_ended(&endpoint, Outcome::Failed);
+                edge.record_service_outcome(&endpoint, Outcome::Failed);
                 last = Some(failure);
             }
         }
@@ -198,19 +200,19 @@
     Err(last.expect("the loop ran at least once"))
 }
 
-pub(super) fn no_endpoint(call: &Call, why: NoEndpoint) -> Failure {
+pub(super) fn no_endpoint(call: &ServiceCall, why: NoEndpoint) -> Failure {
     match why {
-        NoEndpoint::Unknown => Failure::not_found(format!("no endpoint serves {}", call.service)),
-        NoEndpoint::AllTried => Failure::unavailable(
+        NoEndpoint::NotServed => Failure::not_found(format!("no endpoint serves {}", call.service)),
+        NoEndpoint::Unavailable => Failure::unavailable(
             format!("no endpoint of {} is available", call.service),
             RETRY_AFTER,
         ),
     }
 }
 
-impl Call {
+impl ServiceCall {
     /// Returns the call with its caller's key, if it has one.
-    fn keyed(&self) -> Result<Option<Keyed>, Failure> {
+    fn keyed(&self) -> Result<Option<KeyedCall>, Failure> {
         let Some(key) = self.parts.headers.get("idempotency-key") else { return Ok(None) };
         let key: IdempotencyKey = key
             .to_str()
@@ -224,7 +226,7 @@
             .field(&self.body)
             .finish();
         let call = CallKey { organisation: self.organisation.clone(), key };
-        Ok(Some(Keyed { call, request }))
+        Ok(Some(KeyedCall { call, request }))
     }
 
     pub(super) fn request(&self, in_flight: &InFlight) -> Request<Full<Bytes>> {
@@ -251,7 +253,7 @@
             to.insert(name, value.clone());
         }
     }
-    for name in PASSED_HEADERS {
+    for name in FORWARDED_HEADERS {
         if let Some(value) = from.get(name) {
             to.insert(name, value.clone());
         }
@@ -259,33 +261,33 @@
     to.remove(AUTHORIZATION);
 }
 
-/// A service's whole answer.
-pub(super) struct ServiceAnswer {
+/// A service's whole response.
+pub(super) struct ServiceResponse {
     status: StatusCode,
     content_type: Option<HeaderValue>,
     body: Bytes,
 }
 
-/// Reads a service's whole answer, so that a cut one never passes as whole.
-pub(super) async fn read_answer(
+/// Reads a service's whole response, so that a cut one never passes as whole.
+pub(super) async fn read_response(
     edge: &Edge,
     response: Response<Incoming>,
-) -> Result<ServiceAnswer, Failure> {
+) -> Result<ServiceResponse, Failure> {
     let (parts, body) = response.into_parts();
     let max_bytes = usize::try_from(edge.cfg.limits.body_bytes.as_u64()).unwrap_or(usize::MAX);
     let body = Limited::new(body, max_bytes).collect().await.map_err(|e| {
-        Failure::broken(format!("the service's answer was cut: {e}"), Verdict::MayHaveRun)
+        Failure::broken(format!("the service's response was cut: {e}"), Verdict::MayHaveRun)
     })?;
-    Ok(ServiceAnswer {
+    Ok(ServiceResponse {
         status: parts.status,
         content_type: parts.headers.get(CONTENT_TYPE).cloned(),
         body: body.to_bytes(),
     })
 }
 
-impl ServiceAnswer {
+impl ServiceResponse {
     /// Returns what the ledger keeps; a body over `max_bytes` is left out.
-    fn kept(&self, max_bytes: usize) -> Answer {
+    fn to_stored(&self, max_bytes: usize) -> Answer {
         let content_type = self.content_type.as_ref().and_then(|text| text.to_str().ok());
         let body = (self.body.len() <= max_bytes).then(|| self.body.as_ref().into());
         Answer { status: self.status.as_u16(), content_type: content_type.map(Into::into), body }
--- a/crates/daemon/src/edge/targets.rs
+++ b/crates/daemon/src/edge/targets.rs
@@ -11,18 +11,18 @@
 
 use crate::in_flight::{self, Busy, Work};
 
-use super::upstream::Pool;
+use super::upstream::ConnectionPool;
 
 /// An endpoint as this router uses it.
 pub(super) struct Target {
     announcement: RefCell<Arc<Announcement>>,
-    written: Cell<MonotonicTime>,
+    announced_at: Cell<MonotonicTime>,
     slot: Option<Slot>,
     drained: Cell<bool>,
     /// Most requests that it ran while others waited.
     slots: Cell<u32>,
     work: Work,
-    pool: Pool,
+    pool: ConnectionPool,
 }
 
 /// A request under way at an endpoint; ends on drop.
@@ -37,13 +37,13 @@
 impl Target {
     /// Creates the view of an endpoint whose warm prefixes are known under `slot`.
     pub(super) fn new(source: IpAddr, known: &Known, slot: Option<Slot>) -> Self {
-        let pool = Pool::new(source, known.announcement.address);
+        let pool = ConnectionPool::new(source, known.announcement.address);
         Self {
             announcement: RefCell::new(Arc::clone(&known.announcement)),
-            written: Cell::new(known.written),
+            announced_at: Cell::new(known.written),
             slot,
             drained: Cell::new(false),
-            slots: Cell::new(slots_of(&known.announcement)),
+            slots: Cell::new(saturated_slots(&known.announcement)),
             work: Work::default(),
             pool,
         }
@@ -57,7 +57,7 @@
         self.announcement.borrow().data_centre.clone()
     }
 
-    pub(super) fn pool(&self) -> &Pool {
+    pub(super) fn pool(&self) -> &ConnectionPool {
         &self.pool
     }
 
@@ -80,7 +80,7 @@
             EndpointKind::Engine(engine) => engine.load,
             EndpointKind::Service(_) => Load::default(),
         };
-        (load, now.saturating_since(self.written.get()))
+        (load, now.saturating_since(self.announced_at.get()))
     }
 
     /// Returns how many requests it runs at once, 0 while it never let one wait.
@@ -98,29 +98,32 @@
     }
 
     /// Takes a newer announcement; returns whether it is of the same process.
-    pub(super) fn renew(&self, newer: &Known) -> bool {
+    pub(super) fn update(&self, newer: &Known) -> bool {
         let mut known = self.announcement.borrow_mut();
         let announcement = &newer.announcement;
         let same =
             known.incarnation == announcement.incarnation && known.address == announcement.address;
         if same {
             known.clone_from(announcement);
-            self.written.set(newer.written);
-            self.slots.set(self.slots.get().max(slots_of(&newer.announcement)));
+            self.announced_at.set(newer.written);
+            self.slots.set(self.slots.get().max(saturated_slots(&newer.announcement)));
         }
         same
     }
 
     /// Returns the weights of the model that is wanted, if the endpoint serves it.
-    pub(super) fn serves(&self, wanted: impl Fn(&ServedModel) -> bool) -> Option<WeightsVersion> {
+    pub(super) fn served_weights(
+        &self,
+        matches: impl Fn(&ServedModel) -> bool,
+    ) -> Option<WeightsVersion> {
         let announcement = self.announcement.borrow();
         let EndpointKind::Engine(engine) = &announcement.kind else { return None };
-        engine.models.iter().find(|m| wanted(m)).map(|served| served.weights.clone())
+        engine.models.iter().find(|m| matches(m)).map(|served| served.weights.clone())
     }
 }
 
 /// Returns how many requests an endpoint runs while others wait, 0 if none waits.
-fn slots_of(announcement: &Announcement) -> u32 {
+fn saturated_slots(announcement: &Announcement) -> u32 {
     match &announcement.kind {
         EndpointKind::Engine(engine) if engine.load.waiting != 0 => engine.load.running,
         EndpointKind::Engine(_) | EndpointKind::Service(_) => 0,
--- a/crates/daemon/src/edge/tracked.rs
+++ b/crates/daemon/src/edge/tracked.rs
@@ -4,11 +4,11 @@
 
 use super::{Edge, body::Body};
 
-const REQUEST_ID: &str = "x-request-id";
-const TRACEPARENT: &str = "traceparent";
+const REQUEST_ID_HEADER: &str = "x-request-id";
+const TRACEPARENT_HEADER: &str = "traceparent";
 
 /// A request as logs, metrics and spans know it.
-pub(super) struct Tracked {
+pub(super) struct TrackedRequest {
     pub id: RequestId,
     pub arrived: MonotonicTime,
     pub recorder: Recorder,
@@ -16,29 +16,30 @@
 }
 
 /// The id by which the caller knows a request: its own, or the router's.
-pub(super) struct ShownId(HeaderValue);
+pub(super) struct CallerRequestId(HeaderValue);
 
-impl Tracked {
+impl TrackedRequest {
     /// Names a request that has just arrived, and links it to its caller's trace.
     pub(super) fn begin(edge: &Edge, organisation: &OrganisationId, headers: &HeaderMap) -> Self {
         let id = edge.new_request_id();
-        let caller = headers.get(TRACEPARENT).and_then(|text| text.to_str().ok()?.parse().ok());
+        let caller =
+            headers.get(TRACEPARENT_HEADER).and_then(|text| text.to_str().ok()?.parse().ok());
         let mut span = edge.tracer.accept(caller);
         span.set("request", id.to_string());
         let recorder = edge.metrics.recorder(organisation);
         Self { id, arrived: edge.clock.now(), recorder, span }
     }
 
-    /// Returns the id that the answer shows.
-    pub(super) fn shown_id(&self, headers: &HeaderMap) -> ShownId {
+    /// Returns the id that the response shows.
+    pub(super) fn caller_id(&self, headers: &HeaderMap) -> CallerRequestId {
         let own = || HeaderValue::from_str(self.id.as_str()).expect("an id is a valid header");
-        ShownId(headers.get(REQUEST_ID).cloned().unwrap_or_else(own))
+        CallerRequestId(headers.get(REQUEST_ID_HEADER).cloned().unwrap_or_else(own))
     }
 }
 
-impl ShownId {
-    /// Puts the id into an answer.
-    pub(super) fn show(self, response: &mut Response<Body>) {
-        response.headers_mut().insert(REQUEST_ID, self.0);
+impl CallerRequestId {
+    /// Puts the id into a response.
+    pub(super) fn set_header(self, response: &mut Response<Body>) {
+        response.headers_mut().insert(REQUEST_ID_HEADER, self.0);
     }
 }
--- a/crates/daemon/src/edge/upstream.rs
+++ b/crates/daemon/src/edge/upstream.rs
@@ -14,19 +14,19 @@
 use crate::failure::Failure;
 
 /// Most idle connections kept to an endpoint.
-const MAX_IDLE: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
 /// A connection to an endpoint that can take a request.
 pub(super) type Connection = SendRequest<Full<Bytes>>;
 
 /// Connections to one endpoint.
-pub(super) struct Pool {
+pub(super) struct ConnectionPool {
     source: IpAddr,
     address: SocketAddr,
     idle: RefCell<Vec<Connection>>,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// Creates a pool of connections from the own address `source`.
     pub(super) fn new(source: IpAddr, address: SocketAddr) -> Self {
         Self { source, address, idle: RefCell::new(Vec::new()) }
@@ -64,10 +64,10 @@
         Ok((response, fresh))
     }
 
-    /// Keeps a connection whose last answer was read to its end.
-    pub(super) fn put_back(&self, connection: Connection) {
+    /// Keeps a connection whose last response was read to its end.
+    pub(super) fn return_idle(&self, connection: Connection) {
         let mut idle = self.idle.borrow_mut();
-        if idle.len() < MAX_IDLE && !connection.is_closed() {
+        if idle.len() < MAX_IDLE_CONNECTIONS && !connection.is_closed() {
             idle.push(connection);
         }
     }
@@ -92,5 +92,5 @@
     connection
         .send_request(req)
         .await
-        .map_err(|e| Failure::broken(format!("no answer: {e}"), Verdict::MayHaveRun))
+        .map_err(|e| Failure::broken(format!("no response: {e}"), Verdict::MayHaveRun))
 }
