--- a/crates/daemon/src/edge/active.rs
+++ b/crates/daemon/src/edge/active.rs
@@ -4,7 +4,7 @@
 
 use super::Edge;
 
-/// The requests under way.
+/// The requests in flight.
 #[derive(Default)]
 pub(super) struct ActiveRequests {
     last_number: u64,
@@ -17,7 +17,7 @@
     started_at: MonotonicTime,
 }
 
-/// Counts a request as active; ends on drop.
+/// Guard that counts a request as active until it is dropped.
 pub(super) struct ActiveRequest {
     edge: Rc<Edge>,
     number: u64,
@@ -28,7 +28,7 @@
         self.requests.len() as u64
     }
 
-    /// Logs each request under way as cut at `now`.
+    /// Logs each request that is aborted at `now`.
     pub(super) fn log_aborted(&self, now: MonotonicTime) {
         for RequestInfo { path, request, started_at } in self.requests.values() {
             let request = request.as_deref().unwrap_or("-");
@@ -49,7 +49,7 @@
         Self { edge: Rc::clone(edge), number }
     }
 
-    /// Names the request in logs.
+    /// Sets the id under which the request is logged.
     pub(super) fn set_request_id(&self, request: &str) {
         if let Some(info) = self.edge.active.borrow_mut().requests.get_mut(&self.number) {
             info.request = Some(request.to_owned());
--- a/crates/daemon/src/edge/admin_queries.rs
+++ b/crates/daemon/src/edge/admin_queries.rs
@@ -6,34 +6,34 @@
 
 use super::{Edge, policies::RoutingPreferences, router::EngineRequirements};
 
-/// A question of an operator.
+/// A query of the admin interface to the edge thread.
 pub(crate) enum AdminQuery {
-    /// Where a request would go.
+    /// How a request would be routed.
     Explain {
         /// The request.
         request: ExplainRequest,
-        /// Takes the response; none if no endpoint serves the request.
+        /// Takes the explanation, `None` if no endpoint serves the request.
         reply: flume::Sender<Option<Explanation>>,
     },
-    /// What is under way.
+    /// The requests in flight.
     Load {
-        /// Takes the response.
+        /// Takes the counts.
         reply: flume::Sender<Load>,
     },
 }
 
-/// What is under way at this router.
+/// Counts of the requests in flight at this router.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Load {
-    /// Requests of callers.
+    /// Requests from callers.
     pub requests: u64,
     /// Requests sent to each endpoint.
     pub endpoints: BTreeMap<EndpointId, u32>,
 }
 
-/// Answers operators until no more can ask.
-pub(super) async fn handle_all(edge: Rc<Edge>, admin_queries: flume::Receiver<AdminQuery>) {
-    while let Ok(query) = admin_queries.recv_async().await {
+/// Answers queries until the channel is closed.
+pub(super) async fn handle_all(edge: Rc<Edge>, queries: flume::Receiver<AdminQuery>) {
+    while let Ok(query) = queries.recv_async().await {
         match query {
             AdminQuery::Explain { request, reply } => {
                 let _ = reply.try_send(explain(&edge, &request));
--- a/crates/daemon/src/edge/admission.rs
+++ b/crates/daemon/src/edge/admission.rs
@@ -10,20 +10,20 @@
 
 use crate::failure::Failure;
 
-/// Requests that one engine is first taken to run at once, over all routers.
+/// Assumed concurrency of an engine that has not been full yet, over all routers.
 const INITIAL_REQUESTS_PER_ENGINE: f64 = 16.0;
 
-/// Requests let through for slots_per_engine that the engines run at once: the rest wait there, so that no slot
-/// lies idle while requests are on their way, and none waits long.
+/// Requests admitted for each that the engines run at once. The excess waits at the engines, so that
+/// no slot is idle while requests are on their way, and none waits long.
 const HEADROOM_FACTOR: f64 = 1.5;
 
-/// Time between looks at whether waiting requests can still meet their deadline.
+/// Time between checks whether waiting requests can still meet their deadline.
 const DEADLINE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a caller is told to wait when its organisation has too many requests in flight.
+/// `Retry-After` for an organisation with too many requests in flight.
 const CONCURRENCY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Shares this router's engine_share of the engines among the organisations.
+/// Admission control: shares this router's part of the engines among the organisations.
 #[derive(Clone)]
 pub(super) struct AdmissionController(Rc<RefCell<AdmissionState>>);
 
@@ -31,25 +31,25 @@
     clock: Clock,
     admission: Admission,
     capacity: Option<Capacity>,
-    /// Whether the capacity was sized by what engines showed.
+    /// Whether the capacity was set from slot counts that engines reported.
     slots_reported: bool,
     waiting: HashMap<Ticket, flume::Sender<WaitOutcome>>,
     in_flight: HashMap<OrganisationId, u32>,
 }
 
-/// The end of a wait.
+/// How the wait of a queued request ended.
 enum WaitOutcome {
     Run,
     Refuse(Refusal),
 }
 
-/// A request that is counted against its organisation; ends on drop.
+/// Guard that counts a request against its organisation's limit until it is dropped.
 pub(super) struct ConcurrencyPermit {
     controller: AdmissionController,
     organisation: OrganisationId,
 }
 
-/// A request's place among those that run or wait; given back on drop.
+/// Guard that holds a request's place in the queue or among the running; released on drop.
 pub(super) struct AdmissionPermit {
     controller: AdmissionController,
     ticket: Ticket,
@@ -69,11 +69,11 @@
         Self(Rc::new(RefCell::new(state)))
     }
 
-    /// Counts a request against its organisation until the result is dropped.
+    /// Counts a request against its organisation's limit until the permit is dropped.
     ///
     /// # Errors
     ///
-    /// Returns a refusal if the organisation has as many requests in flight as it may.
+    /// Returns a failure if the organisation has reached its limit of requests in flight.
     pub(super) fn acquire_concurrency(
         &self,
         organisation: &OrganisationId,
@@ -90,11 +90,11 @@
         Ok(ConcurrencyPermit { controller: self.clone(), organisation: organisation.clone() })
     }
 
-    /// Waits for the turn of a request that costs so many tokens.
+    /// Waits until a request with a cost in tokens is admitted.
     ///
     /// # Errors
     ///
-    /// Returns a refusal if its turn won't come before the queue deadline in `settings`.
+    /// Returns a failure if it can't be admitted before the queue deadline in `settings`.
     pub(super) async fn admit(
         &self,
         organisation: &OrganisationId,
@@ -116,27 +116,30 @@
                 match outcome_rx.recv_async().await {
                     Ok(WaitOutcome::Run) => Ok(permit),
                     Ok(WaitOutcome::Refuse(refusal)) => Err(refusal_failure(refusal)),
-                    Err(_) => Err(Failure::unavailable("the queue ended", DEADLINE_CHECK_INTERVAL)),
+                    Err(_) => Err(Failure::unavailable(
+                        "the admission queue has closed",
+                        DEADLINE_CHECK_INTERVAL,
+                    )),
                 }
             }
         }
     }
 
-    /// Sizes the capacity by this router's engine_share of the engines, slots_per_engine of which runs `slots` requests
-    /// at once, 0 if none has shown that it is full.
+    /// Sets the capacity from this router's part of the engines, each of which runs `slots` requests
+    /// at once; 0 if no engine has been full yet.
     ///
-    /// Until one has, the capacity grows quickly with the requests under way.
+    /// Until one has, the capacity grows quickly with the requests in flight.
     pub(super) fn resize(&self, engines: usize, slots: u32, routers: usize) {
         if engines == 0 {
             return;
         }
-        let engine_share = engines as f64 / routers.max(1) as f64;
-        let slots_per_engine = if slots == 0 {
+        let engines_per_router = engines as f64 / routers.max(1) as f64;
+        let requests_per_engine = if slots == 0 {
             INITIAL_REQUESTS_PER_ENGINE
         } else {
             f64::from(slots) * HEADROOM_FACTOR
         };
-        let requests = (engine_share * slots_per_engine).ceil() as u32;
+        let requests = (engines_per_router * requests_per_engine).ceil() as u32;
         let mut state = self.0.borrow_mut();
         let running = u32::try_from(state.admission.running()).unwrap_or(u32::MAX);
         if state.capacity.is_none() || (slots != 0) != state.slots_reported {
@@ -149,20 +152,20 @@
         state.set_capacity(requests);
     }
 
-    /// Learns how long a first token took.
-    pub(super) fn record_first_token(&self, took: Duration) {
+    /// Adjusts the capacity to a measured time to first token.
+    pub(super) fn record_first_token(&self, time_to_first_token: Duration) {
         let mut state = self.0.borrow_mut();
         let now = state.clock.now();
         let running = u32::try_from(state.admission.running()).unwrap_or(u32::MAX);
         let Some(capacity) = &mut state.capacity else { return };
         let before = capacity.requests();
-        let requests = capacity.record(now, took, running);
+        let requests = capacity.record(now, time_to_first_token, running);
         if requests != before {
             state.set_capacity(requests);
         }
     }
 
-    /// Refuses requests that can no longer be met in time, again and again.
+    /// Refuses waiting requests that can no longer meet their deadline, at regular intervals.
     pub(super) async fn watch_deadlines(self) {
         loop {
             tokio::time::sleep(DEADLINE_CHECK_INTERVAL).await;
@@ -208,7 +211,7 @@
         self.apply_actions(actions);
     }
 
-    /// Gives a place back, whether its request ran or waited.
+    /// Releases the place of a request that ran or waited.
     fn release(&mut self, ticket: Ticket) {
         self.waiting.remove(&ticket);
         self.admission.cancel(ticket);
@@ -217,17 +220,17 @@
         self.apply_actions(actions);
     }
 
-    /// Tells waiting requests that their turn has come or won't.
+    /// Notifies waiting requests that they are admitted or refused.
     ///
-    /// One that has gone meanwhile gives its place back by its guard.
+    /// The place of one that was cancelled meanwhile is released by its guard.
     fn apply_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
-            let (ticket, outcome_rx) = match action {
+            let (ticket, outcome) = match action {
                 Action::Run(ticket) => (ticket, WaitOutcome::Run),
                 Action::Refuse(ticket, refusal) => (ticket, WaitOutcome::Refuse(refusal)),
             };
             if let Some(tx) = self.waiting.remove(&ticket) {
-                let _ = tx.try_send(outcome_rx);
+                let _ = tx.try_send(outcome);
             }
         }
     }
--- a/crates/daemon/src/edge/announce.rs
+++ b/crates/daemon/src/edge/announce.rs
@@ -13,7 +13,7 @@
     body::{self, Body},
 };
 
-/// Takes an endpoint's announcement and hands it to the roster thread.
+/// Handles `POST /announce`: passes an endpoint's announcement to the roster thread.
 pub(super) async fn handle(
     edge: &Rc<Edge>,
     req: Request<Incoming>,
@@ -24,7 +24,7 @@
         .and_then(Announcement::try_from)
         .map_err(|e| Failure::bad_request(e.to_string()))?;
     if edge.announcements.send_async(RosterInput::Announced(announcement)).await.is_err() {
-        return Err(Failure::unavailable("the router is ending", std::time::Duration::ZERO));
+        return Err(Failure::unavailable("the router is shutting down", std::time::Duration::ZERO));
     }
     let mut response = Response::new(Body::empty());
     *response.status_mut() = StatusCode::NO_CONTENT;
--- a/crates/daemon/src/edge/auth.rs
+++ b/crates/daemon/src/edge/auth.rs
@@ -8,7 +8,7 @@
 
 use crate::failure::Failure;
 
-/// The keys that callers and endpoints may show, kept as digests.
+/// Accepted keys of callers and endpoints, stored as digests.
 pub(super) struct AuthKeys {
     fleet: Digest,
     organisations: HashMap<Digest, OrganisationId>,
@@ -26,9 +26,9 @@
         }
     }
 
-    /// Returns the organisation whose key the request shows.
+    /// Returns the organisation whose key the request carries.
     ///
-    /// A key of the declaration in force counts before one of the settings.
+    /// Keys in the declaration in force take precedence over those in the host's settings.
     pub(super) fn organisation(&self, headers: &HeaderMap) -> Result<OrganisationId, Failure> {
         let presented = bearer_digest(headers)?;
         let in_force = self.configurations.in_force();
@@ -43,7 +43,7 @@
         matching.map(|(_, organisation)| organisation.clone()).ok_or_else(Failure::unauthorised)
     }
 
-    /// Checks that the request shows the fleet's key.
+    /// Checks that the request carries the fleet's key.
     pub(super) fn check_fleet(&self, headers: &HeaderMap) -> Result<(), Failure> {
         let presented = bearer_digest(headers)?;
         if !digests_equal(&self.fleet, &presented) {
--- a/crates/daemon/src/edge/body.rs
+++ b/crates/daemon/src/edge/body.rs
@@ -12,15 +12,15 @@
 
 use super::{ActiveRequest, Edge};
 
-/// The body of a response.
+/// The body of a response to a caller.
 pub(super) enum Body {
-    /// A body that is there as a whole.
+    /// A complete body.
     Whole(Full<Bytes>),
-    /// A body that is written as it arrives.
+    /// A body that is sent chunk by chunk as it arrives.
     Streamed(StreamBody),
 }
 
-/// A body that a task writes into a ring.
+/// A body that a task writes into a channel.
 pub(super) struct StreamBody {
     rx: flume::r#async::RecvStream<'static, Bytes>,
     _task: AbortOnDrop,
@@ -82,7 +82,7 @@
     }
 }
 
-/// Reads a request's body within the settings' bounds on size and time.
+/// Reads a request's body within the configured limits on size and time.
 pub(super) async fn read(edge: &Edge, body: Incoming) -> Result<Bytes, Failure> {
     let max_bytes = usize::try_from(edge.cfg.limits.body_bytes.as_u64()).unwrap_or(usize::MAX);
     let reading = Limited::new(body, max_bytes).collect();
@@ -90,6 +90,6 @@
         Err(_) => Err(Failure::slow_body(edge.cfg.timeouts.body)),
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(e)) if e.is::<LengthLimitError>() => Err(Failure::body_too_large(max_bytes)),
-        Ok(Err(_)) => Err(Failure::bad_request("the body is cut or malformed")),
+        Ok(Err(_)) => Err(Failure::bad_request("the body is incomplete or malformed")),
     }
 }
--- a/crates/daemon/src/edge/buffered_response.rs
+++ b/crates/daemon/src/edge/buffered_response.rs
@@ -9,7 +9,7 @@
 
 use crate::failure::Failure;
 
-/// The pieces of a response put together, for a caller that wants no stream.
+/// A response assembled from its chunks, for a caller that did not ask for a stream.
 #[derive(Default)]
 pub(super) struct BufferedResponse {
     choices: BTreeMap<u32, BufferedChoice>,
@@ -23,14 +23,14 @@
 }
 
 impl BufferedResponse {
-    /// Adds a chunk.
+    /// Appends a chunk.
     ///
     /// # Errors
     ///
     /// Returns a failure if the chunk is malformed.
     pub(super) fn add(&mut self, data: &str) -> Result<(), Failure> {
         let chunk = Chunk::parse(data)
-            .map_err(|e| Failure::broken(format!("a malformed chunk: {e}"), Verdict::MayHaveRun))?;
+            .map_err(|e| Failure::broken(format!("malformed chunk: {e}"), Verdict::MayHaveRun))?;
         for piece in &chunk.choices {
             let choice = self.choices.entry(piece.index).or_default();
             choice.text.push_str(piece.text().unwrap_or_default());
--- a/crates/daemon/src/edge/claims.rs
+++ b/crates/daemon/src/edge/claims.rs
@@ -16,41 +16,41 @@
 
 use super::{Edge, body::Body};
 
-/// Pause between two looks at a call that another host has claimed.
+/// Time between polls of a call that another host has claimed.
 const CLAIM_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time for which a report holds up the end of the process.
+/// Longest time for which a report to the ledger delays a drain.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time for which a response waits until the ledger has it.
-const RECORD_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest time for which a response is held back until the ledger has stored it.
+const STORE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What callers are reported to wait when no quorum is reached.
+/// `Retry-After` when no quorum is reached or the organisation has too many open calls.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A call that may not be repeated, with the name that its caller gave it.
+/// A non-idempotent call with its caller's idempotency key.
 pub(super) struct KeyedCall {
     pub call: CallKey,
     pub request: Digest,
 }
 
-/// What a claim allows.
+/// Outcome of a claim that succeeded.
 pub(super) enum ClaimOutcome {
     /// The call may be sent once.
     Send(SendPermit),
-    /// The call was sent before, and this was its response.
+    /// The call was sent before; this is its stored response.
     AlreadyAnswered(Response<Body>),
 }
 
-/// The right to send a call once, until a deadline.
+/// Permission to send a call once, until a deadline.
 ///
-/// A permit that is dropped unused is given back, since its call was never sent.
+/// Dropping an unused permit releases the claim, since the call was never sent.
 pub(super) struct SendPermit {
     attempt: ClaimAttempt,
     deadline: MonotonicTime,
 }
 
-/// An attempt to claim a call; released on drop unless it is used or known to hold nothing.
+/// An attempt to claim a call; released on drop unless it is used or known not to hold the claim.
 struct ClaimAttempt {
     edge: Rc<Edge>,
     call: CallKey,
@@ -60,7 +60,7 @@
 }
 
 impl KeyedCall {
-    /// Claims the call, or waits for the response of whoever did.
+    /// Claims the call, or waits for the stored response if another attempt has claimed it.
     pub(super) async fn claim(
         &self,
         edge: &Rc<Edge>,
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Waits until the call is no longer claimed by another.
+    /// Polls the ledger until the call is no longer claimed by `owner`.
     async fn wait_until_settled(
         &self,
         edge: &Edge,
@@ -139,13 +139,13 @@
                 return Ok(());
             }
         }
-        let detail = format!("{owner} holds the call and has not reported its outcome");
+        let detail = format!("{owner} has claimed the call and not yet reported its outcome");
         Err(Failure::timed_out(detail, Verdict::MayHaveRun))
     }
 }
 
 impl SendPermit {
-    /// Uses the permit up, right before the first byte is sent.
+    /// Consumes the permit; called right before the first byte is sent.
     ///
     /// # Errors
     ///
@@ -153,7 +153,10 @@
     pub(super) fn redeem(mut self) -> Result<SentCall, Failure> {
         let attempt = &mut self.attempt;
         if self.deadline <= attempt.edge.clock.now() {
-            return Err(Failure::timed_out("the claim took too long", Verdict::NotRun));
+            return Err(Failure::timed_out(
+                "the deadline to send the claimed call has passed",
+                Verdict::NotRun,
+            ));
         }
         attempt.release_on_drop = false;
         let (edge, call) = (Rc::clone(&attempt.edge), attempt.call.clone());
@@ -186,13 +189,13 @@
 }
 
 impl SentCall {
-    /// Reports the response, and waits a while until the ledger has it.
+    /// Reports the response, and waits up to [`STORE_RESPONSE_TIMEOUT`] until the ledger has stored it.
     ///
-    /// The report goes on after the wait, and if the wait is cancelled.
+    /// The report continues after the timeout, and if the wait is cancelled.
     pub(super) async fn report_response(mut self, response: Answer) {
         self.reported = true;
         let report = self.report(Outcome::Answered(response));
-        let _ = tokio::time::timeout(RECORD_TIMEOUT, report).await;
+        let _ = tokio::time::timeout(STORE_RESPONSE_TIMEOUT, report).await;
     }
 
     fn report(&self, outcome: Outcome) -> JoinHandle<()> {
@@ -218,7 +221,7 @@
     }
 }
 
-/// Tells the ledger that this host's earlier processes have ended.
+/// Reports to the ledger that this host's earlier incarnations have ended.
 pub(super) async fn report_earlier_incarnations_ended(edge: Rc<Edge>) {
     let before = edge.owner.incarnation.as_u64().saturating_sub(1);
     let owner = Owner { host: edge.owner.host.clone(), incarnation: Incarnation::new(before) };
@@ -226,17 +229,17 @@
     while command(&edge, Command::OwnerGone(gone.clone()), REPORT_TIMEOUT).await.is_err() {}
 }
 
-/// Tells the ledger of a call, for as long as it takes.
+/// Submits a command to the ledger until it is committed.
 ///
-/// The process doesn't end gracefully before that, or before [`REPORT_TIMEOUT`].
-async fn submit_until_accepted(edge: Rc<Edge>, reported: Command) {
+/// A drain waits for it for up to [`REPORT_TIMEOUT`].
+async fn submit_until_accepted(edge: Rc<Edge>, report: Command) {
     let active = edge.begin_report();
-    if command(&edge, reported.clone(), REPORT_TIMEOUT).await.is_ok() {
+    if command(&edge, report.clone(), REPORT_TIMEOUT).await.is_ok() {
         return;
     }
     drop(active);
-    log::warn!("the ledger has not been reported yet: {reported:?}");
-    while command(&edge, reported.clone(), REPORT_TIMEOUT).await.is_err() {}
+    log::warn!("report not yet committed to the ledger, retrying: {report:?}");
+    while command(&edge, report.clone(), REPORT_TIMEOUT).await.is_err() {}
 }
 
 async fn command(edge: &Edge, command: Command, timeout: Duration) -> Result<Reply, NoAnswer> {
@@ -246,12 +249,13 @@
     }
 }
 
-/// Refuses a call that this host didn't send.
+/// Returns the failure for a call that this host didn't send because no quorum was reached.
 ///
-/// An earlier arrival may have run it, which only the quorum knows.
+/// An earlier request with the same key may have run, which only the quorum knows, so the verdict
+/// is [`Verdict::MayHaveRun`].
 fn no_quorum() -> Failure {
-    let detail = "no quorum could commit the claim in time: this request was not sent, but whether \
-                  an earlier one with its key was isn't known; send it again with the same key";
+    let detail = "no quorum committed the claim in time: this request was not sent, but an earlier \
+                  one with the same key may have been; send it again with the same key";
     let mut failure = Failure::unavailable(detail, RETRY_AFTER);
     failure.title = "no quorum";
     failure.verdict = Verdict::MayHaveRun;
@@ -264,7 +268,7 @@
             stored_response(response).map(ClaimOutcome::AlreadyAnswered)
         }
         ClaimReply::Ran => {
-            Err(already_ran("the call already_ran by an operator's word; no response is known"))
+            Err(already_ran("an operator settled the call as run; its response is not known"))
         }
         ClaimReply::MayHaveRun { why, .. } => {
             let why = match why {
@@ -295,7 +299,7 @@
 
 fn stored_response(stored: Answer) -> Result<Response<Body>, Failure> {
     let Some(body) = stored.body else {
-        return Err(already_ran("the call already_ran; its response was too large to keep"));
+        return Err(already_ran("the call ran; its response was too large to store"));
     };
     let mut response = Response::new(Body::whole(Bytes::copy_from_slice(&body)));
     *response.status_mut() = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
--- a/crates/daemon/src/edge/completions.rs
+++ b/crates/daemon/src/edge/completions.rs
@@ -28,10 +28,10 @@
     tracked::TrackedRequest,
 };
 
-/// Pieces of a response that wait for a slow caller, before the engine's stream is held back.
+/// Items buffered for a slow caller before backpressure reaches the engine's stream.
 const CHANNEL_CAPACITY: usize = 64;
 
-/// Answers `POST /v1/completions` and `POST /v1/chat/completions`.
+/// Handles `POST /v1/completions` and `POST /v1/chat/completions`.
 pub(super) async fn handle(
     edge: &Rc<Edge>,
     req: Request<Incoming>,
@@ -98,15 +98,15 @@
     Ok(response)
 }
 
-/// Returns the last event that the caller got of a stream that it resumes.
+/// Returns the last event that the caller received of a stream that it resumes.
 fn last_event_id(headers: &HeaderMap) -> Result<Option<EventId>, Failure> {
     let Some(id) = headers.get("last-event-id") else { return Ok(None) };
-    let id = id.to_str().map_err(|_| Failure::bad_request("\"Last-Event-ID\" is no text"))?;
+    let id = id.to_str().map_err(|_| Failure::bad_request("\"Last-Event-ID\" is not text"))?;
     let id = id.parse().map_err(|e: ParseError| Failure::bad_request(e.to_string()))?;
     Ok(Some(id))
 }
 
-/// Answers `GET /v1/models`.
+/// Handles `GET /v1/models`.
 pub(super) fn models(edge: &Edge, req: &Request<Incoming>) -> Result<Response<Body>, Failure> {
     edge.keys.organisation(req.headers())?;
     let models = edge.router.borrow().models();
@@ -114,7 +114,7 @@
     Ok(json_response(&json!({"object": "list", "data": list})))
 }
 
-/// Returns the prompt's length in bytes, unless it is longer than the settings allow.
+/// Returns the prompt's length in bytes, or a failure if it exceeds the limit in the settings.
 fn check_prompt(completion: &Completion, settings: &fleet::Settings) -> Result<usize, Failure> {
     let max_bytes = settings.max_prompt_bytes.as_u32() as usize;
     let bytes = completion.prompt_parts().iter().map(|part| part.len()).sum();
@@ -124,7 +124,7 @@
     Ok(bytes)
 }
 
-/// Returns what a completion is charged with: tokens to prefill and to generate.
+/// Returns the admission cost of a completion: tokens to prefill and to generate.
 fn admission_cost(prompt_bytes: usize, max_tokens: Option<u64>) -> TokenCount {
     let prompt = prompt_bytes.div_ceil(router::BYTES_PER_TOKEN) as u64;
     TokenCount::new(prompt.saturating_add(max_tokens.unwrap_or(0)))
@@ -142,7 +142,7 @@
     }
 }
 
-/// Starts a streamed response once the engine has sent its first item.
+/// Starts a streamed response once the relay has sent its first item.
 async fn streamed(
     rx: flume::Receiver<StreamItem>,
     task: AbortOnDrop,
@@ -193,7 +193,7 @@
     }
 }
 
-/// Collects the pieces of a response for a caller that wants no stream.
+/// Collects a response for a caller that did not ask for a stream.
 async fn buffered(
     request: &RequestId,
     kind: CompletionKind,
--- a/crates/daemon/src/edge/drains.rs
+++ b/crates/daemon/src/edge/drains.rs
@@ -2,15 +2,15 @@
 use fleet::{Declaration, Scope};
 use member::Announcement;
 
-/// Returns a test of whether operators want an endpoint to get no new work at `now`.
+/// Returns a predicate for the endpoints that the declaration drains at `now`.
 pub(super) fn is_drained(
     declaration: &Declaration,
     now: UnixMillis,
 ) -> impl Fn(&Announcement) -> bool + '_ {
     let exceptions = &declaration.contents().exceptions;
-    let none = exceptions.iter().all(|exception| exception.set.drain.is_none());
+    let none_drain = exceptions.iter().all(|exception| exception.set.drain.is_none());
     move |announcement| {
-        if none {
+        if none_drain {
             return false;
         }
         let scope = Scope {
--- a/crates/daemon/src/edge/idempotent.rs
+++ b/crates/daemon/src/edge/idempotent.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services that may be repeated: retried on failure, and hedged when late.
+//! Idempotent calls to plain services: retried on failure, and hedged when the response is late.
 
 use std::{rc::Rc, time::Duration};
 
@@ -16,15 +16,15 @@
     targets::InFlight,
 };
 
-/// Most endpoints tried for a call, hedged ones aside.
+/// Most endpoints tried for a call, not counting hedges.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// Sends a call, and again to another endpoint if it fails.
+/// Sends a call, and retries it at another endpoint if it fails.
 pub(super) async fn send(edge: &Rc<Edge>, call: &ServiceCall) -> Result<Response<Body>, Failure> {
     let mut tried = Vec::new();
     let mut last = None;
     for attempt in 0..MAX_ATTEMPTS {
-        if last.is_some() && !edge.retries.wait(attempt - 1).await {
+        if last.is_some() && !edge.retries.try_spend_and_wait(attempt - 1).await {
             break;
         }
         if last.is_some() {
@@ -43,9 +43,9 @@
     Err(last.expect("the loop ran at least once"))
 }
 
-/// Sends a call, and to a second endpoint too if the response is late and the settings say so.
+/// Sends a call, and a hedge to a second endpoint if the response is late and the settings allow it.
 ///
-/// The first response counts; the other call is cut.
+/// The first successful response is returned; the other call is cancelled.
 async fn attempt_hedged(
     edge: &Edge,
     call: &ServiceCall,
--- a/crates/daemon/src/edge/listen.rs
+++ b/crates/daemon/src/edge/listen.rs
@@ -19,16 +19,16 @@
 /// Most header fields in a request.
 const MAX_HEADERS: usize = 64;
 
-/// Serves callers until told to end.
+/// Serves callers until commanded to stop.
 pub(super) async fn run(
     edge: Rc<Edge>,
     listener: std::net::TcpListener,
-    control: flume::Receiver<ServerCommand>,
+    commands: flume::Receiver<ServerCommand>,
 ) -> ServerExit {
     let listener = TcpListener::from_std(listener).expect("the listener is in non-blocking mode");
     let (drain_tx, drain_rx) = watch::channel(false);
     let accepting = tokio::task::spawn_local(serve::accept(Rc::clone(&edge), listener, drain_rx));
-    serve::until_ended(&*edge, &control, &drain_tx, None).await;
+    serve::until_ended(&*edge, &commands, &drain_tx, None).await;
     accepting.abort();
     let active = edge.active.borrow();
     active.log_aborted(edge.clock.now());
@@ -68,7 +68,7 @@
 
 async fn handle(edge: Rc<Edge>, req: Request<Incoming>) -> Response<Body> {
     let active = ActiveRequest::begin(&edge, req.uri().path());
-    let response = match (req.method(), req.uri().path()) {
+    let result = match (req.method(), req.uri().path()) {
         (&Method::POST, "/v1/completions" | "/v1/chat/completions") => {
             completions::handle(&edge, req, active).await
         }
@@ -82,7 +82,7 @@
         }
         _ => Err(Failure::not_found("no such path")),
     };
-    let mut response = response.unwrap_or_else(|failure| failure.to_response());
+    let mut response = result.unwrap_or_else(|failure| failure.to_response());
     if edge.leaving.get() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
--- a/crates/daemon/src/edge/mod.rs
+++ b/crates/daemon/src/edge/mod.rs
@@ -55,30 +55,30 @@
 
 pub(crate) use admin_queries::{AdminQuery, Load};
 
-/// Time that a request waits for the first endpoints, as right after the start.
+/// Longest wait of a request for the first endpoints, such as right after the start.
 const FIRST_ROSTER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Age from which a view of the endpoints is not believed, as after a pause of the whole process.
+/// Age from which a roster is stale, such as after a pause of the whole process.
 const MAX_ROSTER_AGE: Duration = Duration::from_millis(1_500);
 
-/// Time between looks for the first endpoints.
+/// Time between checks for the first endpoints.
 const ROSTER_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// EdgeChannels that join the edge thread to the others.
+/// Channels between the edge thread and the other threads.
 pub(crate) struct EdgeChannels {
-    /// Newest view of the endpoints.
+    /// Rosters of the known endpoints and routers.
     pub rosters: flume::Receiver<Arc<Roster>>,
-    /// Announcements that endpoints posted here.
+    /// Announcements that endpoints posted to this host.
     pub announcements: flume::Sender<RosterInput>,
-    /// Orders to drain or to end.
+    /// Commands to drain or to stop.
     pub control: flume::Receiver<ServerCommand>,
-    /// Questions of operators.
+    /// Queries of the admin interface.
     pub admin_queries: flume::Receiver<AdminQuery>,
     /// The configuration in force.
     pub configurations: Configurations,
-    /// The way to the quorum's leader.
+    /// Client of the quorum's leader.
     pub leader: LeaderClient,
-    /// The life of this process.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
     /// The process's metrics.
     pub metrics: Arc<Metrics>,
@@ -86,21 +86,21 @@
     pub tracer: Tracer,
 }
 
-/// An order to the edge thread.
+/// A command to the edge or gateway thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ServerCommand {
-    /// Serve what still arrives, and ask callers to use other hosts.
+    /// Serve new requests, and ask callers to use other hosts.
     Leave,
-    /// Accept nothing new and end once all requests have ended.
+    /// Accept no new connections, and stop once all requests have ended.
     Drain,
-    /// End now.
+    /// Stop now.
     Abort,
 }
 
-/// How the edge thread ended.
+/// How the edge or gateway thread stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerExit {
-    /// Requests that had not ended.
+    /// Requests still in flight when the thread stopped.
     pub cut: u64,
 }
 
@@ -109,7 +109,7 @@
     cfg: Arc<Settings>,
     keys: AuthKeys,
     router: RefCell<Router>,
-    /// When the router's view of the endpoints was made.
+    /// When the router's roster was made.
     roster_at: Cell<MonotonicTime>,
     admission: AdmissionController,
     retries: Retries,
@@ -162,10 +162,10 @@
         self.in_force.borrow().declaration.effective(scope, self.clock.wall())
     }
 
-    /// Waits a moment until a fresh view shows some endpoint.
+    /// Waits until a fresh roster lists an endpoint, for at most [`FIRST_ROSTER_TIMEOUT`].
     ///
-    /// So a restarted router serves at once, and one that was frozen sends nothing to endpoints
-    /// whose leases have ended meanwhile.
+    /// A router that has just restarted thus serves its first requests, and one that was paused
+    /// sends none to endpoints whose leases have expired meanwhile.
     async fn wait_for_endpoints(&self) {
         let until = self.clock.now() + FIRST_ROSTER_TIMEOUT;
         while !self.has_fresh_endpoints() && self.clock.now() < until {
@@ -187,12 +187,12 @@
         self.router.borrow_mut().choose_service_endpoint(self.clock.now(), &call.service, tried)
     }
 
-    /// Learns how a call at an endpoint of a plain service went.
+    /// Records the outcome of a call at an endpoint of a plain service.
     fn record_service_outcome(&self, endpoint: &EndpointId, outcome: Outcome) {
         self.router.borrow_mut().record_service_outcome(self.clock.now(), endpoint, outcome);
     }
 
-    /// Keeps the process from ending before a report is made.
+    /// Counts a report to the ledger as an active request, so that a drain waits for it.
     fn begin_report(self: &Rc<Self>) -> ActiveRequest {
         ActiveRequest::begin(self, "report")
     }
@@ -205,11 +205,11 @@
     }
 }
 
-/// Starts the edge thread on a listener that is already bound, and waits until it serves.
+/// Starts the edge thread on a bound listener, and waits until it runs.
 ///
 /// # Errors
 ///
-/// Returns an error if the thread or its runtime can't be made.
+/// Returns an error if the thread or its runtime can't be created.
 pub(crate) fn spawn(
     cfg: Arc<Settings>,
     clock: Clock,
--- a/crates/daemon/src/edge/policies.rs
+++ b/crates/daemon/src/edge/policies.rs
@@ -8,13 +8,13 @@
     WarmV1,
 };
 
-/// How a request's endpoint is chosen, by the settings in force for it.
+/// Routing settings in force for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct RoutingPreferences {
     pub policy: RoutingPolicy,
     pub warmth_weight: f64,
     pub wait_weight: f64,
-    /// Blocks of the prompt that decide its home.
+    /// Leading blocks of the prompt that decide its home.
     pub placement_level: usize,
     pub kv_transfer: KvTransfer,
 }
@@ -31,16 +31,16 @@
     }
 }
 
-/// Fewest computed tokens that tell an engine's rate.
+/// Fewest computed tokens from which a prefill rate is sampled.
 const MIN_RATE_SAMPLE_TOKENS: u64 = 128;
 
-/// Part of the estimated rate that one response makes up.
+/// Inverse of a sample's weight in the moving average of the prefill rate.
 const RATE_SMOOTHING: u64 = 16;
 
-/// Part of the estimated time that one request makes up.
+/// Inverse of a sample's weight in the moving average of the hold time.
 const HOLD_TIME_SMOOTHING: u32 = 64;
 
-/// Every policy, with what it remembers from choice to choice.
+/// The routing policies, with the state that they keep between choices.
 #[derive(Default)]
 pub(super) struct Policies {
     round_robin: RoundRobin,
@@ -82,7 +82,7 @@
         self.warm.explain(req, candidates)
     }
 
-    /// Learns the engines' prefill rate from a response to the only request under way.
+    /// Updates the engines' prefill rate from a response to the engine's only request in flight.
     pub(super) fn record_prefill_rate(&mut self, computed_tokens: u64, elapsed: Duration) {
         if computed_tokens < MIN_RATE_SAMPLE_TOKENS || elapsed.is_zero() {
             return;
@@ -92,19 +92,19 @@
         self.prefill_rate = Some((previous * (RATE_SMOOTHING - 1) + rate) / RATE_SMOOTHING);
     }
 
-    /// Learns how long an engine elapsed from a request's first token to its last.
+    /// Updates the hold time with an engine's time from a request's first token to its last.
     pub(super) fn record_hold_time(&mut self, elapsed: Duration) {
         let previous = self.hold_time.unwrap_or(elapsed);
         self.hold_time =
             Some((previous * (HOLD_TIME_SMOOTHING - 1) + elapsed) / HOLD_TIME_SMOOTHING);
     }
 
-    /// Returns how long a request holds an engine's slot, if one has ended.
+    /// Returns the average time for which a request holds an engine's slot, if one has ended.
     pub(super) fn hold_time(&self) -> Option<Duration> {
         self.hold_time
     }
 
-    /// Returns the engines' prefill rate.
+    /// Returns the estimated prefill rate of the engines.
     pub(super) fn prefill_rate(&self) -> TokenRate {
         self.prefill_rate.map_or(WarmSettings::default().prefill_rate, TokenRate::new)
     }
--- a/crates/daemon/src/edge/prefix_tracker.rs
+++ b/crates/daemon/src/edge/prefix_tracker.rs
@@ -3,16 +3,16 @@
 use base::{ByteCount, EndpointId, Incarnation, MonotonicTime};
 use prefix::{BlockHash, Chain, HotPrefixes, IndexSettings, Replication, Slot, WarmIndex, Warmth};
 
-/// Most memory for what is believed of the engines' caches.
+/// Most memory of the index of cached prefixes.
 const MAX_INDEX_BYTES: ByteCount = ByteCount::new(64 << 20);
 
-/// Prefixes whose rate of requests is followed.
+/// Most prefixes whose request rate is tracked.
 const MAX_HOT_PREFIXES: usize = 4_096;
 
-/// Time over which a prefix's rate of requests is averaged.
+/// Window over which a prefix's request rate is averaged.
 const HOT_RATE_WINDOW: Duration = Duration::from_secs(5);
 
-/// What this router believes of the engines' caches, and how hot prefixes are.
+/// Tracks which prefixes engines are expected to have cached, and how often each is requested.
 pub(super) struct PrefixTracker {
     index: WarmIndex,
     hot: HotPrefixes,
@@ -22,7 +22,7 @@
 }
 
 impl PrefixTracker {
-    /// Creates an empty memory; `seed` keeps callers from crowding a bucket of it.
+    /// Creates an empty tracker; `seed` keeps callers from crowding one bucket of the index.
     pub(super) fn new(seed: u64) -> Self {
         let settings = IndexSettings { memory: MAX_INDEX_BYTES, seed, ..IndexSettings::default() };
         Self {
@@ -39,17 +39,17 @@
         self.routers = routers.max(1) as f64;
     }
 
-    /// Sets how many requests a second for one prefix a home takes.
+    /// Sets how many requests per second for one prefix a home takes.
     pub(super) fn set_rate_per_home(&mut self, rate: f64) {
         self.replication.rate_per_home = rate;
     }
 
-    /// Binds an engine's life to a slot; a new life is believed to hold nothing.
+    /// Binds an engine's incarnation to a slot; the cache of a new one is expected to be empty.
     pub(super) fn bind(&mut self, endpoint: &EndpointId, incarnation: Incarnation) -> Option<Slot> {
         self.index.bind(endpoint, incarnation)
     }
 
-    /// Forgets an engine.
+    /// Removes an engine.
     pub(super) fn unbind(&mut self, endpoint: &EndpointId) {
         self.index.unbind(endpoint);
     }
@@ -65,22 +65,22 @@
         self.replication.homes(self.hot.rate(now, prefix) * self.routers)
     }
 
-    /// Finds how much of `chain` each engine is believed to hold.
+    /// Looks up how much of `chain` each engine is expected to have cached.
     pub(super) fn match_chain(&mut self, now: MonotonicTime, chain: &Chain) {
         self.index.warm_blocks(now, chain, &mut self.matches);
     }
 
-    /// Returns the blocks that the last measurement found at an engine.
+    /// Returns the blocks that the last lookup found for an engine.
     pub(super) fn matched_blocks(&self, slot: Slot) -> usize {
         self.matches.blocks(slot)
     }
 
-    /// Learns that a request was sent.
+    /// Records that a request was sent, whose blocks the engine will cache.
     pub(super) fn record_sent(&mut self, now: MonotonicTime, slot: Slot, chain: &Chain) {
         self.index.learn_sent(now, slot, chain);
     }
 
-    /// Learns that a request failed, so that what it was to leave behind may be missing.
+    /// Records that a request failed, so that the blocks it would have cached may be missing.
     pub(super) fn record_failure(
         &mut self,
         now: MonotonicTime,
@@ -91,7 +91,7 @@
         self.index.learn_cached(now, slot, chain, cached_blocks);
     }
 
-    /// Learns how much of a prompt an engine had cached.
+    /// Records how many blocks of a prompt an engine had cached, against those expected.
     pub(super) fn record_response(
         &mut self,
         now: MonotonicTime,
--- a/crates/daemon/src/edge/relay/attempt.rs
+++ b/crates/daemon/src/edge/relay/attempt.rs
@@ -17,40 +17,40 @@
 
 use super::{Relay, RelayEnd};
 
-/// Asks an engine for the rest of a stream after some of its tokens.
+/// Header that asks an engine for the rest of a stream after so many of its tokens.
 const RESUME_AFTER_HEADER: &str = "x-resume-after";
 
-/// Longest part of an engine's refusal that callers are shown.
+/// Longest part of an engine's refusal that is passed on to callers.
 const MAX_REFUSAL_BYTES: usize = 512;
 
-/// Why an attempt gave no whole response.
+/// Why an attempt did not complete the response.
 pub(super) struct AttemptError {
     pub failure: Failure,
-    /// Whether the engine may hold the stream.
+    /// Whether the engine may still hold the stream.
     pub resumable: bool,
-    /// Whether no other engine is to be asked.
+    /// Whether no other engine may be tried.
     pub is_final: bool,
 }
 
 impl AttemptError {
-    /// A stream that no engine holds.
+    /// No engine holds the stream.
     pub(super) fn stream_gone() -> Self {
-        let detail = "the engine no longer holds the stream; ask again without Last-Event-ID";
+        let detail = "the engine no longer holds the stream; retry without Last-Event-ID";
         Self { failure: Failure::gone(detail), resumable: false, is_final: true }
     }
 
-    /// A stream that was cut on its way.
+    /// The stream was interrupted or malformed.
     pub(super) fn interrupted(detail: impl Into<String>) -> Self {
         let failure = Failure::broken(detail, Verdict::MayHaveRun);
         Self { failure, resumable: true, is_final: false }
     }
 
-    /// An engine that sends nothing any more.
+    /// The engine sent no data within the timeout.
     pub(super) fn timed_out() -> Self {
-        Failure::timed_out("the engine sent nothing in time", Verdict::MayHaveRun).into()
+        Failure::timed_out("the engine sent no data in time", Verdict::MayHaveRun).into()
     }
 
-    /// A stream that goes on at another router.
+    /// The caller has resumed the stream on another connection.
     pub(super) fn taken_over() -> Self {
         let failure = Failure::new(
             StatusCode::CONFLICT,
@@ -69,7 +69,7 @@
 }
 
 impl Relay<'_> {
-    /// Asks an engine for the response, or for its rest if it `resumes`.
+    /// Requests the response from an engine, or the rest of it if the attempt `resumes`.
     pub(super) async fn attempt(&mut self, chosen: &ChosenEngine, resumes: bool) -> RelayEnd {
         let pool = chosen.in_flight.target().pool();
         let mut span = self.job.span.child(Hop::Connect);
@@ -118,8 +118,8 @@
     fn request(&self, chosen: &ChosenEngine, resumes: bool) -> Request<Full<Bytes>> {
         let salt = cache_salt(chosen.salt);
         let priority = self.job.settings.priority.as_u32().cast_signed();
-        let begun = Delivered::default();
-        let received = if resumes { &begun } else { self.progress.received() };
+        let nothing = Delivered::default();
+        let received = if resumes { &nothing } else { self.progress.received() };
         let body =
             self.job.completion.to_engine(&salt, priority, received, chosen.transfer.as_ref());
         let path = match self.job.completion.kind() {
@@ -149,7 +149,7 @@
     ) -> AttemptError {
         let body = Limited::new(body, MAX_REFUSAL_BYTES).collect().await;
         let text = body.map(|body| String::from_utf8_lossy(&body.to_bytes()).into_owned());
-        let detail = format!("the engine answered {status}: {}", text.unwrap_or_default());
+        let detail = format!("the engine responded with {status}: {}", text.unwrap_or_default());
         if resumes {
             return self.resume_error(status, detail);
         }
--- a/crates/daemon/src/edge/relay/forward.rs
+++ b/crates/daemon/src/edge/relay/forward.rs
@@ -13,14 +13,14 @@
 
 use super::{Relay, RelayEnd, StreamItem, attempt::AttemptError, progress::ChunkAction};
 
-/// Longest event taken from an engine.
+/// Longest event accepted from an engine.
 const MAX_EVENT_BYTES: ByteCount = ByteCount::new(1 << 20);
 
-/// Type of the event with which an engine tells that another reader has taken the stream over.
+/// Type of the event that an engine sends when another reader has taken over the stream.
 const TAKEN_OVER_EVENT: &str = "received-over";
 
 impl Relay<'_> {
-    /// Passes an engine's events on until the stream ends.
+    /// Forwards an engine's events to the caller until the stream ends.
     pub(super) async fn forward_events(
         &mut self,
         chosen: &ChosenEngine,
@@ -65,14 +65,14 @@
         }
     }
 
-    /// Takes an event; returns how the attempt ends if it ends with it.
+    /// Handles an event; returns how the attempt ends if this event ends it.
     async fn handle_event(&mut self, chosen: &ChosenEngine, event: Event) -> Option<RelayEnd> {
         if event.data == DONE {
             if self.progress.has_final_chunk() {
                 return Some(RelayEnd::Done);
             }
             return Some(RelayEnd::Failed(AttemptError::interrupted(
-                "the end mark came before the response's end",
+                "[DONE] came before the final chunk",
             )));
         }
         if event.kind.as_deref() == Some(TAKEN_OVER_EVENT) {
@@ -82,13 +82,16 @@
             Ok(chunk) => chunk,
             Err(e) => {
                 return Some(RelayEnd::Failed(AttemptError::interrupted(format!(
-                    "a malformed chunk: {e}"
+                    "malformed chunk: {e}"
                 ))));
             }
         };
         if !chunk.answers(self.engine_request_id().as_str()) {
             self.job.recorder.crossed_answer();
-            log::warn!(request:% = self.job.request, other:? = chunk.id; "crossed response dropped");
+            log::warn!(
+                request:% = self.job.request, other:? = chunk.id;
+                "chunk of another request dropped"
+            );
             return None;
         }
         let number = event.id.as_deref().and_then(|id| id.parse().ok());
@@ -96,7 +99,9 @@
             ChunkAction::Deliver => {}
             ChunkAction::Skip => return None,
             ChunkAction::Gap => {
-                return Some(RelayEnd::Failed(AttemptError::interrupted("tokens are missing")));
+                return Some(RelayEnd::Failed(AttemptError::interrupted(
+                    "gap in the engine's token numbers",
+                )));
             }
         }
         let usage = chunk.usage.map(|usage| usage.after(self.progress.offset));
@@ -117,16 +122,16 @@
         None
     }
 
-    /// Tells the router and the gate how long an attempt's first token took.
+    /// Reports an attempt's time to first token to the router and to admission control.
     fn report_first_token(&self, chosen: &ChosenEngine, resumes: bool) {
         let now = self.edge.clock.now();
-        let took = self.edge.router.borrow_mut().record_first_token(now, chosen);
-        if let (Some(took), false) = (took, resumes) {
-            self.edge.admission.record_first_token(took);
+        let time_to_first_token = self.edge.router.borrow_mut().record_first_token(now, chosen);
+        if let (Some(time_to_first_token), false) = (time_to_first_token, resumes) {
+            self.edge.admission.record_first_token(time_to_first_token);
         }
     }
 
-    /// Counts a token and returns its time; `last` is the attempt's token before.
+    /// Records a token's latency and returns its time; `last` is the time of the token before it.
     fn record_token(&self, last: Option<MonotonicTime>) -> MonotonicTime {
         let now = self.edge.clock.now();
         match last {
@@ -145,7 +150,7 @@
         self.job.recorder.prompt(TokenCount::new(usage.prompt_tokens), cached);
     }
 
-    /// Keeps a stream without numbers from being resumed at its engine.
+    /// Marks the error as not resumable if the engine doesn't number its tokens.
     fn resumable_if_numbered(&self, error: AttemptError) -> AttemptError {
         AttemptError { resumable: error.resumable && self.progress.is_numbered(), ..error }
     }
@@ -157,7 +162,7 @@
 ) -> Result<Frame<bytes::Bytes>, AttemptError> {
     match tokio::time::timeout(wait, body.frame()).await {
         Err(_) => Err(AttemptError::timed_out()),
-        Ok(None) => Err(AttemptError::interrupted("the stream ended without its end mark")),
+        Ok(None) => Err(AttemptError::interrupted("the stream ended without [DONE]")),
         Ok(Some(Err(e))) => Err(AttemptError::interrupted(e.to_string())),
         Ok(Some(Ok(frame))) => Ok(frame),
     }
--- a/crates/daemon/src/edge/relay/mod.rs
+++ b/crates/daemon/src/edge/relay/mod.rs
@@ -1,7 +1,7 @@
 //! Relays a completion from engines to its caller.
 //!
-//! A stream that is cut resumes at the same engine after the last token delivered. When the engine
-//! is dead, silent or no longer holds the stream, another engine with the same weights goes on
+//! An interrupted stream resumes at the same engine after the last token delivered. When the engine
+//! is dead, times out or no longer holds the stream, another engine with the same weights continues
 //! from the prompt and the text delivered.
 
 mod attempt;
@@ -25,16 +25,16 @@
     router::{ChosenEngine, EngineRequirements, NoEndpoint},
 };
 
-/// Most attempts in a row that deliver nothing.
+/// Most consecutive attempts that deliver no token.
 const MAX_ATTEMPTS_WITHOUT_PROGRESS: usize = 4;
 
 /// Most attempts for one request.
 const MAX_ATTEMPTS: usize = 64;
 
-/// Time after which engines that failed are tried again for a response that has begun.
+/// Delay before engines that failed are tried again for a response that has begun.
 const ENGINE_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// What callers are told to wait when no engine is available.
+/// `Retry-After` when no engine is available.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A completion to be relayed.
@@ -46,33 +46,33 @@
     pub settings: fleet::Settings,
     /// When the request arrived.
     pub arrived: MonotonicTime,
-    /// The last event that the caller got of the stream that it resumes.
+    /// The last event that the caller received of the stream that it resumes.
     pub resume: Option<EventId>,
     pub recorder: Recorder,
     pub span: Span,
-    /// Its place among the organisations' requests.
+    /// Released when the relay ends.
     pub _admission_permit: AdmissionPermit,
 }
 
-/// A piece of the response, on its way to the caller.
+/// An item of the response stream to the caller.
 #[derive(Debug)]
 pub(super) enum StreamItem {
-    /// A token, or a chunk without one; the id counts the tokens up to here.
+    /// A token, or a chunk without one; the id counts the tokens so far.
     Data { id: EventId, data: String },
-    /// The whole response has been sent.
+    /// The response is complete.
     Done,
-    /// The response ends here.
+    /// The response ends with a failure.
     Failed(Failure),
 }
 
-/// Progress of a relayed completion over all attempts.
+/// State of a relayed completion over all attempts.
 struct Relay<'a> {
     edge: &'a Rc<Edge>,
     job: &'a CompletionJob,
     tx: &'a flume::Sender<StreamItem>,
     progress: Progress,
     tried: Vec<EndpointId>,
-    /// Whether an engine may have taken the request.
+    /// Whether an engine may have run the request.
     may_have_run: bool,
 }
 
@@ -83,7 +83,7 @@
     Failed(AttemptError),
 }
 
-/// Relays a completion into `tx`, going on at another engine when one fails.
+/// Relays a completion into `tx`, continuing at another engine when one fails.
 pub(super) async fn run(edge: Rc<Edge>, job: CompletionJob, tx: flume::Sender<StreamItem>) {
     let mut relay = Relay {
         edge: &edge,
@@ -142,7 +142,7 @@
                     {
                         return RelayEnd::Failed(error);
                     }
-                    // An engine that was tried may be back before the deadline.
+                    // An engine that failed may recover before the deadline.
                     self.tried.clear();
                     last = Some(error);
                     tokio::time::sleep(ENGINE_RETRY_DELAY).await;
@@ -150,7 +150,7 @@
                 }
             };
             let before = self.progress.tokens();
-            // The deadline may end the attempt at any point.
+            // The request timeout may cancel the attempt at any point.
             let ran_before = std::mem::replace(&mut self.may_have_run, true);
             let end = self.attempt(&chosen, resumes).await;
             let RelayEnd::Failed(error) = end else { return end };
@@ -183,17 +183,17 @@
         RelayEnd::Failed(last.expect("the loop ran at least once"))
     }
 
-    /// Takes a retry from the budget, which never ends a response that has begun.
+    /// Takes a retry from the budget; an exhausted budget doesn't end a response that has begun.
     async fn may_retry(&self, without_progress: usize) -> bool {
         if self.progress.tokens() != 0 {
             self.edge.retries.try_spend();
             return true;
         }
         let attempt = u32::try_from(without_progress.saturating_sub(1)).unwrap_or(u32::MAX);
-        self.edge.retries.wait(attempt).await
+        self.edge.retries.try_spend_and_wait(attempt).await
     }
 
-    /// Returns the failure with a verdict that counts the attempts before it.
+    /// Returns the failure with a verdict that also covers the attempts before it.
     fn with_overall_verdict(&self, mut failure: Failure) -> Failure {
         if self.may_have_run && failure.verdict == Verdict::NotRun {
             failure.verdict = Verdict::MayHaveRun;
@@ -213,7 +213,7 @@
         Ok(chosen)
     }
 
-    /// Returns the engine of an event once it is known here, as it may not be right after the start.
+    /// Returns the engine of an event, after a wait if the first roster has yet to list it.
     async fn wait_for_resumable(&self, id: &EventId) -> Option<ChosenEngine> {
         let until = self.edge.clock.now() + FIRST_ROSTER_TIMEOUT;
         loop {
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Returns the engine of an event, if it still runs.
+    /// Returns the engine of an event, if the same incarnation still runs.
     fn find_resumable(&self, id: &EventId) -> Option<ChosenEngine> {
         let prompt = self.job.completion.prompt_parts();
         let requirements =
@@ -255,7 +255,7 @@
         self.progress.has_full_text() && self.job.completion.can_continue()
     }
 
-    /// Returns the request's id at engines.
+    /// Returns the request id sent to engines.
     fn engine_request_id(&self) -> &RequestId {
         self.job.resume.as_ref().map_or(&self.job.request, |id| &id.request)
     }
--- a/crates/daemon/src/edge/relay/progress.rs
+++ b/crates/daemon/src/edge/relay/progress.rs
@@ -3,11 +3,11 @@
 
 use crate::edge::router::ChosenEngine;
 
-/// How far a response has come, over all attempts.
+/// Progress of a response over all attempts.
 pub(super) struct Progress {
-    /// The tokens taken from engines; their text is known unless `text_incomplete`.
+    /// The tokens received from engines; their text is complete unless `text_incomplete`.
     received: Delivered,
-    /// Tokens that the caller had before it resumed the stream here.
+    /// Tokens that the caller had received before it resumed the stream here.
     caller_tokens: u64,
     text_incomplete: bool,
     /// Tokens that earlier engines generated.
@@ -16,12 +16,12 @@
     pub weights: Option<WeightsVersion>,
     /// Whether the engine numbers its tokens.
     numbered: bool,
-    /// ChunkCounts without a token delivered before the first token, and after the last one.
+    /// Chunks without a token, before the first token and after the last one.
     leading: ChunkCounts,
     trailing: ChunkCounts,
 }
 
-/// ChunkCounts without a token: how many are delivered, and how many this attempt has brought.
+/// Chunks without a token: those delivered over all attempts, and those received in this one.
 #[derive(Default)]
 struct ChunkCounts {
     delivered: u64,
@@ -31,9 +31,9 @@
 /// What to do with a chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ChunkAction {
-    /// It is the next one.
+    /// It is the next one for the caller.
     Deliver,
-    /// The caller has it.
+    /// The caller has it already.
     Skip,
     /// Tokens before it are missing.
     Gap,
@@ -56,51 +56,52 @@
             progress.caller_tokens = id.token;
             progress.offset = id.offset;
             progress.weights = Some(id.weights.clone());
-            // The engine's own tokens are read again for their text; those before are out of reach.
+            // The engine's own tokens are read again for their text; that of earlier engines' tokens
+            // is lost.
             progress.received.tokens = id.offset;
             progress.text_incomplete = id.offset != 0;
         }
         progress
     }
 
-    /// Returns how many tokens have been taken from engines.
+    /// Returns how many tokens have been received from engines.
     pub(super) fn tokens(&self) -> u64 {
         self.received.tokens
     }
 
-    /// Returns what another engine goes on from.
+    /// Returns what another engine continues from.
     pub(super) fn received(&self) -> &Delivered {
         &self.received
     }
 
-    /// Returns how many tokens of the present engine have been taken.
+    /// Returns how many tokens have been received from the current engine.
     pub(super) fn engine_tokens(&self) -> u64 {
         self.received.tokens - self.offset
     }
 
-    /// Returns whether all the text that the caller has is known here.
+    /// Returns whether all the text that the caller has is known to this router.
     pub(super) fn has_full_text(&self) -> bool {
         !self.text_incomplete && self.caller_tokens <= self.received.tokens
     }
 
-    /// Returns whether the present engine's stream can be resumed by number.
+    /// Returns whether the current engine's stream can be resumed by token number.
     pub(super) fn is_numbered(&self) -> bool {
         self.numbered
     }
 
-    /// Makes what is taken so far part of the prompt for another engine.
+    /// Makes the tokens received so far part of the prompt for another engine.
     pub(super) fn continue_on_other_engine(&mut self) {
         self.offset = self.received.tokens;
         self.numbered = true;
     }
 
-    /// Starts to read an engine's response.
+    /// Resets the per-attempt counts before an engine's response is read.
     pub(super) fn begin_attempt(&mut self) {
         self.leading.received = 0;
         self.trailing.received = 0;
     }
 
-    /// Takes a chunk with the number that the engine gave it, if any.
+    /// Accounts for a chunk with its token number, if the engine gave one.
     pub(super) fn accept(&mut self, chunk: &Chunk<'_>, number: Option<u64>) -> ChunkAction {
         let text = chunk.text().unwrap_or_default();
         if number.is_none() && text.is_empty() {
@@ -121,12 +122,12 @@
         if expected <= self.caller_tokens { ChunkAction::Skip } else { ChunkAction::Deliver }
     }
 
-    /// Returns whether the caller has a chunk that ends the response.
+    /// Returns whether this attempt has received a chunk that ends the response.
     pub(super) fn has_final_chunk(&self) -> bool {
         self.trailing.received != 0
     }
 
-    /// Returns the id of the last token taken, from the engine `chosen`.
+    /// Returns the event id of the last token received, from the engine `chosen`.
     pub(super) fn event_id(&self, chosen: &ChosenEngine, request: &RequestId) -> EventId {
         EventId {
             endpoint: chosen.endpoint.clone(),
--- a/crates/daemon/src/edge/retries.rs
+++ b/crates/daemon/src/edge/retries.rs
@@ -6,7 +6,7 @@
 
 use crate::clock::Clock;
 
-/// Bounds what this router sends again, so that faults don't multiply the load.
+/// Limits this router's retries, so that faults don't multiply the load.
 pub(super) struct Retries {
     clock: Clock,
     backoff: Backoff,
@@ -25,21 +25,21 @@
         Self { clock, backoff: Backoff::default(), inner: RefCell::new(Inner { budget, rng }) }
     }
 
-    /// Counts a request that earns the part of a retry that its settings give.
+    /// Adds the fraction of a retry that one request earns by its settings to the budget.
     pub(super) fn earn(&self, settings: &fleet::Settings) {
         let budget = &mut self.inner.borrow_mut().budget;
         budget.set_ratio(settings.retry_budget.as_f64());
         budget.earn(self.clock.now());
     }
 
-    /// Takes a retry from the budget; returns `false` if there is none.
+    /// Takes a retry from the budget; returns `false` if it is exhausted.
     pub(super) fn try_spend(&self) -> bool {
         self.inner.borrow_mut().budget.try_spend(self.clock.now())
     }
 
-    /// Takes retry number `attempt`, from 0, and waits its delay; returns `false` at once if there
-    /// is none.
-    pub(super) async fn wait(&self, attempt: u32) -> bool {
+    /// Takes retry number `attempt`, from 0, and waits for its backoff; returns `false` at once if
+    /// the budget is exhausted.
+    pub(super) async fn try_spend_and_wait(&self, attempt: u32) -> bool {
         if !self.try_spend() {
             return false;
         }
--- a/crates/daemon/src/edge/round_trips.rs
+++ b/crates/daemon/src/edge/round_trips.rs
@@ -2,17 +2,17 @@
 
 use base::DataCentreId;
 
-/// Part of a longer response's excess by which the estimate rises.
-const RISE_SMOOTHING: u32 = 64;
+/// Divisor of a slower sample's excess, by which the estimate rises.
+const RISE_DIVISOR: u32 = 64;
 
-/// Answers after which an estimate counts; one slow response alone would keep requests away from a data
-/// centre, and so any quicker response that could correct it.
+/// Samples after which an estimate is used: after one slow sample alone, a data centre would get no
+/// requests, and so no quicker sample could correct its estimate.
 const MIN_SAMPLES: u32 = 8;
 
-/// The time for a message to each data centre and back.
+/// Estimated round-trip time to each data centre.
 ///
-/// It follows the quickest of the endpoints' samples: a quicker one counts at once, a slower one
-/// raises the estimate slowly.
+/// Follows the quickest responses of its endpoints: a quicker sample replaces the estimate, a slower
+/// one raises it slowly.
 pub(super) struct RoundTrips {
     local: DataCentreId,
     by_data_centre: HashMap<DataCentreId, RoundTripEstimate>,
@@ -28,18 +28,18 @@
         Self { local, by_data_centre: HashMap::new() }
     }
 
-    /// Takes the time from a request to the head of its response.
+    /// Records the time from a request to the head of its response.
     pub(super) fn record(&mut self, data_centre: &DataCentreId, elapsed: Duration) {
         let first = RoundTripEstimate { samples: 0, round_trip: elapsed };
         let estimate = self.by_data_centre.entry(data_centre.clone()).or_insert(first);
         estimate.samples = estimate.samples.saturating_add(1);
         estimate.round_trip = match elapsed.checked_sub(estimate.round_trip) {
-            Some(excess) => estimate.round_trip + excess / RISE_SMOOTHING,
+            Some(excess) => estimate.round_trip + excess / RISE_DIVISOR,
             None => elapsed,
         };
     }
 
-    /// Returns the time beyond that to the own data centre.
+    /// Returns the round-trip time in excess of that within the local data centre.
     pub(super) fn beyond_local(&self, data_centre: &DataCentreId) -> Duration {
         if *data_centre == self.local {
             return Duration::ZERO;
--- a/crates/daemon/src/edge/router.rs
+++ b/crates/daemon/src/edge/router.rs
@@ -32,7 +32,7 @@
 
 use requirements::PrefixIdentity;
 
-/// Bytes of prompt taken as one token.
+/// Bytes of prompt counted as one token.
 pub(super) const BYTES_PER_TOKEN: usize = 4;
 
 /// Bytes of prompt in a block.
@@ -41,10 +41,10 @@
 /// Tokens of prompt in a block.
 const BLOCK_TOKENS: u64 = (BLOCK_BYTES.as_usize() / BYTES_PER_TOKEN) as u64;
 
-/// Part of an engine's requests that one prefix may make up before it gets another home.
+/// Share of an engine's requests that one prefix may make up before it gets another home.
 const HOT_PREFIX_SHARE: f64 = 0.2;
 
-/// Blocks beyond the placement level that tell prompts of one hot prefix apart.
+/// Blocks beyond the placement level that distinguish prompts with the same hot prefix.
 const LONGER_PREFIX_BLOCKS: usize = 4;
 
 /// Chooses endpoints for requests.
@@ -58,7 +58,7 @@
     engine_outliers: Outliers,
     service_outliers: Outliers,
     router_count: usize,
-    /// Most requests that an engine ran while others waited.
+    /// Most requests that an engine ran at once while others waited.
     max_slots: u32,
     rng: Pcg64Mcg,
 }
@@ -73,23 +73,23 @@
     pub transfer: Option<KvTransfer>,
     chain: Chain,
     prompt_tokens: TokenCount,
-    /// Blocks of the chain that the engine was believed to hold.
+    /// Blocks of the chain that the engine was expected to have cached.
     expected_blocks: usize,
     sent_at: MonotonicTime,
     was_idle: bool,
-    first_token_after: Cell<Option<Duration>>,
+    time_to_first_token: Cell<Option<Duration>>,
 }
 
 /// Why no endpoint was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NoEndpoint {
-    /// No endpoint serves what is asked for.
+    /// No endpoint serves the model or service.
     NotServed,
-    /// Every endpoint that serves it has been tried, or takes no new work.
+    /// Every endpoint that serves it has been tried or is drained.
     Unavailable,
 }
 
-/// An endpoint that can serve a request, for an engine with the weights it would serve it by.
+/// An endpoint that can serve a request; for an engine, with the weights that it would use.
 struct EligibleEndpoint<'a, W> {
     id: &'a EndpointId,
     target: &'a Rc<Target>,
@@ -97,7 +97,7 @@
 }
 
 impl Router {
-    /// Creates a router in a data centre that connects from the own address `source`.
+    /// Creates a router in a data centre that connects from the local address `source`.
     pub(super) fn new(source: IpAddr, data_centre: DataCentreId, mut rng: Pcg64Mcg) -> Self {
         Self {
             source,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Takes a newer view of the endpoints and routers.
+    /// Applies a newer roster of the endpoints and routers.
     pub(super) fn update(
         &mut self,
         now: MonotonicTime,
@@ -125,12 +125,12 @@
         self.router_count = alive.count() + 1;
         self.prefixes.set_routers(self.router_count);
         let mut old = std::mem::take(&mut self.targets);
-        let ready = roster.endpoints.iter().filter(|known| known.state == EndpointState::Ready);
-        for known in ready {
-            let endpoint = known.announcement.endpoint.clone();
-            let target = old.remove(&endpoint).filter(|target| target.update(known));
-            let target = target.unwrap_or_else(|| Rc::new(self.add_target(now, known)));
-            target.set_drained(is_drained(&known.announcement));
+        let ready = roster.endpoints.iter().filter(|record| record.state == EndpointState::Ready);
+        for record in ready {
+            let endpoint = record.announcement.endpoint.clone();
+            let target = old.remove(&endpoint).filter(|target| target.update(record));
+            let target = target.unwrap_or_else(|| Rc::new(self.add_target(now, record)));
+            target.set_drained(is_drained(&record.announcement));
             self.targets.insert(endpoint, target);
         }
         for endpoint in old.keys() {
@@ -139,7 +139,7 @@
         self.update_home_rate();
     }
 
-    /// Decides anew which endpoints get no new work.
+    /// Updates which endpoints are drained.
     pub(super) fn update_drained(&self, is_drained: impl Fn(&Announcement) -> bool) {
         for target in self.targets.values() {
             let drained = is_drained(&target.announcement());
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Returns the number of engines that get new work.
+    /// Returns the number of engines that are not drained.
     pub(super) fn engine_count(&self) -> usize {
         let is_engine = |target: &&Rc<Target>| {
             matches!(target.announcement().kind, EndpointKind::Engine(_)) && !target.is_drained()
@@ -155,7 +155,8 @@
         self.targets.values().filter(is_engine).count()
     }
 
-    /// Returns the most requests that an engine ran while others waited, 0 if none ever waited.
+    /// Returns the most requests that an engine ran at once while others waited, 0 if none ever
+    /// waited.
     pub(super) fn max_slots(&self) -> u32 {
         self.max_slots
     }
@@ -165,12 +166,12 @@
         self.router_count
     }
 
-    /// Returns whether no endpoint is known, as right after the start.
+    /// Returns whether no endpoint is known, such as right after the start.
     pub(super) fn is_empty(&self) -> bool {
         self.targets.is_empty()
     }
 
-    /// Returns the models that can be asked for.
+    /// Returns the models that engines serve.
     pub(super) fn models(&self) -> Vec<ModelId> {
         let mut models = Vec::new();
         for target in self.targets.values() {
@@ -202,7 +203,7 @@
             return Err(NoEndpoint::NotServed);
         }
         let mut available = available(now, &eligible, tried, &self.engine_outliers);
-        // Engines of the same weights stand together, as warmth is measured for one chain at a time.
+        // Grouped by weights, since cached prefixes are looked up for one chain at a time.
         available.sort_by(|a, b| a.weights.cmp(&b.weights));
         let req = Request { prompt_tokens: requirements.prompt_tokens(), homes: 1 };
         let mut identities: Vec<PrefixIdentity> = Vec::new();
@@ -259,11 +260,12 @@
             prompt_tokens: req.prompt_tokens,
             expected_blocks,
             sent_at: now,
-            first_token_after: Cell::new(None),
+            time_to_first_token: Cell::new(None),
         })
     }
 
-    /// Returns an engine that has first_token_after a response, if that life of it still serves the same.
+    /// Returns an engine that has begun a response, if the same incarnation of it still serves the
+    /// same weights.
     pub(super) fn resumable_engine(
         &self,
         now: MonotonicTime,
@@ -288,7 +290,7 @@
             prompt_tokens: requirements.prompt_tokens(),
             expected_blocks: 0,
             sent_at: now,
-            first_token_after: Cell::new(None),
+            time_to_first_token: Cell::new(None),
         })
     }
 
@@ -327,8 +329,8 @@
         Ok((eligible.id.clone(), InFlight::begin(eligible.target, TokenCount::ZERO)))
     }
 
-    fn add_target(&mut self, now: MonotonicTime, known: &Known) -> Target {
-        let announcement = &known.announcement;
+    fn add_target(&mut self, now: MonotonicTime, record: &Known) -> Target {
+        let announcement = &record.announcement;
         let endpoint = &announcement.endpoint;
         let slot = match &announcement.kind {
             EndpointKind::Engine(_) => {
@@ -343,10 +345,11 @@
                 None
             }
         };
-        Target::new(self.source, known, slot)
+        Target::new(self.source, record, slot)
     }
 
-    /// Gives a prefix so many homes that it takes a part of what each can carry.
+    /// Sets the request rate per home, so that a hot prefix takes a bounded share of each home's
+    /// capacity.
     fn update_home_rate(&mut self) {
         self.max_slots = self.targets.values().map(|target| target.slots()).max().unwrap_or(0);
         let Some(hold_time) = self.policies.hold_time() else { return };
@@ -372,7 +375,7 @@
         requirements: &EngineRequirements<'_>,
         (id, target): (&EndpointId, &Target),
         identity: &PrefixIdentity,
-        warm_blocks: usize,
+        cached_blocks: usize,
     ) -> Candidate {
         let level = requirements.preferences.placement_level;
         let rank = |level| identity.chain.at_level(level).map_or(0, |home| prefix::rank(home, id));
@@ -380,7 +383,7 @@
         Candidate {
             rank: rank(level),
             fine_rank: rank(level + LONGER_PREFIX_BLOCKS),
-            warm_tokens: TokenCount::new(warm_blocks as u64 * BLOCK_TOKENS),
+            warm_tokens: TokenCount::new(cached_blocks as u64 * BLOCK_TOKENS),
             in_flight: target.in_flight(),
             own_prefill_tokens: target.prefill_tokens(),
             reported_requests: load.running.saturating_add(load.waiting),
@@ -392,7 +395,7 @@
     }
 }
 
-/// Returns those that may get new work, or else those kept from it for their failures.
+/// Returns the untried, undrained endpoints that aren't ejected, or the ejected ones if all are.
 fn available<'a, 'b, W>(
     now: MonotonicTime,
     eligible: &'b [EligibleEndpoint<'a, W>],
@@ -410,6 +413,7 @@
     if healthy.is_empty() { untried } else { healthy }
 }
 
+/// Looks up the chain's cached prefixes, counts the request and sets the number of homes.
 fn with_home_count(
     mut identity: PrefixIdentity,
     now: MonotonicTime,
--- a/crates/daemon/src/edge/router/explain.rs
+++ b/crates/daemon/src/edge/router/explain.rs
@@ -7,7 +7,7 @@
 use super::{EngineRequirements, Router, Target};
 
 impl Router {
-    /// Returns how a choice among all engines would come out; none if none serves `requirements`.
+    /// Returns the scores of all engines for a request, `None` if no engine meets `requirements`.
     pub(in crate::edge) fn explain(
         &mut self,
         now: MonotonicTime,
@@ -48,7 +48,7 @@
         Some(Explanation { prompt_tokens: req.prompt_tokens, candidates })
     }
 
-    /// Returns the requests under way at each endpoint.
+    /// Returns the number of requests in flight at each endpoint.
     pub(in crate::edge) fn in_flight(&self) -> BTreeMap<EndpointId, u32> {
         self.targets.iter().map(|(id, target)| (id.clone(), target.in_flight())).collect()
     }
--- a/crates/daemon/src/edge/router/feedback.rs
+++ b/crates/daemon/src/edge/router/feedback.rs
@@ -6,7 +6,7 @@
 use super::{BLOCK_TOKENS, ChosenEngine, Router};
 
 impl Router {
-    /// Learns that the head of an engine's response has arrived.
+    /// Records that the head of an engine's response has arrived.
     pub(in crate::edge) fn record_response_head(
         &mut self,
         now: MonotonicTime,
@@ -16,24 +16,30 @@
         self.round_trips.record(&data_centre, now.saturating_since(chosen.sent_at));
     }
 
-    /// Learns that the engine's first token has arrived; returns the time it took.
+    /// Records that the engine's first token has arrived.
+    ///
+    /// Returns the time to first token, `None` if it was recorded before.
     pub(in crate::edge) fn record_first_token(
         &mut self,
         now: MonotonicTime,
         chosen: &ChosenEngine,
     ) -> Option<Duration> {
-        if chosen.first_token_after.get().is_some() {
+        if chosen.time_to_first_token.get().is_some() {
             return None;
         }
-        let took = now.saturating_since(chosen.sent_at);
-        chosen.first_token_after.set(Some(took));
+        let time_to_first_token = now.saturating_since(chosen.sent_at);
+        chosen.time_to_first_token.set(Some(time_to_first_token));
         chosen.in_flight.prefilled();
-        let change = self.engine_outliers.record(now, &chosen.endpoint, Outcome::Answered(took));
+        let change = self.engine_outliers.record(
+            now,
+            &chosen.endpoint,
+            Outcome::Answered(time_to_first_token),
+        );
         log_ejection_change(&chosen.endpoint, change);
-        Some(took)
+        Some(time_to_first_token)
     }
 
-    /// Learns how many of the prompt's tokens the engine had cached.
+    /// Records how many of the prompt's tokens the engine had cached, as its response reports.
     pub(in crate::edge) fn record_usage(
         &mut self,
         now: MonotonicTime,
@@ -50,15 +56,15 @@
                 cached_blocks,
             );
         }
-        let Some(took) = chosen.first_token_after.get() else { return };
-        self.policies.record_hold_time(now.saturating_since(chosen.sent_at + took));
+        let Some(time_to_first_token) = chosen.time_to_first_token.get() else { return };
+        self.policies.record_hold_time(now.saturating_since(chosen.sent_at + time_to_first_token));
         if chosen.was_idle {
             let computed = chosen.prompt_tokens.as_u64().saturating_sub(cached.as_u64());
-            self.policies.record_prefill_rate(computed, took);
+            self.policies.record_prefill_rate(computed, time_to_first_token);
         }
     }
 
-    /// Learns that a request at an engine failed.
+    /// Records that a request at an engine failed.
     pub(in crate::edge) fn record_failure(&mut self, now: MonotonicTime, chosen: &ChosenEngine) {
         let change = self.engine_outliers.record(now, &chosen.endpoint, Outcome::Failed);
         log_ejection_change(&chosen.endpoint, change);
@@ -67,7 +73,7 @@
         }
     }
 
-    /// Learns how a call at an endpoint of a plain service went.
+    /// Records the outcome of a call at an endpoint of a plain service.
     pub(in crate::edge) fn record_service_outcome(
         &mut self,
         now: MonotonicTime,
@@ -81,8 +87,12 @@
 
 fn log_ejection_change(endpoint: &EndpointId, change: Option<StandingChange>) {
     match change {
-        Some(StandingChange::Ejected(_)) => log::warn!("endpoint={endpoint} ejected as an outlier"),
-        Some(StandingChange::Restored) => log::info!("endpoint={endpoint} restored"),
+        Some(StandingChange::Ejected(_)) => {
+            log::warn!("endpoint ejected as an outlier: endpoint={endpoint}")
+        }
+        Some(StandingChange::Restored) => {
+            log::info!("ejected endpoint restored: endpoint={endpoint}")
+        }
         None => {}
     }
 }
--- a/crates/daemon/src/edge/router/requirements.rs
+++ b/crates/daemon/src/edge/router/requirements.rs
@@ -8,18 +8,18 @@
 
 use super::{BLOCK_BYTES, BYTES_PER_TOKEN};
 
-/// What a completion needs of an engine.
+/// Requirements of a completion on an engine, and its routing settings.
 pub(in crate::edge) struct EngineRequirements<'a> {
     pub organisation: &'a OrganisationId,
     pub model: &'a ModelId,
     pub adapter: Option<&'a AdapterId>,
-    /// Set when part of the response was made with these weights.
+    /// Set if part of the response was generated with these weights.
     pub weights: Option<&'a WeightsVersion>,
     pub prompt: &'a [Cow<'a, [u8]>],
     pub preferences: RoutingPreferences,
 }
 
-/// The identity of a prompt's prefixes under one version of the weights.
+/// Hash chain of a prompt's prefixes under one version of the weights, and its number of homes.
 pub(super) struct PrefixIdentity {
     pub weights: WeightsVersion,
     pub salt: Salt,
--- a/crates/daemon/src/edge/router/transfer.rs
+++ b/crates/daemon/src/edge/router/transfer.rs
@@ -1,4 +1,4 @@
-//! Where a chosen engine may fetch cached blocks from.
+//! Choice of the endpoint from which an engine may fetch cached blocks.
 
 use std::rc::Rc;
 
@@ -10,24 +10,24 @@
 
 use super::{BLOCK_TOKENS, EngineRequirements, Router, Target};
 
-/// Round trips that a fetch takes: one to connect, one to ask.
+/// Round trips of a fetch: one to connect, one for the request.
 const FETCH_ROUND_TRIPS: u32 = 2;
 
-/// An engine about to be asked, with the name of what it would reuse.
+/// An engine chosen for a request, with the salt of the cached blocks that it would reuse.
 pub(super) struct FetchingEngine<'a> {
     pub endpoint: &'a EndpointId,
     pub target: &'a Target,
     pub salt: Salt,
-    /// Leading blocks of the prompt that it is believed to hold.
+    /// Leading blocks of the prompt that it is expected to have cached.
     pub expected_blocks: usize,
 }
 
 impl Router {
-    /// Returns where the engine may fetch what it lacks of the chain measured last, if that is
-    /// cheaper than computing it.
+    /// Returns where the engine may fetch the missing blocks of the chain looked up last, if that is
+    /// cheaper than computing them.
     ///
-    /// The store is named even where the engine is believed warm: only the engine knows what it
-    /// has evicted, and it fetches nothing that it holds.
+    /// The store is returned even if the engine is expected to have them cached: only the engine
+    /// knows what it has evicted, and it doesn't fetch blocks that it has.
     pub(super) fn choose_transfer(
         &self,
         requirements: &EngineRequirements<'_>,
@@ -63,7 +63,7 @@
         })
     }
 
-    /// Returns the slot of the store, if engines may ask it.
+    /// Returns the slot of the KV store, if engines may fetch from it.
     pub(super) fn kv_store_slot(&self, requirements: &EngineRequirements<'_>) -> Option<Slot> {
         if !requirements.preferences.kv_transfer.asks_store() {
             return None;
@@ -93,16 +93,16 @@
     }
 
     fn source(&self, from: &Target, target: &Target) -> Source {
-        let (near, far) = (from.data_centre(), target.data_centre());
+        let (local, remote) = (from.data_centre(), target.data_centre());
         let round_trip =
-            self.round_trips.beyond_local(&near).max(self.round_trips.beyond_local(&far));
-        let round_trip = if near == far { Default::default() } else { round_trip };
+            self.round_trips.beyond_local(&local).max(self.round_trips.beyond_local(&remote));
+        let round_trip = if local == remote { Default::default() } else { round_trip };
         let blocks = target.slot().map_or(0, |slot| self.prefixes.matched_blocks(slot));
         Source { blocks, round_trip: round_trip * FETCH_ROUND_TRIPS }
     }
 }
 
-/// Returns whether a plain service is the store of kept KV, which callers can't ask.
+/// Returns whether a plain service is the KV store, which callers can't call.
 pub(super) fn is_kv_store_service(service: &ServiceId) -> bool {
     service.as_str() == kv_transfer::STORE
 }
@@ -111,7 +111,7 @@
     matches!(kind, EndpointKind::Service(service) if is_kv_store_service(service))
 }
 
-/// Returns the salt as engines are told it.
+/// Returns the salt in the form sent to engines.
 pub(in crate::edge) fn cache_salt(salt: Salt) -> CacheSalt {
     format!("{:016x}", salt.as_u64()).parse().expect("hexadecimal digits are an id")
 }
--- a/crates/daemon/src/edge/services.rs
+++ b/crates/daemon/src/edge/services.rs
@@ -27,13 +27,13 @@
     upstream,
 };
 
-/// Start of the paths of plain services.
+/// Path prefix of plain services.
 pub(super) const PATH_PREFIX: &str = "/services/";
 
-/// Headers of a call that the service gets.
+/// Headers of a call that are forwarded to the service, besides those on its content.
 const FORWARDED_HEADERS: [&str; 3] = ["idempotency-key", "x-request-id", "user-agent"];
 
-/// Most endpoints that a call which may not be repeated tries to connect to.
+/// Most endpoints to which a non-idempotent call tries to connect.
 const MAX_CONNECT_ATTEMPTS: usize = 3;
 
 const RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -49,7 +49,7 @@
     pub tracked: TrackedRequest,
 }
 
-/// Answers calls to plain services.
+/// Handles calls to plain services.
 pub(super) async fn handle(
     edge: &Rc<Edge>,
     req: Request<Incoming>,
@@ -74,7 +74,7 @@
         })?;
     edge.retries.earn(&settings);
     let call = Rc::new(ServiceCall { organisation, service, path, parts, body, settings, tracked });
-    // A task of its own, so that a caller who hangs up cuts no call that may not be repeated.
+    // A separate task, so that a caller's disconnect doesn't cancel a non-idempotent call.
     let sending = tokio::task::spawn_local(send(Rc::clone(edge), call, active, concurrency));
     let mut response = sending.await.unwrap_or_else(|_| {
         Err(Failure::broken("the call ended without a response", Verdict::MayHaveRun))
@@ -105,7 +105,7 @@
     };
     let timeout = tokio::time::timeout(settings.request_timeout.as_duration(), sending).await;
     let response = timeout.unwrap_or_else(|_| {
-        Err(Failure::timed_out("the service did not response in time", Verdict::MayHaveRun))
+        Err(Failure::timed_out("the service did not respond in time", Verdict::MayHaveRun))
     });
     record_outcome(&edge, &call, &response);
     response
@@ -126,22 +126,22 @@
     let rest = path_and_query.strip_prefix(PATH_PREFIX).unwrap_or_default();
     let end = rest.find(['/', '?']).unwrap_or(rest.len());
     let (service, path) = rest.split_at(end);
-    let service = service.parse().map_err(|_| Failure::not_found("no service is named"))?;
+    let service = service.parse().map_err(|_| Failure::not_found("the path names no service"))?;
     let path = if path.starts_with('/') { path.to_owned() } else { format!("/{path}") };
     Ok((service, path))
 }
 
-/// Sends a call without a key over a connection of its own.
+/// Sends a call without a key once, over a new connection.
 async fn send_once(edge: &Rc<Edge>, call: &ServiceCall) -> Result<Response<Body>, Failure> {
     let Connected { mut connection, in_flight } = connect(edge, call).await?;
     let response = upstream::send_once(&mut connection, call.request(&in_flight)).await?;
     read_response(edge, response).await.map(ServiceResponse::into_response)
 }
 
-/// Sends a call under a claim, so that it runs at most once whoever else sends it.
+/// Sends a call under a claim, so that it runs at most once however often and wherever it is sent.
 ///
-/// The claim is committed between the connection and the first byte: a failed connection leaves
-/// nothing in doubt, and is still told the outcome of an earlier arrival.
+/// The claim is committed between the connect and the first byte: if the connect fails, the call
+/// certainly didn't run, and the caller still gets the outcome of an earlier request with its key.
 async fn send_claimed(
     edge: &Rc<Edge>,
     call: &ServiceCall,
@@ -168,7 +168,7 @@
     Ok(response.into_response())
 }
 
-/// A fresh connection to an endpoint of a service.
+/// A new connection to an endpoint of a service.
 struct Connected {
     connection: upstream::Connection,
     in_flight: InFlight,
@@ -211,12 +211,12 @@
 }
 
 impl ServiceCall {
-    /// Returns the call with its caller's key, if it has one.
+    /// Returns the call's idempotency key with a digest of the request, if it has a key.
     fn keyed(&self) -> Result<Option<KeyedCall>, Failure> {
         let Some(key) = self.parts.headers.get("idempotency-key") else { return Ok(None) };
         let key: IdempotencyKey = key
             .to_str()
-            .map_err(|_| Failure::bad_request("the idempotency key is no text"))?
+            .map_err(|_| Failure::bad_request("the idempotency key is not text"))?
             .parse()
             .map_err(|e: ParseError| Failure::bad_request(e.to_string()))?;
         let request = Hasher::default()
@@ -261,14 +261,14 @@
     to.remove(AUTHORIZATION);
 }
 
-/// A service's whole response.
+/// A service's complete response.
 pub(super) struct ServiceResponse {
     status: StatusCode,
     content_type: Option<HeaderValue>,
     body: Bytes,
 }
 
-/// Reads a service's whole response, so that a cut one never passes as whole.
+/// Reads a service's complete response, so that a truncated one is never passed on as complete.
 pub(super) async fn read_response(
     edge: &Edge,
     response: Response<Incoming>,
@@ -276,7 +276,7 @@
     let (parts, body) = response.into_parts();
     let max_bytes = usize::try_from(edge.cfg.limits.body_bytes.as_u64()).unwrap_or(usize::MAX);
     let body = Limited::new(body, max_bytes).collect().await.map_err(|e| {
-        Failure::broken(format!("the service's response was cut: {e}"), Verdict::MayHaveRun)
+        Failure::broken(format!("the service's response was truncated: {e}"), Verdict::MayHaveRun)
     })?;
     Ok(ServiceResponse {
         status: parts.status,
@@ -286,7 +286,7 @@
 }
 
 impl ServiceResponse {
-    /// Returns what the ledger keeps; a body over `max_bytes` is left out.
+    /// Returns what the ledger stores; a body over `max_bytes` is left out.
     fn to_stored(&self, max_bytes: usize) -> Answer {
         let content_type = self.content_type.as_ref().and_then(|text| text.to_str().ok());
         let body = (self.body.len() <= max_bytes).then(|| self.body.as_ref().into());
--- a/crates/daemon/src/edge/targets.rs
+++ b/crates/daemon/src/edge/targets.rs
@@ -13,19 +13,19 @@
 
 use super::upstream::ConnectionPool;
 
-/// An endpoint as this router uses it.
+/// A ready endpoint with this router's state for it.
 pub(super) struct Target {
     announcement: RefCell<Arc<Announcement>>,
     announced_at: Cell<MonotonicTime>,
     slot: Option<Slot>,
     drained: Cell<bool>,
-    /// Most requests that it ran while others waited.
+    /// Most requests that it ran at once while others waited.
     slots: Cell<u32>,
     work: Work,
     pool: ConnectionPool,
 }
 
-/// A request under way at an endpoint; ends on drop.
+/// Guard that counts a request in flight at an endpoint until it is dropped.
 pub(super) type InFlight = in_flight::InFlight<Target>;
 
 impl Busy for Target {
@@ -35,15 +35,15 @@
 }
 
 impl Target {
-    /// Creates the view of an endpoint whose warm prefixes are known under `slot`.
-    pub(super) fn new(source: IpAddr, known: &Known, slot: Option<Slot>) -> Self {
-        let pool = ConnectionPool::new(source, known.announcement.address);
+    /// Creates the state of an endpoint whose cached prefixes are tracked under `slot`.
+    pub(super) fn new(source: IpAddr, record: &Known, slot: Option<Slot>) -> Self {
+        let pool = ConnectionPool::new(source, record.announcement.address);
         Self {
-            announcement: RefCell::new(Arc::clone(&known.announcement)),
-            announced_at: Cell::new(known.written),
+            announcement: RefCell::new(Arc::clone(&record.announcement)),
+            announced_at: Cell::new(record.written),
             slot,
             drained: Cell::new(false),
-            slots: Cell::new(saturated_slots(&known.announcement)),
+            slots: Cell::new(saturated_slots(&record.announcement)),
             work: Work::default(),
             pool,
         }
@@ -69,7 +69,7 @@
         self.work.requests()
     }
 
-    /// Returns the tokens that this router sent and that wait for prefill.
+    /// Returns the tokens that this router sent and that still wait for prefill.
     pub(super) fn prefill_tokens(&self) -> TokenCount {
         self.work.prefill_tokens()
     }
@@ -83,12 +83,12 @@
         (load, now.saturating_since(self.announced_at.get()))
     }
 
-    /// Returns how many requests it runs at once, 0 while it never let one wait.
+    /// Returns how many requests it runs at once, 0 if none has ever waited there.
     pub(super) fn slots(&self) -> u32 {
         self.slots.get()
     }
 
-    /// Returns whether operators want it to get no new work.
+    /// Returns whether it is drained by the declaration.
     pub(super) fn is_drained(&self) -> bool {
         self.drained.get()
     }
@@ -97,21 +97,22 @@
         self.drained.set(drained);
     }
 
-    /// Takes a newer announcement; returns whether it is of the same process.
+    /// Applies a newer announcement if it has the same incarnation and address; returns whether it
+    /// has.
     pub(super) fn update(&self, newer: &Known) -> bool {
-        let mut known = self.announcement.borrow_mut();
+        let mut current = self.announcement.borrow_mut();
         let announcement = &newer.announcement;
-        let same =
-            known.incarnation == announcement.incarnation && known.address == announcement.address;
-        if same {
-            known.clone_from(announcement);
+        let same_process = current.incarnation == announcement.incarnation
+            && current.address == announcement.address;
+        if same_process {
+            current.clone_from(announcement);
             self.announced_at.set(newer.written);
             self.slots.set(self.slots.get().max(saturated_slots(&newer.announcement)));
         }
-        same
+        same_process
     }
 
-    /// Returns the weights of the model that is wanted, if the endpoint serves it.
+    /// Returns the weights of the first served model that matches.
     pub(super) fn served_weights(
         &self,
         matches: impl Fn(&ServedModel) -> bool,
@@ -122,7 +123,7 @@
     }
 }
 
-/// Returns how many requests an endpoint runs while others wait, 0 if none waits.
+/// Returns how many requests an endpoint runs if others wait, 0 if none waits.
 fn saturated_slots(announcement: &Announcement) -> u32 {
     match &announcement.kind {
         EndpointKind::Engine(engine) if engine.load.waiting != 0 => engine.load.running,
--- a/crates/daemon/src/edge/tracked.rs
+++ b/crates/daemon/src/edge/tracked.rs
@@ -7,7 +7,7 @@
 const REQUEST_ID_HEADER: &str = "x-request-id";
 const TRACEPARENT_HEADER: &str = "traceparent";
 
-/// A request as logs, metrics and spans know it.
+/// Identity of a request in logs, metrics and traces.
 pub(super) struct TrackedRequest {
     pub id: RequestId,
     pub arrived: MonotonicTime,
@@ -15,11 +15,11 @@
     pub span: Span,
 }
 
-/// The id by which the caller knows a request: its own, or the router's.
+/// The request id returned to the caller: the one it sent, or the router's.
 pub(super) struct CallerRequestId(HeaderValue);
 
 impl TrackedRequest {
-    /// Names a request that has just arrived, and links it to its caller's trace.
+    /// Assigns an id to a request that has just arrived, and links it to its caller's trace.
     pub(super) fn begin(edge: &Edge, organisation: &OrganisationId, headers: &HeaderMap) -> Self {
         let id = edge.new_request_id();
         let caller =
@@ -30,15 +30,16 @@
         Self { id, arrived: edge.clock.now(), recorder, span }
     }
 
-    /// Returns the id that the response shows.
+    /// Returns the request id for the response.
     pub(super) fn caller_id(&self, headers: &HeaderMap) -> CallerRequestId {
-        let own = || HeaderValue::from_str(self.id.as_str()).expect("an id is a valid header");
-        CallerRequestId(headers.get(REQUEST_ID_HEADER).cloned().unwrap_or_else(own))
+        let router_id =
+            || HeaderValue::from_str(self.id.as_str()).expect("an id is a valid header");
+        CallerRequestId(headers.get(REQUEST_ID_HEADER).cloned().unwrap_or_else(router_id))
     }
 }
 
 impl CallerRequestId {
-    /// Puts the id into a response.
+    /// Sets the response's request id header.
     pub(super) fn set_header(self, response: &mut Response<Body>) {
         response.headers_mut().insert(REQUEST_ID_HEADER, self.0);
     }
--- a/crates/daemon/src/edge/upstream.rs
+++ b/crates/daemon/src/edge/upstream.rs
@@ -13,13 +13,13 @@
 
 use crate::failure::Failure;
 
-/// Most idle connections kept to an endpoint.
+/// Most idle connections kept open to an endpoint.
 const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// A connection to an endpoint that can take a request.
+/// An HTTP/1 connection to an endpoint.
 pub(super) type Connection = SendRequest<Full<Bytes>>;
 
-/// Connections to one endpoint.
+/// Pool of connections to one endpoint.
 pub(super) struct ConnectionPool {
     source: IpAddr,
     address: SocketAddr,
@@ -27,12 +27,12 @@
 }
 
 impl ConnectionPool {
-    /// Creates a pool of connections from the own address `source`.
+    /// Creates a pool of connections from the local address `source`.
     pub(super) fn new(source: IpAddr, address: SocketAddr) -> Self {
         Self { source, address, idle: RefCell::new(Vec::new()) }
     }
 
-    /// Returns a connection that has carried no request.
+    /// Opens a new connection.
     ///
     /// # Errors
     ///
@@ -40,7 +40,7 @@
     pub(super) async fn connect(&self, timeout: Duration) -> Result<Connection, Failure> {
         let connected = net::connect_http(self.source, self.address, timeout).await;
         let fresh = connected
-            .map_err(|why| Failure::broken(format!("no connection: {why}"), Verdict::NotRun))?;
+            .map_err(|why| Failure::broken(format!("could not connect: {why}"), Verdict::NotRun))?;
         Ok(fresh.sender)
     }
 
@@ -64,7 +64,7 @@
         Ok((response, fresh))
     }
 
-    /// Keeps a connection whose last response was read to its end.
+    /// Returns a connection to the pool after its last response was read to the end.
     pub(super) fn return_idle(&self, connection: Connection) {
         let mut idle = self.idle.borrow_mut();
         if idle.len() < MAX_IDLE_CONNECTIONS && !connection.is_closed() {
@@ -80,7 +80,7 @@
     }
 }
 
-/// Sends a request over a connection of its own.
+/// Sends a request once, over a given connection.
 ///
 /// # Errors
 ///
