--- a/crates/daemon/src/edge/relay/forward.rs
+++ b/crates/daemon/src/edge/relay/forward.rs
@@ -17,7 +17,7 @@
 const MAX_EVENT_BYTES: ByteCount = ByteCount::new(1 << 20);
 
 /// Type of the event that an engine sends when another reader has taken over the stream.
-const TAKEN_OVER_EVENT: &str = "received-over";
+const TAKEN_OVER_EVENT: &str = "taken-over";
 
 impl Relay<'_> {
     /// Forwards an engine's events to the caller until the stream ends.
