--- a/crates/daemon/src/edge/claims.rs
+++ b/crates/daemon/src/edge/claims.rs
@@ -249,7 +249,7 @@
     }
 }
 
-/// Returns the failure for a call that this host didn't send because no quorum was reached.
+/// Returns the failure for a call that this host didn't send, since no quorum committed its claim.
 ///
 /// An earlier request with the same key may have run, which only the quorum knows, so the verdict
 /// is [`Verdict::MayHaveRun`].
--- a/crates/daemon/src/edge/idempotent.rs
+++ b/crates/daemon/src/edge/idempotent.rs
@@ -76,6 +76,7 @@
     }
 }
 
+/// Sends a call to one endpoint and records the outcome.
 async fn attempt(
     edge: &Edge,
     call: &ServiceCall,
--- a/crates/daemon/src/edge/router.rs
+++ b/crates/daemon/src/edge/router.rs
@@ -211,7 +211,7 @@
         for eligible in &available {
             if !identities.iter().any(|identity| identity.weights == eligible.weights) {
                 let identity = requirements.identity(&eligible.weights);
-                identities.push(with_home_count(identity, now, requirements, &mut self.prefixes));
+                identities.push(count_request(identity, now, requirements, &mut self.prefixes));
             }
             let identity =
                 find_identity(&identities, &eligible.weights).ok_or(NoEndpoint::NotServed)?;
@@ -413,8 +413,9 @@
     if healthy.is_empty() { untried } else { healthy }
 }
 
-/// Looks up the chain's cached prefixes, counts the request and sets the number of homes.
-fn with_home_count(
+/// Looks up the chain's cached prefixes, counts the request for its home prefix and sets the number
+/// of homes.
+fn count_request(
     mut identity: PrefixIdentity,
     now: MonotonicTime,
     requirements: &EngineRequirements<'_>,
--- a/crates/daemon/src/edge/services.rs
+++ b/crates/daemon/src/edge/services.rs
@@ -276,7 +276,7 @@
     let (parts, body) = response.into_parts();
     let max_bytes = usize::try_from(edge.cfg.limits.body_bytes.as_u64()).unwrap_or(usize::MAX);
     let body = Limited::new(body, max_bytes).collect().await.map_err(|e| {
-        Failure::broken(format!("the service's response was truncated: {e}"), Verdict::MayHaveRun)
+        Failure::broken(format!("could not read the service's response: {e}"), Verdict::MayHaveRun)
     })?;
     Ok(ServiceResponse {
         status: parts.status,
--- a/crates/daemon/src/edge/upstream.rs
+++ b/crates/daemon/src/edge/upstream.rs
@@ -40,7 +40,7 @@
     pub(super) async fn connect(&self, timeout: Duration) -> Result<Connection, Failure> {
         let connected = net::connect_http(self.source, self.address, timeout).await;
         let fresh = connected
-            .map_err(|why| Failure::broken(format!("could not connect: {why}"), Verdict::NotRun))?;
+            .map_err(|why| Failure::broken(format!("no connection: {why}"), Verdict::NotRun))?;
         Ok(fresh.sender)
     }
 
