--- a/crates/daemon/src/edge/inquiry.rs
+++ b/crates/daemon/src/edge/admin_queries.rs
@@ -4,41 +4,41 @@
 use fleet::Scope;
 use wire::operator::{ExplainRequest, Explanation, PromptPart};
 
-use super::{Edge, policies::Preferences, router::Wanted};
+use super::{Edge, policies::RoutingPreferences, router::EngineRequirements};
 
-/// A question of an operator.
-pub(crate) enum Inquiry {
-    /// Where a request would go.
+/// A query of the admin interface to the edge thread.
+pub(crate) enum AdminQuery {
+    /// How a request would be routed.
     Explain {
         /// The request.
         request: ExplainRequest,
-        /// Takes the answer; none if no endpoint serves the request.
+        /// Takes the explanation, `None` if no endpoint serves the request.
         reply: flume::Sender<Option<Explanation>>,
     },
-    /// What is under way.
+    /// The requests in flight.
     Load {
-        /// Takes the answer.
+        /// Takes the counts.
         reply: flume::Sender<Load>,
     },
 }
 
-/// What is under way at this router.
+/// Counts of the requests in flight at this router.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Load {
-    /// Requests of callers.
+    /// Requests from callers.
     pub requests: u64,
     /// Requests sent to each endpoint.
     pub endpoints: BTreeMap<EndpointId, u32>,
 }
 
-/// Answers operators until no more can ask.
-pub(super) async fn answer_all(edge: Rc<Edge>, inquiries: flume::Receiver<Inquiry>) {
-    while let Ok(inquiry) = inquiries.recv_async().await {
-        match inquiry {
-            Inquiry::Explain { request, reply } => {
+/// Answers queries until the channel is closed.
+pub(super) async fn handle_all(edge: Rc<Edge>, queries: flume::Receiver<AdminQuery>) {
+    while let Ok(query) = queries.recv_async().await {
+        match query {
+            AdminQuery::Explain { request, reply } => {
                 let _ = reply.try_send(explain(&edge, &request));
             }
-            Inquiry::Load { reply } => {
+            AdminQuery::Load { reply } => {
                 let endpoints = edge.router.borrow().in_flight();
                 let _ = reply.try_send(Load { requests: edge.active.borrow().len(), endpoints });
             }
@@ -55,13 +55,13 @@
         ..Scope::default()
     };
     let settings = edge.settings(&scope);
-    let wanted = Wanted {
+    let requirements = EngineRequirements {
         organisation: &request.organisation,
         model: &request.model,
         adapter: request.adapter.as_ref(),
         weights: None,
         prompt: &prompt,
-        preferences: Preferences::from(&settings),
+        preferences: RoutingPreferences::from(&settings),
     };
-    edge.router.borrow_mut().explain(edge.clock.now(), &wanted)
+    edge.router.borrow_mut().explain(edge.clock.now(), &requirements)
 }
--- a/crates/daemon/src/edge/whole_answer.rs
+++ b/crates/daemon/src/edge/buffered_response.rs
@@ -9,28 +9,28 @@
 
 use crate::failure::Failure;
 
-/// The pieces of an answer put together, for a caller that wants no stream.
+/// A response assembled from its chunks, for a caller that did not ask for a stream.
 #[derive(Default)]
-pub(super) struct WholeAnswer {
-    choices: BTreeMap<u32, WholeChoice>,
+pub(super) struct BufferedResponse {
+    choices: BTreeMap<u32, BufferedChoice>,
     usage: Usage,
 }
 
 #[derive(Default)]
-struct WholeChoice {
+struct BufferedChoice {
     text: String,
     finish_reason: Option<String>,
 }
 
-impl WholeAnswer {
-    /// Adds a chunk.
+impl BufferedResponse {
+    /// Appends a chunk.
     ///
     /// # Errors
     ///
     /// Returns a failure if the chunk is malformed.
     pub(super) fn add(&mut self, data: &str) -> Result<(), Failure> {
         let chunk = Chunk::parse(data)
-            .map_err(|e| Failure::broken(format!("a malformed chunk: {e}"), Verdict::MayHaveRun))?;
+            .map_err(|e| Failure::broken(format!("malformed chunk: {e}"), Verdict::MayHaveRun))?;
         for piece in &chunk.choices {
             let choice = self.choices.entry(piece.index).or_default();
             choice.text.push_str(piece.text().unwrap_or_default());
@@ -42,7 +42,7 @@
         Ok(())
     }
 
-    /// Returns the body of the answer.
+    /// Returns the body of the response.
     pub(super) fn to_body(&self, request: &RequestId, kind: CompletionKind) -> Value {
         let object = match kind {
             CompletionKind::Text => "text_completion",
@@ -54,7 +54,7 @@
     }
 }
 
-impl WholeChoice {
+impl BufferedChoice {
     fn to_json(&self, index: u32, kind: CompletionKind) -> Value {
         let Self { text, finish_reason } = self;
         match kind {
--- a/crates/daemon/src/edge/claims.rs
+++ b/crates/daemon/src/edge/claims.rs
@@ -16,88 +16,90 @@
 
 use super::{Edge, body::Body};
 
-/// Pause between two looks at a call that another host has claimed.
-const WAIT_PAUSE: Duration = Duration::from_millis(50);
+/// Time between polls of a call that another host has claimed.
+const CLAIM_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time for which a report holds up the end of the process.
+/// Longest time for which a report to the ledger delays a drain.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time for which an answer waits until the ledger has it.
-const RECORD_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest time for which a response is held back until the ledger has stored it.
+const STORE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What callers are told to wait when no quorum is reached.
+/// `Retry-After` when no quorum is reached or the organisation has too many open calls.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A call that may not be repeated, with the name that its caller gave it.
-pub(super) struct Keyed {
+/// A non-idempotent call with its caller's idempotency key.
+pub(super) struct KeyedCall {
     pub call: CallKey,
     pub request: Digest,
 }
 
-/// What a claim allows.
-pub(super) enum Claimed {
+/// Outcome of a claim that succeeded.
+pub(super) enum ClaimOutcome {
     /// The call may be sent once.
-    Send(Permit),
-    /// The call was sent before, and this was its answer.
-    Answered(Response<Body>),
+    Send(SendPermit),
+    /// The call was sent before; this is its stored response.
+    AlreadyAnswered(Response<Body>),
 }
 
-/// The right to send a call once, until a deadline.
+/// Permission to send a call once, until a deadline.
 ///
-/// A permit that is dropped unused is given back, since its call was never sent.
-pub(super) struct Permit {
-    attempt: Attempt,
+/// Dropping an unused permit releases the claim, since the call was never sent.
+pub(super) struct SendPermit {
+    attempt: ClaimAttempt,
     deadline: MonotonicTime,
 }
 
-/// An attempt to claim a call; released on drop unless it is used or known to hold nothing.
-struct Attempt {
+/// An attempt to claim a call; released on drop unless it is used or known not to hold the claim.
+struct ClaimAttempt {
     edge: Rc<Edge>,
     call: CallKey,
     request: Digest,
     id: ClaimId,
-    held: bool,
+    release_on_drop: bool,
 }
 
-impl Keyed {
-    /// Claims the call, or waits for the answer of whoever did.
+impl KeyedCall {
+    /// Claims the call, or waits for the stored response if another attempt has claimed it.
     pub(super) async fn claim(
         &self,
         edge: &Rc<Edge>,
         timeout: Duration,
         wait: Duration,
-    ) -> Result<Claimed, Failure> {
+    ) -> Result<ClaimOutcome, Failure> {
         let wait_until = edge.clock.now() + wait;
         loop {
-            let mut attempt = self.attempt(edge);
+            let mut attempt = self.new_attempt(edge);
             let proposed = edge.clock.now();
             let reply = match self.propose(edge, attempt.id, timeout).await {
                 Ok(reply) => reply,
                 Err(NoAnswer::NotTaken) => {
-                    attempt.held = false;
+                    attempt.release_on_drop = false;
                     return Err(no_quorum());
                 }
                 Err(NoAnswer::Unknown) => return Err(no_quorum()),
             };
             if let ClaimReply::Claimed { send_within } = reply {
                 let deadline = proposed + send_within;
-                return Ok(Claimed::Send(Permit { attempt, deadline }));
+                return Ok(ClaimOutcome::Send(SendPermit { attempt, deadline }));
             }
-            attempt.held = false;
+            attempt.release_on_drop = false;
             match reply {
-                ClaimReply::InProgress(owner) => self.wait(edge, &owner, wait_until).await?,
-                settled => return settled_answer(settled),
+                ClaimReply::InProgress(owner) => {
+                    self.wait_until_settled(edge, &owner, wait_until).await?
+                }
+                settled => return settled_response(settled),
             }
         }
     }
 
-    fn attempt(&self, edge: &Rc<Edge>) -> Attempt {
-        Attempt {
+    fn new_attempt(&self, edge: &Rc<Edge>) -> ClaimAttempt {
+        ClaimAttempt {
             edge: Rc::clone(edge),
             call: self.call.clone(),
             request: self.request,
             id: ClaimId::new(rand::random()),
-            held: true,
+            release_on_drop: true,
         }
     }
 
@@ -120,11 +122,16 @@
         }
     }
 
-    /// Waits until the call is no longer claimed by another.
-    async fn wait(&self, edge: &Edge, owner: &Owner, until: MonotonicTime) -> Result<(), Failure> {
+    /// Polls the ledger until the call is no longer claimed by `owner`.
+    async fn wait_until_settled(
+        &self,
+        edge: &Edge,
+        owner: &Owner,
+        until: MonotonicTime,
+    ) -> Result<(), Failure> {
         let request = LeaderRequest::ReadCall(self.call.clone());
         while edge.clock.now() < until {
-            tokio::time::sleep(WAIT_PAUSE).await;
+            tokio::time::sleep(CLAIM_POLL_INTERVAL).await;
             let left = until.saturating_since(edge.clock.now());
             if let Ok(LeaderAnswer::Call(call)) = edge.leader.ask(&request, left).await
                 && !call.is_some_and(|call| call.state.is_open())
@@ -132,31 +139,34 @@
                 return Ok(());
             }
         }
-        let detail = format!("{owner} holds the call and has not told its outcome");
+        let detail = format!("{owner} has claimed the call and not yet reported its outcome");
         Err(Failure::timed_out(detail, Verdict::MayHaveRun))
     }
 }
 
-impl Permit {
-    /// Uses the permit up, right before the first byte is sent.
+impl SendPermit {
+    /// Consumes the permit; called right before the first byte is sent.
     ///
     /// # Errors
     ///
     /// Returns a failure with the verdict that nothing has run if the deadline has passed.
-    pub(super) fn redeem(mut self) -> Result<Sent, Failure> {
+    pub(super) fn redeem(mut self) -> Result<SentCall, Failure> {
         let attempt = &mut self.attempt;
         if self.deadline <= attempt.edge.clock.now() {
-            return Err(Failure::timed_out("the claim took too long", Verdict::NotRun));
+            return Err(Failure::timed_out(
+                "the deadline to send the claimed call has passed",
+                Verdict::NotRun,
+            ));
         }
-        attempt.held = false;
+        attempt.release_on_drop = false;
         let (edge, call) = (Rc::clone(&attempt.edge), attempt.call.clone());
-        Ok(Sent { edge, call, id: attempt.id, told: false })
+        Ok(SentCall { edge, call, id: attempt.id, reported: false })
     }
 }
 
-impl Drop for Attempt {
+impl Drop for ClaimAttempt {
     fn drop(&mut self) {
-        if self.held {
+        if self.release_on_drop {
             let release = Release {
                 call: self.call.clone(),
                 request: self.request,
@@ -165,27 +175,27 @@
                 at: UnixMillis::default(),
             };
             let edge = Rc::clone(&self.edge);
-            tokio::task::spawn_local(report(edge, Command::Release(release)));
+            tokio::task::spawn_local(submit_until_accepted(edge, Command::Release(release)));
         }
     }
 }
 
 /// A call that was sent under a claim; its outcome is reported once, as unknown if it is dropped.
-pub(super) struct Sent {
+pub(super) struct SentCall {
     edge: Rc<Edge>,
     call: CallKey,
     id: ClaimId,
-    told: bool,
+    reported: bool,
 }
 
-impl Sent {
-    /// Reports the answer, and waits a while until the ledger has it.
+impl SentCall {
+    /// Reports the response, and waits up to [`STORE_RESPONSE_TIMEOUT`] until the ledger has stored it.
     ///
-    /// The report goes on after the wait, and if the wait is cancelled.
-    pub(super) async fn answered(mut self, answer: Answer) {
-        self.told = true;
-        let report = self.report(Outcome::Answered(answer));
-        let _ = tokio::time::timeout(RECORD_TIMEOUT, report).await;
+    /// The report continues after the timeout, and if the wait is cancelled.
+    pub(super) async fn report_response(mut self, response: Answer) {
+        self.reported = true;
+        let report = self.report(Outcome::Answered(response));
+        let _ = tokio::time::timeout(STORE_RESPONSE_TIMEOUT, report).await;
     }
 
     fn report(&self, outcome: Outcome) -> JoinHandle<()> {
@@ -196,37 +206,40 @@
             outcome,
             at: UnixMillis::default(),
         };
-        tokio::task::spawn_local(report(Rc::clone(&self.edge), Command::Finish(finish)))
+        tokio::task::spawn_local(submit_until_accepted(
+            Rc::clone(&self.edge),
+            Command::Finish(finish),
+        ))
     }
 }
 
-impl Drop for Sent {
+impl Drop for SentCall {
     fn drop(&mut self) {
-        if !self.told {
+        if !self.reported {
             drop(self.report(Outcome::Unknown));
         }
     }
 }
 
-/// Tells the ledger that this host's earlier processes have ended.
-pub(super) async fn end_earlier_lives(edge: Rc<Edge>) {
+/// Reports to the ledger that this host's earlier incarnations have ended.
+pub(super) async fn report_earlier_incarnations_ended(edge: Rc<Edge>) {
     let before = edge.owner.incarnation.as_u64().saturating_sub(1);
     let owner = Owner { host: edge.owner.host.clone(), incarnation: Incarnation::new(before) };
     let gone = OwnerGone { owner, at: UnixMillis::default() };
     while command(&edge, Command::OwnerGone(gone.clone()), REPORT_TIMEOUT).await.is_err() {}
 }
 
-/// Tells the ledger of a call, for as long as it takes.
+/// Submits a command to the ledger until it is committed.
 ///
-/// The process doesn't end gracefully before that, or before [`REPORT_TIMEOUT`].
-async fn report(edge: Rc<Edge>, told: Command) {
-    let active = edge.begin();
-    if command(&edge, told.clone(), REPORT_TIMEOUT).await.is_ok() {
+/// A drain waits for it for up to [`REPORT_TIMEOUT`].
+async fn submit_until_accepted(edge: Rc<Edge>, report: Command) {
+    let active = edge.begin_report();
+    if command(&edge, report.clone(), REPORT_TIMEOUT).await.is_ok() {
         return;
     }
     drop(active);
-    log::warn!("the ledger has not been told yet: {told:?}");
-    while command(&edge, told.clone(), REPORT_TIMEOUT).await.is_err() {}
+    log::warn!("report not yet committed to the ledger, retrying: {report:?}");
+    while command(&edge, report.clone(), REPORT_TIMEOUT).await.is_err() {}
 }
 
 async fn command(edge: &Edge, command: Command, timeout: Duration) -> Result<Reply, NoAnswer> {
@@ -236,22 +249,27 @@
     }
 }
 
-/// Refuses a call that this host didn't send.
+/// Returns the failure for a call that this host didn't send, since no quorum committed its claim.
 ///
-/// An earlier arrival may have run it, which only the quorum knows.
+/// An earlier request with the same key may have run, which only the quorum knows, so the verdict
+/// is [`Verdict::MayHaveRun`].
 fn no_quorum() -> Failure {
-    let detail = "no quorum could commit the claim in time: this request was not sent, but whether \
-                  an earlier one with its key was isn't known; send it again with the same key";
+    let detail = "no quorum committed the claim in time: this request was not sent, but an earlier \
+                  one with the same key may have been; send it again with the same key";
     let mut failure = Failure::unavailable(detail, RETRY_AFTER);
     failure.title = "no quorum";
     failure.verdict = Verdict::MayHaveRun;
     failure
 }
 
-fn settled_answer(settled: ClaimReply) -> Result<Claimed, Failure> {
+fn settled_response(settled: ClaimReply) -> Result<ClaimOutcome, Failure> {
     match settled {
-        ClaimReply::Finished(answer) => kept_answer(answer).map(Claimed::Answered),
-        ClaimReply::Ran => Err(ran("the call ran by an operator's word; no answer is known")),
+        ClaimReply::Finished(response) => {
+            stored_response(response).map(ClaimOutcome::AlreadyAnswered)
+        }
+        ClaimReply::Ran => {
+            Err(already_ran("an operator settled the call as run; its response is not known"))
+        }
         ClaimReply::MayHaveRun { why, .. } => {
             let why = match why {
                 Doubt::OutcomeLost => "the endpoint was lost after the call had been sent",
@@ -275,17 +293,17 @@
     }
 }
 
-fn ran(detail: &str) -> Failure {
+fn already_ran(detail: &str) -> Failure {
     Failure::new(StatusCode::CONFLICT, "already run", detail, Verdict::Ran)
 }
 
-fn kept_answer(answer: Answer) -> Result<Response<Body>, Failure> {
-    let Some(body) = answer.body else {
-        return Err(ran("the call ran; its answer was too large to keep"));
+fn stored_response(stored: Answer) -> Result<Response<Body>, Failure> {
+    let Some(body) = stored.body else {
+        return Err(already_ran("the call ran; its response was too large to store"));
     };
     let mut response = Response::new(Body::whole(Bytes::copy_from_slice(&body)));
-    *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
-    if let Some(content_type) = answer.content_type.and_then(|text| text.parse().ok()) {
+    *response.status_mut() = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
+    if let Some(content_type) = stored.content_type.and_then(|text| text.parse().ok()) {
         response.headers_mut().insert(CONTENT_TYPE, content_type);
     }
     Ok(response)
--- a/crates/daemon/src/edge/round_trips.rs
+++ b/crates/daemon/src/edge/round_trips.rs
@@ -2,54 +2,54 @@
 
 use base::DataCentreId;
 
-/// Part of a longer answer's excess by which the estimate rises.
-const RISE_PARTS: u32 = 64;
+/// Divisor of a slower sample's excess, by which the estimate rises.
+const RISE_DIVISOR: u32 = 64;
 
-/// Answers after which an estimate counts; one slow answer alone would keep requests away from a data
-/// centre, and so any quicker answer that could correct it.
-const MIN_ANSWERS: u32 = 8;
+/// Samples after which an estimate is used: after one slow sample alone, a data centre would get no
+/// requests, and so no quicker sample could correct its estimate.
+const MIN_SAMPLES: u32 = 8;
 
-/// The time for a message to each data centre and back.
+/// Estimated round-trip time to each data centre.
 ///
-/// It follows the quickest of the endpoints' answers: a quicker one counts at once, a slower one
-/// raises the estimate slowly.
+/// Follows the quickest responses of its endpoints: a quicker sample replaces the estimate, a slower
+/// one raises it slowly.
 pub(super) struct RoundTrips {
-    own: DataCentreId,
-    by_data_centre: HashMap<DataCentreId, Estimate>,
+    local: DataCentreId,
+    by_data_centre: HashMap<DataCentreId, RoundTripEstimate>,
 }
 
-struct Estimate {
-    answers: u32,
-    span: Duration,
+struct RoundTripEstimate {
+    samples: u32,
+    round_trip: Duration,
 }
 
 impl RoundTrips {
-    pub(super) fn new(own: DataCentreId) -> Self {
-        Self { own, by_data_centre: HashMap::new() }
+    pub(super) fn new(local: DataCentreId) -> Self {
+        Self { local, by_data_centre: HashMap::new() }
     }
 
-    /// Takes the time from a request to the head of its answer.
-    pub(super) fn record(&mut self, data_centre: &DataCentreId, took: Duration) {
-        let first = Estimate { answers: 0, span: took };
-        let known = self.by_data_centre.entry(data_centre.clone()).or_insert(first);
-        known.answers = known.answers.saturating_add(1);
-        known.span = match took.checked_sub(known.span) {
-            Some(excess) => known.span + excess / RISE_PARTS,
-            None => took,
+    /// Records the time from a request to the head of its response.
+    pub(super) fn record(&mut self, data_centre: &DataCentreId, elapsed: Duration) {
+        let first = RoundTripEstimate { samples: 0, round_trip: elapsed };
+        let estimate = self.by_data_centre.entry(data_centre.clone()).or_insert(first);
+        estimate.samples = estimate.samples.saturating_add(1);
+        estimate.round_trip = match elapsed.checked_sub(estimate.round_trip) {
+            Some(excess) => estimate.round_trip + excess / RISE_DIVISOR,
+            None => elapsed,
         };
     }
 
-    /// Returns the time beyond that to the own data centre.
-    pub(super) fn to(&self, data_centre: &DataCentreId) -> Duration {
-        if *data_centre == self.own {
+    /// Returns the round-trip time in excess of that within the local data centre.
+    pub(super) fn beyond_local(&self, data_centre: &DataCentreId) -> Duration {
+        if *data_centre == self.local {
             return Duration::ZERO;
         }
-        let own = self.estimate(&self.own).unwrap_or_default();
-        self.estimate(data_centre).unwrap_or_default().saturating_sub(own)
+        let local = self.estimate(&self.local).unwrap_or_default();
+        self.estimate(data_centre).unwrap_or_default().saturating_sub(local)
     }
 
     fn estimate(&self, data_centre: &DataCentreId) -> Option<Duration> {
-        let known = self.by_data_centre.get(data_centre)?;
-        (MIN_ANSWERS <= known.answers).then_some(known.span)
+        let estimate = self.by_data_centre.get(data_centre)?;
+        (MIN_SAMPLES <= estimate.samples).then_some(estimate.round_trip)
     }
 }
--- a/crates/daemon/src/edge/targets.rs
+++ b/crates/daemon/src/edge/targets.rs
@@ -11,21 +11,21 @@
 
 use crate::in_flight::{self, Busy, Work};
 
-use super::upstream::Pool;
+use super::upstream::ConnectionPool;
 
-/// An endpoint as this router uses it.
+/// A ready endpoint with this router's state for it.
 pub(super) struct Target {
     announcement: RefCell<Arc<Announcement>>,
-    written: Cell<MonotonicTime>,
+    announced_at: Cell<MonotonicTime>,
     slot: Option<Slot>,
     drained: Cell<bool>,
-    /// Most requests that it ran while others waited.
+    /// Most requests that it ran at once while others waited.
     slots: Cell<u32>,
     work: Work,
-    pool: Pool,
+    pool: ConnectionPool,
 }
 
-/// A request under way at an endpoint; ends on drop.
+/// Guard that counts a request in flight at an endpoint until it is dropped.
 pub(super) type InFlight = in_flight::InFlight<Target>;
 
 impl Busy for Target {
@@ -35,15 +35,15 @@
 }
 
 impl Target {
-    /// Creates the view of an endpoint whose warm prefixes are known under `slot`.
-    pub(super) fn new(source: IpAddr, known: &EndpointRecord, slot: Option<Slot>) -> Self {
-        let pool = Pool::new(source, known.announcement.address);
+    /// Creates the state of an endpoint whose cached prefixes are tracked under `slot`.
+    pub(super) fn new(source: IpAddr, record: &EndpointRecord, slot: Option<Slot>) -> Self {
+        let pool = ConnectionPool::new(source, record.announcement.address);
         Self {
-            announcement: RefCell::new(Arc::clone(&known.announcement)),
-            written: Cell::new(known.written),
+            announcement: RefCell::new(Arc::clone(&record.announcement)),
+            announced_at: Cell::new(record.written),
             slot,
             drained: Cell::new(false),
-            slots: Cell::new(slots_of(&known.announcement)),
+            slots: Cell::new(saturated_slots(&record.announcement)),
             work: Work::default(),
             pool,
         }
@@ -57,7 +57,7 @@
         self.announcement.borrow().data_centre.clone()
     }
 
-    pub(super) fn pool(&self) -> &Pool {
+    pub(super) fn pool(&self) -> &ConnectionPool {
         &self.pool
     }
 
@@ -69,7 +69,7 @@
         self.work.requests()
     }
 
-    /// Returns the tokens that this router sent and that wait for prefill.
+    /// Returns the tokens that this router sent and that still wait for prefill.
     pub(super) fn prefill_tokens(&self) -> TokenCount {
         self.work.prefill_tokens()
     }
@@ -80,15 +80,15 @@
             EndpointKind::Engine(engine) => engine.load,
             EndpointKind::Service(_) => Load::default(),
         };
-        (load, now.saturating_since(self.written.get()))
+        (load, now.saturating_since(self.announced_at.get()))
     }
 
-    /// Returns how many requests it runs at once, 0 while it never let one wait.
+    /// Returns how many requests it runs at once, 0 if none has ever waited there.
     pub(super) fn slots(&self) -> u32 {
         self.slots.get()
     }
 
-    /// Returns whether operators want it to get no new work.
+    /// Returns whether it is drained by the declaration.
     pub(super) fn is_drained(&self) -> bool {
         self.drained.get()
     }
@@ -97,30 +97,34 @@
         self.drained.set(drained);
     }
 
-    /// Takes a newer announcement; returns whether it is of the same process.
-    pub(super) fn renew(&self, newer: &EndpointRecord) -> bool {
-        let mut known = self.announcement.borrow_mut();
+    /// Applies a newer announcement if it has the same incarnation and address; returns whether it
+    /// has.
+    pub(super) fn update(&self, newer: &EndpointRecord) -> bool {
+        let mut current = self.announcement.borrow_mut();
         let announcement = &newer.announcement;
-        let same =
-            known.incarnation == announcement.incarnation && known.address == announcement.address;
-        if same {
-            known.clone_from(announcement);
-            self.written.set(newer.written);
-            self.slots.set(self.slots.get().max(slots_of(&newer.announcement)));
+        let same_process = current.incarnation == announcement.incarnation
+            && current.address == announcement.address;
+        if same_process {
+            current.clone_from(announcement);
+            self.announced_at.set(newer.written);
+            self.slots.set(self.slots.get().max(saturated_slots(&newer.announcement)));
         }
-        same
+        same_process
     }
 
-    /// Returns the weights of the model that is wanted, if the endpoint serves it.
-    pub(super) fn serves(&self, wanted: impl Fn(&ServedModel) -> bool) -> Option<WeightsVersion> {
+    /// Returns the weights of the first served model that matches.
+    pub(super) fn served_weights(
+        &self,
+        matches: impl Fn(&ServedModel) -> bool,
+    ) -> Option<WeightsVersion> {
         let announcement = self.announcement.borrow();
         let EndpointKind::Engine(engine) = &announcement.kind else { return None };
-        engine.models.iter().find(|m| wanted(m)).map(|served| served.weights.clone())
+        engine.models.iter().find(|m| matches(m)).map(|served| served.weights.clone())
     }
 }
 
-/// Returns how many requests an endpoint runs while others wait, 0 if none waits.
-fn slots_of(announcement: &Announcement) -> u32 {
+/// Returns how many requests an endpoint runs if others wait, 0 if none waits.
+fn saturated_slots(announcement: &Announcement) -> u32 {
     match &announcement.kind {
         EndpointKind::Engine(engine) if engine.load.waiting != 0 => engine.load.running,
         EndpointKind::Engine(_) | EndpointKind::Service(_) => 0,
--- a/crates/daemon/src/edge/tracked.rs
+++ b/crates/daemon/src/edge/tracked.rs
@@ -4,41 +4,43 @@
 
 use super::{Edge, body::Body};
 
-const REQUEST_ID: &str = "x-request-id";
-const TRACEPARENT: &str = "traceparent";
+const REQUEST_ID_HEADER: &str = "x-request-id";
+const TRACEPARENT_HEADER: &str = "traceparent";
 
-/// A request as logs, metrics and spans know it.
-pub(super) struct Tracked {
+/// Identity of a request in logs, metrics and traces.
+pub(super) struct TrackedRequest {
     pub id: RequestId,
     pub arrived: MonotonicTime,
     pub recorder: Recorder,
     pub span: Span,
 }
 
-/// The id by which the caller knows a request: its own, or the router's.
-pub(super) struct ShownId(HeaderValue);
+/// The request id returned to the caller: the one it sent, or the router's.
+pub(super) struct CallerRequestId(HeaderValue);
 
-impl Tracked {
-    /// Names a request that has just arrived, and links it to its caller's trace.
+impl TrackedRequest {
+    /// Assigns an id to a request that has just arrived, and links it to its caller's trace.
     pub(super) fn begin(edge: &Edge, organisation: &OrganisationId, headers: &HeaderMap) -> Self {
         let id = edge.new_request_id();
-        let caller = headers.get(TRACEPARENT).and_then(|text| text.to_str().ok()?.parse().ok());
+        let caller =
+            headers.get(TRACEPARENT_HEADER).and_then(|text| text.to_str().ok()?.parse().ok());
         let mut span = edge.tracer.accept(caller);
         span.set("request", id.to_string());
         let recorder = edge.metrics.recorder(organisation);
         Self { id, arrived: edge.clock.now(), recorder, span }
     }
 
-    /// Returns the id that the answer shows.
-    pub(super) fn shown_id(&self, headers: &HeaderMap) -> ShownId {
-        let own = || HeaderValue::from_str(self.id.as_str()).expect("an id is a valid header");
-        ShownId(headers.get(REQUEST_ID).cloned().unwrap_or_else(own))
+    /// Returns the request id for the response.
+    pub(super) fn caller_id(&self, headers: &HeaderMap) -> CallerRequestId {
+        let router_id =
+            || HeaderValue::from_str(self.id.as_str()).expect("an id is a valid header");
+        CallerRequestId(headers.get(REQUEST_ID_HEADER).cloned().unwrap_or_else(router_id))
     }
 }
 
-impl ShownId {
-    /// Puts the id into an answer.
-    pub(super) fn show(self, response: &mut Response<Body>) {
-        response.headers_mut().insert(REQUEST_ID, self.0);
+impl CallerRequestId {
+    /// Sets the response's request id header.
+    pub(super) fn set_header(self, response: &mut Response<Body>) {
+        response.headers_mut().insert(REQUEST_ID_HEADER, self.0);
     }
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -41,7 +41,7 @@
 mod signals;
 
 pub use crate::{
-    edge::EdgeEnd,
+    edge::ServerExit,
     gateway::{
         AttemptHead, CallerRequest, ControlRequest, ControlRequestError, ControlResponse,
         DecodeError, Dialect, EngineHead, EngineReport, FleetRetries, GatewaySettings,
