--- a/crates/bench/src/operator.rs
+++ b/crates/bench/src/operator.rs
@@ -10,7 +10,7 @@
 use eyre::{ContextCompat as _, bail};
 use fleet::{CallKey, ChangeReply, Command, ConfigChange, Reply};
 use wire::{
-    leader::{LeaderAnswer, LeaderRequest},
+    leader::{LeaderRequest, LeaderResponse},
     operator::{STATUS_PATH, Status},
     peer::Configuration,
 };
@@ -59,7 +59,7 @@
 pub async fn ask_leader(
     daemons: &[Daemon],
     request: &LeaderRequest,
-) -> eyre::Result<(usize, LeaderAnswer)> {
+) -> eyre::Result<(usize, LeaderResponse)> {
     let deadline = Instant::now() + LEADER_TIMEOUT;
     while Instant::now() < deadline {
         for (i, daemon) in daemons.iter().enumerate() {
@@ -88,7 +88,7 @@
 /// Returns an error if no leader answers in time.
 pub async fn read_call(daemons: &[Daemon], key: &CallKey) -> eyre::Result<Option<fleet::Call>> {
     match ask_leader(daemons, &LeaderRequest::ReadCall(key.clone())).await? {
-        (_, LeaderAnswer::Call(call)) => Ok(call.map(|call| *call)),
+        (_, LeaderResponse::Call(call)) => Ok(call.map(|call| *call)),
         (_, other) => bail!("unexpected answer {other:?}"),
     }
 }
@@ -113,7 +113,7 @@
 pub async fn submit_change(daemons: &[Daemon], change: ConfigChange) -> eyre::Result<ChangeReply> {
     let request = LeaderRequest::Command(Command::Change(change));
     match ask_leader(daemons, &request).await? {
-        (_, LeaderAnswer::Reply(Reply::Change(reply))) => Ok(reply),
+        (_, LeaderResponse::Reply(Reply::Change(reply))) => Ok(reply),
         (_, other) => bail!("unexpected answer {other:?}"),
     }
 }
--- a/crates/bench/src/quorum_bench.rs
+++ b/crates/bench/src/quorum_bench.rs
@@ -15,7 +15,7 @@
 use quorum::{Entry, FolderId, Payload, Snapshot, VoterSet};
 use serde::Serialize;
 use store::{Log, RealDisk};
-use wire::leader::{LeaderAnswer, LeaderRequest};
+use wire::leader::{LeaderRequest, LeaderResponse};
 
 use crate::{
     Fault, operator,
@@ -218,7 +218,7 @@
 
 async fn commit(client: &PeerClient, command: Command) -> eyre::Result<()> {
     let answer = client.submit(&LeaderRequest::Command(command), ANSWER_TIMEOUT).await?;
-    let committed = matches!(answer, PeerAnswer::Answered(LeaderAnswer::Reply(_)));
+    let committed = matches!(answer, PeerAnswer::Answered(LeaderResponse::Reply(_)));
     ensure!(committed, "not committed: {answer:?}");
     Ok(())
 }
--- a/crates/bench/src/slopes/claims.rs
+++ b/crates/bench/src/slopes/claims.rs
@@ -11,7 +11,7 @@
     Answer, CallKey, Claim, ClaimId, ClaimReply, Command, Finish, FinishReply, Fleet, Outcome,
     Owner, Reply,
 };
-use wire::leader::{LeaderAnswer, LeaderRequest};
+use wire::leader::{LeaderRequest, LeaderResponse};
 
 use crate::usage::thread_cpu;
 
@@ -104,7 +104,7 @@
     let finished = Reply::Finish(FinishReply::Recorded);
     let exchange = |command, reply| {
         let request = LeaderRequest::Command(command).to_bytes().len();
-        request + LeaderAnswer::Reply(reply).to_bytes().len()
+        request + LeaderResponse::Reply(reply).to_bytes().len()
     };
     let bytes = |calls: usize| -> usize {
         let calls = 0..calls as u64;
--- a/crates/bench/tests/claims_faults.rs
+++ b/crates/bench/tests/claims_faults.rs
@@ -259,7 +259,7 @@
         scene.site.daemons[leader].thaw().unwrap();
         let read = LeaderRequest::ReadCall(scene.call());
         match operator::ask(&scene.site.daemons[leader], &read).await.unwrap() {
-            daemon::PeerAnswer::Answered(wire::leader::LeaderAnswer::Call(call)) => {
+            daemon::PeerAnswer::Answered(wire::leader::LeaderResponse::Call(call)) => {
                 let state = call.map(|call| call.state);
                 assert!(matches!(state, Some(CallState::Finished(..))), "stale: {state:?}");
             }
--- a/crates/bench/tests/quorum_disks.rs
+++ b/crates/bench/tests/quorum_disks.rs
@@ -16,7 +16,7 @@
 use daemon::PeerAnswer;
 use fleet::{ChangeReply, Command};
 use quorum::FolderId;
-use wire::leader::{LeaderAnswer, LeaderRequest};
+use wire::leader::{LeaderRequest, LeaderResponse};
 
 const PATIENCE: Duration = Duration::from_secs(20);
 /// Longer than several elections take.
@@ -102,8 +102,8 @@
 async fn replace_voter(site: &Site, host: usize) {
     let id = host_id(site, host);
     let remove = LeaderRequest::RemoveVoter { host: id.clone() };
-    let is_voter = |answer: &LeaderAnswer, folder: Option<FolderId>| match answer {
-        LeaderAnswer::Voters(voters) => voters.folders.get(&id).copied() == folder,
+    let is_voter = |answer: &LeaderResponse, folder: Option<FolderId>| match answer {
+        LeaderResponse::Voters(voters) => voters.folders.get(&id).copied() == folder,
         _ => false,
     };
     let deadline = Instant::now() + PATIENCE;
--- a/crates/daemon/src/admin/calls.rs
+++ b/crates/daemon/src/admin/calls.rs
@@ -2,7 +2,7 @@
 use fleet::{CallKey, CallState as State, Command, Held, Reply, Resolve, ResolveReply};
 use rouille::Request;
 use wire::{
-    leader::{LeaderAnswer, LeaderRequest},
+    leader::{LeaderRequest, LeaderResponse},
     operator::{
         Call, CallPath, CallState, Resolution, ResolveRequest, ResolvedVerdict, UnsettledCalls,
     },
@@ -18,7 +18,7 @@
 /// Lists the calls that are open or whose outcome is unknown.
 pub(super) fn unsettled(pages: &Pages) -> Result<UnsettledCalls, Refused> {
     match pages.leader.ask(&LeaderRequest::ReadUnsettled)? {
-        LeaderAnswer::Unsettled(calls) => {
+        LeaderResponse::Unsettled(calls) => {
             let calls = calls.into_iter().map(|unsettled| to_wire(unsettled.key, unsettled.call));
             Ok(UnsettledCalls { calls: calls.collect() })
         }
@@ -42,7 +42,7 @@
         at: UnixMillis::new(0),
     });
     let answer = pages.leader.ask(&LeaderRequest::Command(resolve))?;
-    let LeaderAnswer::Reply(Reply::Resolve(reply)) = answer else {
+    let LeaderResponse::Reply(Reply::Resolve(reply)) = answer else {
         return Err(Refused::unknown());
     };
     match reply {
@@ -72,8 +72,8 @@
 
 fn read(pages: &Pages, key: CallKey) -> Result<Call, Refused> {
     match pages.leader.ask(&LeaderRequest::ReadCall(key.clone()))? {
-        LeaderAnswer::Call(Some(call)) => Ok(to_wire(key, *call)),
-        LeaderAnswer::Call(None) => Err(unknown(&key)),
+        LeaderResponse::Call(Some(call)) => Ok(to_wire(key, *call)),
+        LeaderResponse::Call(None) => Err(unknown(&key)),
         _ => Err(Refused::unavailable("the leader's answer can't be read")),
     }
 }
--- a/crates/daemon/src/admin/declaration.rs
+++ b/crates/daemon/src/admin/declaration.rs
@@ -7,7 +7,7 @@
 use fleet::{ChangeRecord, ChangeReply, Command, ConfigChange, Reply};
 use rouille::{Request, Response};
 use wire::{
-    leader::{LeaderAnswer, LeaderRequest},
+    leader::{LeaderRequest, LeaderResponse},
     operator::{ChangeAnswer, ChangeRequest, CurrentDeclaration, History, HistoryEntry},
 };
 
@@ -57,7 +57,9 @@
         declaration: req.toml,
     });
     let answer = pages.leader.ask(&LeaderRequest::Command(change))?;
-    let LeaderAnswer::Reply(Reply::Change(reply)) = answer else { return Err(Refused::unknown()) };
+    let LeaderResponse::Reply(Reply::Change(reply)) = answer else {
+        return Err(Refused::unknown());
+    };
     let answer = to_answer(pages, &id, reply)?;
     if let ChangeAnswer::Applied { revision } = answer {
         log::info!(change:% = id, author:%, revision:%; "configuration changed");
@@ -69,7 +71,7 @@
 /// Lists the changes that are kept.
 pub(super) fn history(pages: &Pages) -> Result<History, Refused> {
     let records = match pages.leader.ask(&LeaderRequest::ReadHistory) {
-        Ok(LeaderAnswer::History(records)) => records,
+        Ok(LeaderResponse::History(records)) => records,
         Ok(_) => return Err(Refused::unavailable("the leader's answer can't be read")),
         Err(refused) => pages.sources.replica.load().ok_or(refused)?.history,
     };
--- a/crates/daemon/src/admin/leader.rs
+++ b/crates/daemon/src/admin/leader.rs
@@ -3,7 +3,7 @@
     time::Duration,
 };
 
-use wire::leader::{LeaderAnswer, LeaderRequest};
+use wire::leader::{LeaderRequest, LeaderResponse};
 
 use crate::leader_client::{LeaderClient, NoAnswer};
 
@@ -30,7 +30,7 @@
     }
 
     /// Sends an idempotent request and waits for the answer.
-    pub(super) fn ask(&self, request: &LeaderRequest) -> Result<LeaderAnswer, Refused> {
+    pub(super) fn ask(&self, request: &LeaderRequest) -> Result<LeaderResponse, Refused> {
         let _place = Place::take(&self.waiting)
             .ok_or_else(|| Refused::unavailable("too many requests wait for the leader"))?;
         let runtime = tokio::runtime::Builder::new_current_thread()
@@ -38,7 +38,7 @@
             .build()
             .map_err(|e| Refused::unavailable(format!("no runtime: {e}")))?;
         match runtime.block_on(self.client.ask(request, ANSWER_TIMEOUT)) {
-            Ok(LeaderAnswer::Refused(why)) => Err(Refused::conflict(why)),
+            Ok(LeaderResponse::Refused(why)) => Err(Refused::conflict(why)),
             Ok(answer) => Ok(answer),
             Err(NoAnswer::NotTaken) => Err(Refused::unavailable(
                 "no leader took the request; the quorum has no majority or can't be reached",
--- a/crates/daemon/src/admin/voters.rs
+++ b/crates/daemon/src/admin/voters.rs
@@ -1,7 +1,7 @@
 use quorum::VoterSet;
 use rouille::Request;
 use wire::{
-    leader::{LeaderAnswer, LeaderRequest},
+    leader::{LeaderRequest, LeaderResponse},
     operator::{Voter, VoterChange, VoterChangeRequest, Voters},
 };
 
@@ -40,8 +40,10 @@
     pages.leader.ask(&request).and_then(voters)
 }
 
-fn voters(answer: LeaderAnswer) -> Result<Voters, Refused> {
-    let LeaderAnswer::Voters(VoterSet { folders }) = answer else { return Err(Refused::unknown()) };
+fn voters(answer: LeaderResponse) -> Result<Voters, Refused> {
+    let LeaderResponse::Voters(VoterSet { folders }) = answer else {
+        return Err(Refused::unknown());
+    };
     let voter = |(host, folder): (_, quorum::FolderId)| Voter {
         host,
         folder: folder.to_string().into(),
--- a/crates/daemon/src/edge/claims.rs
+++ b/crates/daemon/src/edge/claims.rs
@@ -8,7 +8,7 @@
 };
 use hyper::{Response, StatusCode, header::CONTENT_TYPE};
 use tokio::task::JoinHandle;
-use wire::leader::{LeaderAnswer, LeaderRequest};
+use wire::leader::{LeaderRequest, LeaderResponse};
 
 use crate::leader_client::NoAnswer;
 
@@ -126,7 +126,7 @@
         while edge.clock.now() < until {
             tokio::time::sleep(WAIT_PAUSE).await;
             let left = until.saturating_since(edge.clock.now());
-            if let Ok(LeaderAnswer::Call(call)) = edge.leader.ask(&request, left).await
+            if let Ok(LeaderResponse::Call(call)) = edge.leader.ask(&request, left).await
                 && !call.is_some_and(|call| call.state.is_open())
             {
                 return Ok(());
@@ -231,7 +231,7 @@
 
 async fn command(edge: &Edge, command: Command, timeout: Duration) -> Result<Reply, NoAnswer> {
     match edge.leader.ask(&LeaderRequest::Command(command), timeout).await? {
-        LeaderAnswer::Reply(reply) => Ok(reply),
+        LeaderResponse::Reply(reply) => Ok(reply),
         _ => Err(NoAnswer::Unknown),
     }
 }
--- a/crates/daemon/src/gateway/control.rs
+++ b/crates/daemon/src/gateway/control.rs
@@ -7,7 +7,7 @@
 use http_body_util::{BodyExt as _, LengthLimitError, Limited};
 use hyper::{Request, Response, body::Incoming};
 use member::Announcement;
-use wire::leader::{LeaderAnswer, LeaderRequest};
+use wire::leader::{LeaderRequest, LeaderResponse};
 
 use crate::{leader_client::NoAnswer, roster::RosterInput};
 
@@ -109,7 +109,7 @@
 async fn command<D: Dialect>(gateway: &Gateway<D>, command: Command) -> ControlAnswer {
     let asked = gateway.leader.ask(&LeaderRequest::Command(command), LEADER_TIMEOUT).await;
     match asked {
-        Ok(LeaderAnswer::Reply(Reply::Publish(_) | Reply::Weights(_))) => ControlAnswer::Done,
+        Ok(LeaderResponse::Reply(Reply::Publish(_) | Reply::Weights(_))) => ControlAnswer::Done,
         Ok(_) => ControlAnswer::Unavailable("the leader's answer is of another kind"),
         Err(NoAnswer::NotTaken) => ControlAnswer::Unavailable("no leader took it"),
         Err(NoAnswer::Unknown) => ControlAnswer::Unavailable("no leader confirmed it"),
@@ -118,7 +118,7 @@
 
 async fn read_configuration<D: Dialect>(gateway: &Gateway<D>) -> ControlAnswer {
     match gateway.leader.ask(&LeaderRequest::ReadPublished, LEADER_TIMEOUT).await {
-        Ok(LeaderAnswer::Published(view)) => match view.content {
+        Ok(LeaderResponse::Published(view)) => match view.content {
             Some(content) => ControlAnswer::Configuration(Arc::clone(&content)),
             None => ControlAnswer::NoConfiguration,
         },
--- a/crates/daemon/src/gateway/follow.rs
+++ b/crates/daemon/src/gateway/follow.rs
@@ -6,7 +6,7 @@
 use fleet::{ConfigurationNumber, WeightsHistory};
 use member::{EndpointState, LifeKey};
 use routes::Table;
-use wire::leader::{Follow, LeaderAnswer, LeaderRequest, PublishedView, Seen, ViewVersion};
+use wire::leader::{Follow, LeaderRequest, LeaderResponse, PublishedView, Seen, ViewVersion};
 
 use crate::replica::ReplicaInput;
 
@@ -64,7 +64,7 @@
             leaving: gateway.leaving_endpoints(),
         });
         match gateway.leader.ask(&request, ASK_TIMEOUT).await {
-            Ok(LeaderAnswer::Published(view)) => {
+            Ok(LeaderResponse::Published(view)) => {
                 if std::mem::take(&mut lost) {
                     log::info!(term:% = view.version.term; "the leader answers again");
                 }
--- a/crates/daemon/src/leader_client.rs
+++ b/crates/daemon/src/leader_client.rs
@@ -2,7 +2,7 @@
 
 use base::HostId;
 use rand::RngExt as _;
-use wire::leader::{LeaderAnswer, LeaderRequest};
+use wire::leader::{LeaderRequest, LeaderResponse};
 
 use crate::{
     directory::Directory,
@@ -49,7 +49,7 @@
         &self,
         request: &LeaderRequest,
         timeout: Duration,
-    ) -> Result<LeaderAnswer, NoAnswer> {
+    ) -> Result<LeaderResponse, NoAnswer> {
         let bytes = request.to_bytes();
         let worst = Cell::new(NoAnswer::NotTaken);
         let asking = async {
@@ -61,7 +61,7 @@
                         Submitted::Reply(answer) => {
                             self.directory.answered(&host);
                             self.directory.set_leader(Some(host));
-                            return LeaderAnswer::from_bytes(&answer)
+                            return LeaderResponse::from_bytes(&answer)
                                 .map_err(|_| NoAnswer::Unknown);
                         }
                         Submitted::NotWritten { leader } => {
--- a/crates/daemon/src/peers/client.rs
+++ b/crates/daemon/src/peers/client.rs
@@ -7,7 +7,7 @@
 use base::{HostId, Revision};
 use eyre::WrapErr as _;
 use wire::{
-    leader::{LeaderAnswer, LeaderRequest},
+    leader::{LeaderRequest, LeaderResponse},
     peer::Configuration,
 };
 
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerAnswer {
     /// The router leads, and answered.
-    Answered(LeaderAnswer),
+    Answered(LeaderResponse),
     /// The router doesn't lead; the request was not written and won't be.
     NotLeader {
         /// The leader, if known.
@@ -72,7 +72,7 @@
             return Ok(PeerAnswer::Unknown);
         };
         Ok(match submitted {
-            Submitted::Reply(answer) => PeerAnswer::Answered(LeaderAnswer::from_bytes(&answer)?),
+            Submitted::Reply(answer) => PeerAnswer::Answered(LeaderResponse::from_bytes(&answer)?),
             Submitted::NotWritten { leader } => PeerAnswer::NotLeader { leader },
             Submitted::Unknown => PeerAnswer::Unknown,
         })
--- a/crates/daemon/src/readiness.rs
+++ b/crates/daemon/src/readiness.rs
@@ -10,7 +10,7 @@
 use base::Revision;
 use member::{PeerState, Roster};
 use wire::{
-    leader::{LeaderAnswer, LeaderRequest},
+    leader::{LeaderRequest, LeaderResponse},
     operator::ServingState,
 };
 
@@ -86,7 +86,7 @@
     let answer = Arc::clone(&committed);
     std::thread::Builder::new().name("news".into()).spawn(move || {
         let asking = leader.ask(&LeaderRequest::ReadRevision, NEWS_TIMEOUT);
-        if let Ok(LeaderAnswer::Revision(revision)) = runtime.block_on(asking) {
+        if let Ok(LeaderResponse::Revision(revision)) = runtime.block_on(asking) {
             let _ = answer.set(revision);
         }
     })?;
--- a/crates/daemon/src/replica/driver.rs
+++ b/crates/daemon/src/replica/driver.rs
@@ -11,7 +11,7 @@
 use rand_pcg::Pcg64Mcg;
 use store::{Disk, Log};
 use wire::{
-    leader::{Follow, LeaderAnswer, LeaderRequest},
+    leader::{Follow, LeaderRequest, LeaderResponse},
     peer::{quorum_from_bytes, quorum_to_bytes},
 };
 
@@ -252,7 +252,7 @@
                 | LeaderRequest::ReadPublished),
             ) => self.read(request, reply),
             Ok(LeaderRequest::FollowPublished(question)) => self.follow(question, reply),
-            Err(e) => reply.answer(&LeaderAnswer::Refused(e.to_string())),
+            Err(e) => reply.answer(&LeaderResponse::Refused(e.to_string())),
         }
     }
 
@@ -370,7 +370,7 @@
                     | quorum::Refusal::TermNotCommitted => {
                         reply.not_written(leader);
                     }
-                    _ => reply.answer(&LeaderAnswer::Refused(refusal.to_string())),
+                    _ => reply.answer(&LeaderResponse::Refused(refusal.to_string())),
                 }
             }
             Action::ReadReady { id, index } => self.waiting.read_ready(id, index),
@@ -413,7 +413,7 @@
             }
             Payload::Voters(voters) => {
                 self.fleet.skip(entry.index);
-                LeaderAnswer::Voters(voters.clone())
+                LeaderResponse::Voters(voters.clone())
             }
             Payload::Command(command) => self.apply_command(entry.index, command),
         };
@@ -422,7 +422,7 @@
         }
     }
 
-    fn apply_command(&mut self, index: LogIndex, command: &[u8]) -> LeaderAnswer {
+    fn apply_command(&mut self, index: LogIndex, command: &[u8]) -> LeaderResponse {
         self.applied_bytes += command.len();
         match Command::from_bytes(command) {
             Ok(command) => {
@@ -434,11 +434,11 @@
                     self.followers.note_change();
                     self.note_named();
                 }
-                LeaderAnswer::Reply(reply)
+                LeaderResponse::Reply(reply)
             }
             Err(e) => {
                 self.fleet.skip(index);
-                LeaderAnswer::Refused(e.to_string())
+                LeaderResponse::Refused(e.to_string())
             }
         }
     }
--- a/crates/daemon/src/replica/reads.rs
+++ b/crates/daemon/src/replica/reads.rs
@@ -4,7 +4,7 @@
 use fleet::Fleet;
 use quorum::Node;
 use rand_pcg::Pcg64Mcg;
-use wire::leader::{LeaderAnswer, LeaderRequest, Seen, UnsettledCall};
+use wire::leader::{LeaderRequest, LeaderResponse, Seen, UnsettledCall};
 
 use super::followers::Followers;
 
@@ -18,17 +18,17 @@
 
 impl Readable<'_> {
     /// Returns the answer to a request, or `None` if it is one to change something.
-    pub(super) fn answer(&mut self, request: &LeaderRequest) -> Option<LeaderAnswer> {
+    pub(super) fn answer(&mut self, request: &LeaderRequest) -> Option<LeaderResponse> {
         let answer = match request {
             LeaderRequest::ReadCall(key) => {
-                LeaderAnswer::Call(self.fleet.ledger().call(key).cloned().map(Box::new))
+                LeaderResponse::Call(self.fleet.ledger().call(key).cloned().map(Box::new))
             }
-            LeaderRequest::ReadRevision => LeaderAnswer::Revision(self.fleet.revision()),
-            LeaderRequest::ReadUnsettled => LeaderAnswer::Unsettled(self.unsettled()),
+            LeaderRequest::ReadRevision => LeaderResponse::Revision(self.fleet.revision()),
+            LeaderRequest::ReadUnsettled => LeaderResponse::Unsettled(self.unsettled()),
             LeaderRequest::ReadHistory => {
-                LeaderAnswer::History(self.fleet.configuration().history().cloned().collect())
+                LeaderResponse::History(self.fleet.configuration().history().cloned().collect())
             }
-            LeaderRequest::ReadVoters => LeaderAnswer::Voters(self.node.status().voters),
+            LeaderRequest::ReadVoters => LeaderResponse::Voters(self.node.status().voters),
             LeaderRequest::ReadPublished => self.published(&Seen::default(), None),
             LeaderRequest::FollowPublished(question) => {
                 self.published(&question.seen, Some(&question.from))
@@ -45,9 +45,9 @@
         unsettled.map(|(key, call)| UnsettledCall { key, call: call.clone() }).collect()
     }
 
-    fn published(&mut self, seen: &Seen, asker: Option<&HostId>) -> LeaderAnswer {
+    fn published(&mut self, seen: &Seen, asker: Option<&HostId>) -> LeaderResponse {
         let term = self.node.term();
         let view = self.followers.view(self.now, term, self.fleet.published(), seen, asker);
-        LeaderAnswer::Published(Box::new(view))
+        LeaderResponse::Published(Box::new(view))
     }
 }
--- a/crates/daemon/src/replica/waiting.rs
+++ b/crates/daemon/src/replica/waiting.rs
@@ -2,7 +2,7 @@
 
 use base::{HostId, LogIndex, Term};
 use quorum::{ProposalId, ReadId};
-use wire::leader::{LeaderAnswer, LeaderRequest};
+use wire::leader::{LeaderRequest, LeaderResponse};
 
 use crate::peers::Submitted;
 
@@ -35,7 +35,7 @@
         Self(tx)
     }
 
-    pub(super) fn answer(self, answer: &LeaderAnswer) {
+    pub(super) fn answer(self, answer: &LeaderResponse) {
         self.send(Submitted::Reply(answer.to_bytes()));
     }
 
--- a/crates/wire/src/leader.rs
+++ b/crates/wire/src/leader.rs
@@ -109,7 +109,7 @@
 
 /// The leader's answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum LeaderAnswer {
+pub enum LeaderResponse {
     /// The command was committed and led to this.
     Reply(Reply),
     /// What is known of the call.
@@ -153,7 +153,7 @@
     }
 }
 
-impl LeaderAnswer {
+impl LeaderResponse {
     /// Writes the answer.
     pub fn to_bytes(&self) -> Vec<u8> {
         to_bytes(self)
--- a/crates/wire/tests/any_bytes.rs
+++ b/crates/wire/tests/any_bytes.rs
@@ -8,7 +8,7 @@
     announcement::AnnouncementBody,
     chunk::Chunk,
     completion::Completion,
-    leader::{LeaderAnswer, LeaderRequest},
+    leader::{LeaderRequest, LeaderResponse},
     peer::{gossip_from_bytes, gossip_to_bytes, quorum_from_bytes, quorum_to_bytes},
 };
 
@@ -35,7 +35,7 @@
     ]
 }
 
-fn answers() -> Vec<LeaderAnswer> {
+fn answers() -> Vec<LeaderResponse> {
     let folders = [("host-1".parse().unwrap(), FolderId::new(7))];
     let change = ChangeRecord {
         revision: Revision::new(3),
@@ -45,11 +45,11 @@
         at: UnixMillis::new(5),
     };
     vec![
-        LeaderAnswer::Call(None),
-        LeaderAnswer::Unsettled(Vec::new()),
-        LeaderAnswer::Voters(VoterSet { folders: folders.into() }),
-        LeaderAnswer::Refused("why".into()),
-        LeaderAnswer::History(vec![change]),
+        LeaderResponse::Call(None),
+        LeaderResponse::Unsettled(Vec::new()),
+        LeaderResponse::Voters(VoterSet { folders: folders.into() }),
+        LeaderResponse::Refused("why".into()),
+        LeaderResponse::History(vec![change]),
     ]
 }
 
@@ -59,7 +59,7 @@
         assert_eq!(LeaderRequest::from_bytes(&request.to_bytes()).unwrap(), request);
     }
     for answer in answers() {
-        assert_eq!(LeaderAnswer::from_bytes(&answer.to_bytes()).unwrap(), answer);
+        assert_eq!(LeaderResponse::from_bytes(&answer.to_bytes()).unwrap(), answer);
     }
 }
 
@@ -77,8 +77,8 @@
         if let Ok(request) = LeaderRequest::from_bytes(&bytes) {
             prop_assert_eq!(LeaderRequest::from_bytes(&request.to_bytes()).unwrap(), request);
         }
-        if let Ok(answer) = LeaderAnswer::from_bytes(&bytes) {
-            prop_assert_eq!(LeaderAnswer::from_bytes(&answer.to_bytes()).unwrap(), answer);
+        if let Ok(answer) = LeaderResponse::from_bytes(&bytes) {
+            prop_assert_eq!(LeaderResponse::from_bytes(&answer.to_bytes()).unwrap(), answer);
         }
     }
 
