--- a/crates/bench/src/declare.rs
+++ b/crates/bench/src/declare.rs
@@ -4,7 +4,7 @@
 
 use base::Revision;
 use eyre::ensure;
-use wire::operator::{ChangeAnswer, ChangeRequest, CurrentDeclaration, DECLARATION_PATH};
+use wire::operator::{ChangeRequest, ChangeResult, CurrentDeclaration, DECLARATION_PATH};
 
 use crate::{
     process::wait_until,
@@ -60,7 +60,7 @@
     let text = response.text()?;
     ensure!(status.is_success(), "{status}: {text}");
     match serde_json::from_str(&text)? {
-        ChangeAnswer::Applied { revision } => Ok(revision),
+        ChangeResult::Applied { revision } => Ok(revision),
         other => Err(eyre::eyre!("{other:?}")),
     }
 }
--- a/crates/bench/tests/operator/changes.rs
+++ b/crates/bench/tests/operator/changes.rs
@@ -8,7 +8,7 @@
 use bench::{Fault, Proxy, process::wait_until};
 use tempfile::TempDir;
 use wire::operator::{
-    ChangeAnswer, ChangeRequest, CurrentDeclaration, DECLARATION_PATH, HISTORY_PATH, History,
+    ChangeRequest, ChangeResult, CurrentDeclaration, DECLARATION_PATH, HISTORY_PATH, History,
     QuorumRole, STATUS_PATH, Status,
 };
 
@@ -107,7 +107,7 @@
                 let toml = format!("[defaults]\nwait-weight = {weight}\n");
                 scope.spawn(move || {
                     let change = change(&format!("change-of-{author}"), author, &toml);
-                    (author, post::<ChangeAnswer>(router, DECLARATION_PATH, &change))
+                    (author, post::<ChangeResult>(router, DECLARATION_PATH, &change))
                 })
             },
         );
@@ -116,8 +116,8 @@
     });
     let won = answers.iter().find(|(_, (status, _))| *status == 200).unwrap();
     let lost = answers.iter().find(|(_, (status, _))| *status == 409).unwrap();
-    assert_eq!(won.1.1, ChangeAnswer::Applied { revision: Revision::new(1) });
-    let ChangeAnswer::Conflict { winner } = &lost.1.1 else { panic!("{lost:?}") };
+    assert_eq!(won.1.1, ChangeResult::Applied { revision: Revision::new(1) });
+    let ChangeResult::Conflict { winner } = &lost.1.1 else { panic!("{lost:?}") };
     assert_eq!((winner.author.as_str(), winner.revision), (won.0, Revision::new(1)));
 }
 
@@ -127,7 +127,7 @@
     let router = admin(&site, 0);
     let meddler = meddler::start(router, Answers::Passed, move || {
         let first = change("c-1", "bence", "[defaults]\nwait-weight = 2.5\n");
-        let (status, _) = post::<ChangeAnswer>(router, DECLARATION_PATH, &first);
+        let (status, _) = post::<ChangeResult>(router, DECLARATION_PATH, &first);
         assert_eq!(status, 200);
     });
     let (_folder, path) = file("[defaults]\nwait-weight = 1.5\n");
@@ -167,7 +167,7 @@
 fn resent_change_gets_its_first_answer_after_a_restart_of_all() {
     let mut site = site();
     let first = change("c-1", "ilka", "[defaults]\nwait-weight = 1.5\n");
-    let applied = (200, ChangeAnswer::Applied { revision: Revision::new(1) });
+    let applied = (200, ChangeResult::Applied { revision: Revision::new(1) });
     assert_eq!(post(admin(&site, 0), DECLARATION_PATH, &first), applied);
     for daemon in &mut site.daemons {
         daemon.kill().unwrap();
@@ -187,9 +187,9 @@
     wait_until("a leader is there again", Duration::from_secs(10), resend).unwrap();
     assert_eq!(post(admin(&site, 1), DECLARATION_PATH, &first), applied);
     let other = change("c-1", "ilka", "[defaults]\nwait-weight = 9.5\n");
-    let (status, answer) = post::<ChangeAnswer>(admin(&site, 2), DECLARATION_PATH, &other);
+    let (status, answer) = post::<ChangeResult>(admin(&site, 2), DECLARATION_PATH, &other);
     assert_eq!(status, 409);
-    assert!(matches!(answer, ChangeAnswer::ReusedId { .. }), "{answer:?}");
+    assert!(matches!(answer, ChangeResult::ReusedId { .. }), "{answer:?}");
 }
 
 #[test]
@@ -223,7 +223,7 @@
     const THREADS: usize = 12;
     let mut site = site();
     let first = change("c-1", "ilka", "[defaults]\nwait-weight = 1.5\n");
-    let (status, _) = post::<ChangeAnswer>(admin(&site, 0), DECLARATION_PATH, &first);
+    let (status, _) = post::<ChangeResult>(admin(&site, 0), DECLARATION_PATH, &first);
     assert_eq!(status, 200);
     std::thread::scope(|scope| {
         for thread in 0..THREADS {
@@ -231,7 +231,7 @@
             scope.spawn(move || {
                 for i in 0..SNAPSHOT_ENTRIES / THREADS {
                     let late = change(&format!("late-{thread}-{i}"), "bence", "");
-                    let (status, _) = post::<ChangeAnswer>(router, DECLARATION_PATH, &late);
+                    let (status, _) = post::<ChangeResult>(router, DECLARATION_PATH, &late);
                     assert_eq!(status, 409);
                 }
             });
--- a/crates/cli/src/submit.rs
+++ b/crates/cli/src/submit.rs
@@ -2,7 +2,7 @@
 
 use base::{ChangeId, Hasher, Revision};
 use serde::Serialize;
-use wire::operator::{ChangeAnswer, ChangeRequest, CurrentDeclaration, DECLARATION_PATH};
+use wire::operator::{ChangeRequest, ChangeResult, CurrentDeclaration, DECLARATION_PATH};
 
 use crate::{
     Edit, Error,
@@ -78,21 +78,21 @@
     id.parse().expect("letters, digits and a dash make a change id")
 }
 
-fn applied(answer: ChangeAnswer) -> Result<Revision, Error> {
+fn applied(answer: ChangeResult) -> Result<Revision, Error> {
     match answer {
-        ChangeAnswer::Applied { revision } => Ok(revision),
-        ChangeAnswer::Conflict { winner } => Err(Error::refused(format!(
+        ChangeResult::Applied { revision } => Ok(revision),
+        ChangeResult::Conflict { winner } => Err(Error::refused(format!(
             "another change came first: revision {} by {}, {:?}; nothing was changed",
             winner.revision, winner.author, winner.reason
         ))),
-        ChangeAnswer::ReusedId { first } => Err(Error::refused(format!(
+        ChangeResult::ReusedId { first } => Err(Error::refused(format!(
             "change id {} stands for revision {} by {}; nothing was changed",
             first.id, first.revision, first.author
         ))),
-        ChangeAnswer::Invalid { line: Some(line), message } => {
+        ChangeResult::Invalid { line: Some(line), message } => {
             Err(Error::refused(format!("declaration, line {line}: {message}; nothing was changed")))
         }
-        ChangeAnswer::Invalid { line: None, message } => {
+        ChangeResult::Invalid { line: None, message } => {
             Err(Error::refused(format!("declaration: {message}; nothing was changed")))
         }
     }
--- a/crates/daemon/src/admin/declaration.rs
+++ b/crates/daemon/src/admin/declaration.rs
@@ -8,7 +8,7 @@
 use rouille::{Request, Response};
 use wire::{
     leader::{LeaderRequest, LeaderResponse},
-    operator::{ChangeAnswer, ChangeRequest, CurrentDeclaration, History, HistoryEntry},
+    operator::{ChangeRequest, ChangeResult, CurrentDeclaration, History, HistoryEntry},
 };
 
 use super::{Pages, body, json, problems::Refused};
@@ -61,7 +61,7 @@
         return Err(Refused::unknown());
     };
     let answer = to_answer(pages, &id, reply)?;
-    if let ChangeAnswer::Applied { revision } = answer {
+    if let ChangeResult::Applied { revision } = answer {
         log::info!(change:% = id, author:%, revision:%; "configuration changed");
         wait_in_force(pages, revision);
     }
@@ -78,28 +78,28 @@
     Ok(History { changes: records.into_iter().map(entry).collect() })
 }
 
-fn to_answer(pages: &Pages, id: &ChangeId, reply: ChangeReply) -> Result<ChangeAnswer, Refused> {
+fn to_answer(pages: &Pages, id: &ChangeId, reply: ChangeReply) -> Result<ChangeResult, Refused> {
     Ok(match reply {
-        ChangeReply::Changed(revision) => ChangeAnswer::Applied { revision },
+        ChangeReply::Changed(revision) => ChangeResult::Applied { revision },
         ChangeReply::Conflict { winner: Some(winner), .. } => {
-            ChangeAnswer::Conflict { winner: entry(winner) }
+            ChangeResult::Conflict { winner: entry(winner) }
         }
         ChangeReply::Conflict { winner: None, current } => {
             return Err(Refused::conflict(format!("revision {current} is in force")));
         }
         ChangeReply::Invalid(e) => {
-            ChangeAnswer::Invalid { line: Some(e.line()), message: e.to_string().into() }
+            ChangeResult::Invalid { line: Some(e.line()), message: e.to_string().into() }
         }
         ChangeReply::InvalidReason => {
             let message = "the reason is empty or too long".into();
-            ChangeAnswer::Invalid { line: None, message }
+            ChangeResult::Invalid { line: None, message }
         }
         ChangeReply::IdReused => {
             let first = history(pages)?.changes.into_iter().find(|change| change.id == *id);
             let first = first.ok_or_else(|| {
                 Refused::conflict(format!("change id {id} stands for another change"))
             })?;
-            ChangeAnswer::ReusedId { first }
+            ChangeResult::ReusedId { first }
         }
     })
 }
--- a/crates/wire/src/operator.rs
+++ b/crates/wire/src/operator.rs
@@ -14,7 +14,7 @@
         Call, CallPath, CallState, Resolution, ResolveRequest, ResolvedVerdict, UnsettledCalls,
     },
     change::{
-        ChangeAnswer, ChangeRequest, CurrentDeclaration, History, HistoryEntry, VoterChange,
+        ChangeRequest, ChangeResult, CurrentDeclaration, History, HistoryEntry, VoterChange,
         VoterChangeRequest, Voters,
     },
     explain::{ExplainRequest, ExplainedCandidate, Explanation, PromptPart, ScorePart},
--- a/crates/wire/src/operator/change.rs
+++ b/crates/wire/src/operator/change.rs
@@ -42,7 +42,7 @@
 /// What became of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "kebab-case")]
-pub enum ChangeAnswer {
+pub enum ChangeResult {
     /// The change is in force.
     Applied {
         /// Its revision.
@@ -67,7 +67,7 @@
     },
 }
 
-impl ChangeAnswer {
+impl ChangeResult {
     /// Returns the HTTP status that the answer goes with.
     pub fn status(&self) -> u16 {
         match self {
--- a/crates/wire/tests/operator.rs
+++ b/crates/wire/tests/operator.rs
@@ -3,7 +3,7 @@
 use base::{Author, ChangeId, Revision, Verdict};
 use proptest::{prelude::*, test_runner::RngSeed};
 use wire::{
-    operator::{CallPath, ChangeAnswer, ChangeRequest, HistoryEntry, ResolveRequest, Status},
+    operator::{CallPath, ChangeRequest, ChangeResult, HistoryEntry, ResolveRequest, Status},
     problem::Problem,
 };
 
@@ -58,7 +58,7 @@
     fn bodies_take_any_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = serde_json::from_slice::<Problem>(&bytes);
         let _ = serde_json::from_slice::<Status>(&bytes);
-        let _ = serde_json::from_slice::<ChangeAnswer>(&bytes);
+        let _ = serde_json::from_slice::<ChangeResult>(&bytes);
         let _ = serde_json::from_slice::<ChangeRequest>(&bytes);
     }
 }
@@ -79,11 +79,11 @@
 fn conflict_names_the_winner() {
     let json = r#"{"result": "conflict", "winner":
         {"revision": 4, "id": "c", "author": "ilka", "at": 1, "reason": "r"}}"#;
-    let answer: ChangeAnswer = serde_json::from_str(json).unwrap();
+    let answer: ChangeResult = serde_json::from_str(json).unwrap();
     assert_eq!(answer.status(), 409);
     assert!(matches!(
         answer,
-        ChangeAnswer::Conflict { winner: HistoryEntry { author, .. } } if author.as_str() == "ilka"
+        ChangeResult::Conflict { winner: HistoryEntry { author, .. } } if author.as_str() == "ilka"
     ));
 }
 
