--- a/crates/daemon/src/gateway/follow.rs
+++ b/crates/daemon/src/gateway/follow.rs
@@ -6,7 +6,9 @@
 use fleet::{ConfigurationNumber, WeightsHistory};
 use member::{EndpointState, LifeKey};
 use routes::Table;
-use wire::leader::{Follow, LeaderRequest, LeaderResponse, PublishedView, Seen, ViewVersion};
+use wire::leader::{
+    FollowCursor, FollowRequest, LeaderRequest, LeaderResponse, PublishedView, ViewVersion,
+};
 
 use crate::replica::ReplicaInput;
 
@@ -55,10 +57,10 @@
         let number = gateway.in_force().map_or(ConfigurationNumber::default(), |held| held.number);
         let loads = gateway.targets.borrow().sent_loads();
         let told = gateway.untold.borrow_mut().take();
-        let request = LeaderRequest::FollowPublished(Follow {
+        let request = LeaderRequest::FollowPublished(FollowRequest {
             from: gateway.host.clone(),
-            seen: Seen { number, version, next_sent },
-            hold: if gateway.cfg.callers.is_some() { CALLERS_HOLD } else { IDLE_HOLD },
+            seen: FollowCursor { number, version, next_sent },
+            max_wait: if gateway.cfg.callers.is_some() { CALLERS_HOLD } else { IDLE_HOLD },
             loads: loads.clone(),
             sent: told.clone(),
             leaving: gateway.leaving_endpoints(),
--- a/crates/daemon/src/replica/driver.rs
+++ b/crates/daemon/src/replica/driver.rs
@@ -11,7 +11,7 @@
 use rand_pcg::Pcg64Mcg;
 use store::{Disk, Log};
 use wire::{
-    leader::{Follow, LeaderRequest, LeaderResponse},
+    leader::{FollowRequest, LeaderRequest, LeaderResponse},
     peer::{quorum_from_bytes, quorum_to_bytes},
 };
 
@@ -257,7 +257,7 @@
     }
 
     /// Holds a follower's question, unless another host should answer it.
-    fn follow(&mut self, question: Follow, reply: Reply) {
+    fn follow(&mut self, question: FollowRequest, reply: Reply) {
         if self.node.role() != Role::Leader {
             return reply.not_written(self.node.leader().cloned());
         }
--- a/crates/daemon/src/replica/followers.rs
+++ b/crates/daemon/src/replica/followers.rs
@@ -7,7 +7,7 @@
 use member::Leavers;
 use prefix::SentPromptLog;
 use route::{LoadAggregator, SentLoad};
-use wire::leader::{Follow, PublishedView, Seen, ViewVersion};
+use wire::leader::{FollowCursor, FollowRequest, PublishedView, ViewVersion};
 
 use super::waiting::Reply;
 
@@ -37,7 +37,7 @@
 
 /// A held question.
 pub(super) struct Held {
-    pub question: Follow,
+    pub question: FollowRequest,
     pub reply: Reply,
     until: MonotonicTime,
 }
@@ -58,13 +58,13 @@
 
 impl Followers {
     /// Takes a question with what its sender tells.
-    pub(super) fn hold(&mut self, now: MonotonicTime, mut question: Follow, reply: Reply) {
+    pub(super) fn hold(&mut self, now: MonotonicTime, mut question: FollowRequest, reply: Reply) {
         self.loads.report(now, question.from.clone(), std::mem::take(&mut question.loads));
         self.sent.extend(&question.from, std::mem::take(&mut question.sent));
         if self.leavers.hear(now, &question.leaving) {
             self.changes += 1;
         }
-        let until = now + question.hold.min(MAX_HOLD);
+        let until = now + question.max_wait.min(MAX_HOLD);
         self.held.push(Held { question, reply, until });
     }
 
@@ -124,7 +124,7 @@
         now: MonotonicTime,
         term: Term,
         published: &Published,
-        seen: &Seen,
+        seen: &FollowCursor,
         asker: Option<&HostId>,
     ) -> PublishedView {
         let publication = published.publication();
--- a/crates/daemon/src/replica/reads.rs
+++ b/crates/daemon/src/replica/reads.rs
@@ -4,7 +4,7 @@
 use fleet::Fleet;
 use quorum::Node;
 use rand_pcg::Pcg64Mcg;
-use wire::leader::{LeaderRequest, LeaderResponse, Seen, UnsettledCall};
+use wire::leader::{FollowCursor, LeaderRequest, LeaderResponse, UnsettledCall};
 
 use super::followers::Followers;
 
@@ -29,7 +29,7 @@
                 LeaderResponse::History(self.fleet.configuration().history().cloned().collect())
             }
             LeaderRequest::ReadVoters => LeaderResponse::Voters(self.node.status().voters),
-            LeaderRequest::ReadPublished => self.published(&Seen::default(), None),
+            LeaderRequest::ReadPublished => self.published(&FollowCursor::default(), None),
             LeaderRequest::FollowPublished(question) => {
                 self.published(&question.seen, Some(&question.from))
             }
@@ -45,7 +45,7 @@
         unsettled.map(|(key, call)| UnsettledCall { key, call: call.clone() }).collect()
     }
 
-    fn published(&mut self, seen: &Seen, asker: Option<&HostId>) -> LeaderResponse {
+    fn published(&mut self, seen: &FollowCursor, asker: Option<&HostId>) -> LeaderResponse {
         let term = self.node.term();
         let view = self.followers.view(self.now, term, self.fleet.published(), seen, asker);
         LeaderResponse::Published(Box::new(view))
--- a/crates/wire/src/leader.rs
+++ b/crates/wire/src/leader.rs
@@ -44,18 +44,18 @@
     /// Reads the numbered configuration in force and the weights named.
     ReadPublished,
     /// Reads what is published, once it differs from what was seen or some time has passed.
-    FollowPublished(Follow),
+    FollowPublished(FollowRequest),
 }
 
 /// A question for what is published, with what its sender tells in turn.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Follow {
+pub struct FollowRequest {
     /// The router that asks.
     pub from: HostId,
     /// What it has seen.
-    pub seen: Seen,
+    pub seen: FollowCursor,
     /// How long the question may be held for news.
-    pub hold: Duration,
+    pub max_wait: Duration,
     /// What it has under way at endpoints.
     pub loads: Vec<SentLoad>,
     /// The prompts that it has sent since the last question.
@@ -66,7 +66,7 @@
 
 /// What a follower of the published state has seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct FollowCursor {
     /// The configuration that it holds.
     pub number: ConfigurationNumber,
     /// The version of the last answer.
