--- a/crates/bench/src/fake/job.rs
+++ b/crates/bench/src/fake/job.rs
@@ -43,7 +43,7 @@
             chat: parts.uri.path() == CHAT_COMPLETIONS,
             choices: fields["n"].as_u64().and_then(|n| u32::try_from(n).ok()).unwrap_or(1),
             max_tokens: fields["max_tokens"].as_u64().unwrap_or(DEFAULT_MAX_TOKENS),
-            transfer: serde_json::from_value(fields[kv_transfer::FIELD].clone()).ok(),
+            transfer: serde_json::from_value(fields[kv_transfer::PARAMS_FIELD].clone()).ok(),
             arrived,
         }
     }
--- a/crates/bench/src/site.rs
+++ b/crates/bench/src/site.rs
@@ -5,7 +5,7 @@
 use base::{Digest, EndpointId, Incarnation, ModelId, OrganisationId, ServiceId, WeightsVersion};
 use tempfile::TempDir;
 use wire::{
-    kv_transfer::STORE,
+    kv_transfer::KV_STORE_SERVICE,
     operator::{ENDPOINTS_PATH, EndpointState, Endpoints},
 };
 
@@ -280,11 +280,11 @@
     }
 
     fn start_kept_kv(&self, data_centre: &str) -> KeptKvNode {
-        let id: EndpointId = format!("{STORE}-1").parse().expect("a valid id");
+        let id: EndpointId = format!("{KV_STORE_SERVICE}-1").parse().expect("a valid id");
         let store = KeptKv::start(KEPT_BLOCKS);
         let proxy = Proxy::start(store.address(), self.spec.seed);
         let announced = announced(id, data_centre, &proxy);
-        let service = STORE.parse().expect("a valid id");
+        let service = KV_STORE_SERVICE.parse().expect("a valid id");
         let announcer = Announcer::service(announced, service, self.routers(), FLEET_KEY);
         KeptKvNode { store, proxy, announcer }
     }
--- a/crates/daemon/src/edge/router/transfer.rs
+++ b/crates/daemon/src/edge/router/transfer.rs
@@ -101,7 +101,7 @@
 
 /// Returns whether a plain service is the store of kept KV, which callers can't ask.
 pub(super) fn is_kept_kv(service: &ServiceId) -> bool {
-    service.as_str() == kv_transfer::STORE
+    service.as_str() == kv_transfer::KV_STORE_SERVICE
 }
 
 fn is_store(kind: &EndpointKind) -> bool {
--- a/crates/wire/src/completion.rs
+++ b/crates/wire/src/completion.rs
@@ -120,10 +120,10 @@
         transfer: Option<&KvTransfer>,
     ) -> Vec<u8> {
         let mut fields = self.fields.clone();
-        fields.remove(kv_transfer::FIELD);
+        fields.remove(kv_transfer::PARAMS_FIELD);
         if let Some(transfer) = transfer {
             let params = serde_json::to_value(transfer).expect("a transfer is JSON");
-            fields.insert(kv_transfer::FIELD.into(), params);
+            fields.insert(kv_transfer::PARAMS_FIELD.into(), params);
         }
         fields.insert("stream".into(), true.into());
         fields.insert("stream_options".into(), serde_json::json!({"include_usage": true}));
--- a/crates/wire/src/kv_transfer.rs
+++ b/crates/wire/src/kv_transfer.rs
@@ -6,10 +6,10 @@
 use serde::{Deserialize, Serialize};
 
 /// Name of the field in a request to an engine.
-pub const FIELD: &str = "kv_transfer_params";
+pub const PARAMS_FIELD: &str = "kv_transfer_params";
 
 /// Name of the plain service as which the store of kept KV announces itself.
-pub const STORE: &str = "kept-kv";
+pub const KV_STORE_SERVICE: &str = "kept-kv";
 
 /// Where to fetch the first blocks of a prompt from.
 ///
--- a/crates/wire/tests/kv_transfer.rs
+++ b/crates/wire/tests/kv_transfer.rs
@@ -3,7 +3,7 @@
 use serde_json::{Value, json};
 use wire::{
     completion::{Completion, Delivered},
-    kv_transfer::{FIELD, KvTransfer},
+    kv_transfer::{KvTransfer, PARAMS_FIELD},
 };
 
 fn own() -> KvTransfer {
@@ -21,13 +21,13 @@
             let (own, written): (Option<KvTransfer>, Option<KvTransfer>) = ($own, $written);
             let mut body = json!({"model": "m", "prompt": "p"});
             if let Some(params) = Option::<Value>::from($caller) {
-                body[FIELD] = params;
+                body[PARAMS_FIELD] = params;
             }
             let completion = Completion::from_slice(body.to_string().as_bytes()).unwrap();
             let salt = "00ff".parse().unwrap();
             let sent = completion.to_engine(&salt, 0, &Delivered::default(), own.as_ref());
             let sent: Value = serde_json::from_slice(&sent).unwrap();
-            let found = sent.get(FIELD).map(|p| serde_json::from_value(p.clone()).unwrap());
+            let found = sent.get(PARAMS_FIELD).map(|p| serde_json::from_value(p.clone()).unwrap());
             assert_eq!(found, written);
         }
     )*};
