--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -14,7 +14,7 @@
 use serde_json::{Value, json};
 use tokio::net::TcpStream;
 use wire::{
-    chunk::{Chunk, DONE},
+    chunk::{Chunk, DONE_MARKER},
     problem::{self, Problem},
     sse::{Event, Parser},
 };
@@ -273,7 +273,7 @@
             Err(e) => Outcome::Incomplete(e.to_string()),
         });
     }
-    if event.data == DONE {
+    if event.data == DONE_MARKER {
         return Some(match expected.next() {
             Some(_) => Outcome::Incomplete("tokens are missing at the end".into()),
             None => Outcome::Answered(std::mem::take(timing)),
--- a/crates/bench/src/fake/generation.rs
+++ b/crates/bench/src/fake/generation.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use serde_json::{Value, json};
-use wire::{chunk::DONE, sse::Event};
+use wire::{chunk::DONE_MARKER, sse::Event};
 
 use super::{engine::State, job::Job, streams::Reader};
 
@@ -98,7 +98,7 @@
     }
     let last = last_chunk(job, reader);
     tx.send_async(Event::data(last.to_string()).to_text().into()).await.ok()?;
-    tx.send_async(Event::data(DONE).to_text().into()).await.ok()
+    tx.send_async(Event::data(DONE_MARKER).to_text().into()).await.ok()
 }
 
 /// Generates the token at `i`, after the time that this takes.
--- a/crates/bench/src/stream.rs
+++ b/crates/bench/src/stream.rs
@@ -9,7 +9,7 @@
 use hyper::{Request, body::Incoming};
 use wire::{
     EventId,
-    chunk::{Chunk, DONE},
+    chunk::{Chunk, DONE_MARKER},
     problem::Problem,
     sse::{Event, Parser},
 };
@@ -113,7 +113,7 @@
         if event.kind.as_deref() == Some("error") {
             return Ok(Some(StreamEnd::Failed(serde_json::from_str(&event.data)?)));
         }
-        if event.data == DONE {
+        if event.data == DONE_MARKER {
             return Ok(Some(StreamEnd::Done));
         }
         let chunk = Chunk::parse(&event.data)?;
--- a/crates/daemon/src/edge/completions.rs
+++ b/crates/daemon/src/edge/completions.rs
@@ -12,7 +12,7 @@
 use telemetry::{Hop, Refusal};
 use wire::{
     EventId,
-    chunk::DONE,
+    chunk::DONE_MARKER,
     completion::{Completion, CompletionKind},
     sse::Event,
 };
@@ -182,7 +182,7 @@
 fn event_text(piece: Piece) -> String {
     match piece {
         Piece::Data { id, data } => Event { id: Some(id.to_string()), kind: None, data }.to_text(),
-        Piece::Done => Event::data(DONE).to_text(),
+        Piece::Done => Event::data(DONE_MARKER).to_text(),
         Piece::Failed(failure) => {
             let data = serde_json::to_string(&failure.to_problem()).expect("a problem is JSON");
             Event { id: None, kind: Some("error".into()), data }.to_text()
--- a/crates/daemon/src/edge/relay/pump.rs
+++ b/crates/daemon/src/edge/relay/pump.rs
@@ -5,7 +5,7 @@
 use hyper::body::{Frame, Incoming};
 use telemetry::Hop;
 use wire::{
-    chunk::{Chunk, DONE, Usage},
+    chunk::{Chunk, DONE_MARKER, Usage},
     sse::{Event, Parser},
 };
 
@@ -67,7 +67,7 @@
 
     /// Takes an event; returns how the attempt ends if it ends with it.
     async fn take(&mut self, chosen: &Chosen, event: Event) -> Option<End> {
-        if event.data == DONE {
+        if event.data == DONE_MARKER {
             if self.progress.has_tail() {
                 return Some(End::Done);
             }
--- a/crates/wire/src/chunk.rs
+++ b/crates/wire/src/chunk.rs
@@ -7,7 +7,7 @@
 use crate::BodyError;
 
 /// The data of the event that ends a stream.
-pub const DONE: &str = "[DONE]";
+pub const DONE_MARKER: &str = "[DONE]";
 
 /// A piece of a streamed completion.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
