--- a/crates/daemon/src/gateway/relay.rs
+++ b/crates/daemon/src/gateway/relay.rs
@@ -8,7 +8,7 @@
 use hyper::{Response, StatusCode};
 use telemetry::Recorder;
 use tokio::time::Instant;
-use wire::sse::Cutter;
+use wire::sse::EventSplitter;
 
 use crate::net::AbortOnDrop;
 
@@ -160,7 +160,7 @@
 /// An endpoint's part of a stream.
 struct Part {
     opened: Opened,
-    cutter: Cutter,
+    cutter: EventSplitter,
     /// Whether its first event has come.
     begun: bool,
     /// Whether it may go on elsewhere before it has ended.
@@ -170,7 +170,7 @@
 impl Part {
     fn new<D: Dialect>(exchange: &Exchange<D>, opened: Opened) -> Self {
         let may_move = exchange.route.repetition.may_repeat();
-        Self { opened, cutter: Cutter::new(MAX_EVENT), begun: false, may_move }
+        Self { opened, cutter: EventSplitter::new(MAX_EVENT), begun: false, may_move }
     }
 }
 
--- a/crates/wire/src/sse.rs
+++ b/crates/wire/src/sse.rs
@@ -124,7 +124,7 @@
 
 /// Cuts a stream of bytes into whole events without changing a byte of them.
 #[derive(Debug)]
-pub struct Cutter {
+pub struct EventSplitter {
     max_event: usize,
     buf: Vec<u8>,
 }
@@ -140,7 +140,7 @@
     pub last_id: Option<String>,
 }
 
-impl Cutter {
+impl EventSplitter {
     /// Creates a cutter that keeps no more than `max_event` of one event.
     pub fn new(max_event: ByteCount) -> Self {
         let max_event = usize::try_from(max_event.as_u64()).unwrap_or(usize::MAX);
--- a/crates/wire/tests/cutter.rs
+++ b/crates/wire/tests/cutter.rs
@@ -1,7 +1,7 @@
 //! Whole events cut out of a stream, byte for byte.
 
 use base::ByteCount;
-use wire::sse::Cutter;
+use wire::sse::EventSplitter;
 use yare::parameterized;
 
 #[parameterized(
@@ -12,7 +12,7 @@
     without_id = { &["data: a\n\n"], "data: a\n\n", 1, None, false },
 )]
 fn cuts(pieces: &[&str], bytes: &str, events: usize, last_id: Option<&str>, within: bool) {
-    let mut cutter = Cutter::new(ByteCount::new(1 << 10));
+    let mut cutter = EventSplitter::new(ByteCount::new(1 << 10));
     let (mut out, mut count, mut last) = (Vec::new(), 0, None);
     for piece in pieces {
         let cut = cutter.push(piece.as_bytes()).unwrap();
@@ -26,6 +26,6 @@
 
 #[test]
 fn endless_event_is_refused() {
-    let mut cutter = Cutter::new(ByteCount::new(16));
+    let mut cutter = EventSplitter::new(ByteCount::new(16));
     assert!(cutter.push(&[b'x'; 17]).is_err());
 }
