--- a/crates/daemon/src/edge/relay/pump.rs
+++ b/crates/daemon/src/edge/relay/pump.rs
@@ -80,7 +80,7 @@
             Ok(chunk) => chunk,
             Err(e) => return Some(End::Broken(Broken::cut(format!("a malformed chunk: {e}")))),
         };
-        if !chunk.answers(self.engine_request().as_str()) {
+        if !chunk.belongs_to(self.engine_request().as_str()) {
             self.job.recorder.crossed_answer();
             log::warn!(request:% = self.job.request, other:? = chunk.id; "crossed answer dropped");
             return None;
@@ -91,7 +91,7 @@
             Step::Skip => return None,
             Step::Gap => return Some(End::Broken(Broken::cut("tokens are missing"))),
         }
-        let usage = chunk.usage.map(|usage| usage.after(self.progress.offset));
+        let usage = chunk.usage.map(|usage| usage.with_earlier_tokens(self.progress.offset));
         if let Some(usage) = usage {
             self.record_prompt(chosen, usage);
         }
--- a/crates/wire/src/chunk.rs
+++ b/crates/wire/src/chunk.rs
@@ -83,7 +83,7 @@
     /// Returns whether the piece belongs to the completion of `request`.
     ///
     /// Engines put the kind of completion before the request's id.
-    pub fn answers(&self, request: &str) -> bool {
+    pub fn belongs_to(&self, request: &str) -> bool {
         let id = self.id.as_ref();
         let id = id.strip_prefix("chatcmpl-").or_else(|| id.strip_prefix("cmpl-")).unwrap_or(id);
         id == request
@@ -112,7 +112,7 @@
     /// Returns what the whole answer took, of which earlier engines generated `tokens` that this
     /// engine was given as part of the prompt.
     #[must_use]
-    pub fn after(self, tokens: u64) -> Self {
+    pub fn with_earlier_tokens(self, tokens: u64) -> Self {
         Self {
             prompt_tokens: self.prompt_tokens.saturating_sub(tokens),
             completion_tokens: self.completion_tokens + tokens,
--- a/crates/wire/tests/streams.rs
+++ b/crates/wire/tests/streams.rs
@@ -113,7 +113,7 @@
         let data = serde_json::json!({"id": id, "choices": choices, "usage": usage}).to_string();
         let chunk = Chunk::parse(&data).unwrap();
         prop_assert_eq!(chunk.text(), Some(text.as_str()));
-        prop_assert!(chunk.is_tail() && chunk.answers(&id));
+        prop_assert!(chunk.is_tail() && chunk.belongs_to(&id));
         let written = serde_json::to_string(&chunk).unwrap();
         prop_assert_eq!(Chunk::parse(&written).unwrap(), chunk);
     }
