--- a/crates/daemon/src/edge/completions.rs
+++ b/crates/daemon/src/edge/completions.rs
@@ -13,7 +13,7 @@
 use wire::{
     EventId,
     chunk::DONE_MARKER,
-    completion::{Completion, CompletionKind},
+    completion::{CompletionKind, CompletionRequest},
     sse::Event,
 };
 
@@ -41,7 +41,7 @@
     let (parts, body) = req.into_parts();
     let body = body::read(edge, body).await?;
     let completion =
-        Completion::from_slice(&body).map_err(|e| Failure::bad_request(e.to_string()))?;
+        CompletionRequest::from_slice(&body).map_err(|e| Failure::bad_request(e.to_string()))?;
     check_path(parts.uri.path(), completion.kind())?;
     let resume = last_event_id(&parts.headers)?;
     let stream = completion.wants_stream();
@@ -114,7 +114,10 @@
 }
 
 /// Returns the prompt's length in bytes, unless it is longer than the settings allow.
-fn check_prompt(completion: &Completion, settings: &fleet::Settings) -> Result<usize, Failure> {
+fn check_prompt(
+    completion: &CompletionRequest,
+    settings: &fleet::Settings,
+) -> Result<usize, Failure> {
     let max_bytes = settings.max_prompt_bytes.as_u32() as usize;
     let bytes = completion.prompt_parts().iter().map(|part| part.len()).sum();
     if max_bytes < bytes {
--- a/crates/daemon/src/edge/relay/attempt.rs
+++ b/crates/daemon/src/edge/relay/attempt.rs
@@ -117,7 +117,8 @@
         let priority = self.job.settings.priority.as_u32().cast_signed();
         let begun = Delivered::default();
         let taken = if resumes { &begun } else { self.progress.taken() };
-        let body = self.job.completion.to_engine(&salt, priority, taken, chosen.transfer.as_ref());
+        let body =
+            self.job.completion.to_engine_body(&salt, priority, taken, chosen.transfer.as_ref());
         let path = match self.job.completion.kind() {
             CompletionKind::Text => "/v1/completions",
             CompletionKind::Chat => "/v1/chat/completions",
--- a/crates/daemon/src/edge/relay/mod.rs
+++ b/crates/daemon/src/edge/relay/mod.rs
@@ -12,7 +12,7 @@
 
 use base::{EndpointId, MonotonicTime, OrganisationId, RequestId, Verdict};
 use telemetry::{Hop, Recorder, Span};
-use wire::{EventId, completion::Completion};
+use wire::{EventId, completion::CompletionRequest};
 
 use self::{attempt::Broken, progress::Progress};
 
@@ -42,7 +42,7 @@
     /// The request's id at this router, and at engines unless it resumes an earlier one.
     pub request: RequestId,
     pub organisation: OrganisationId,
-    pub completion: Completion,
+    pub completion: CompletionRequest,
     pub settings: fleet::Settings,
     /// When the request arrived.
     pub arrived: MonotonicTime,
--- a/crates/wire/src/completion.rs
+++ b/crates/wire/src/completion.rs
@@ -31,7 +31,7 @@
 
 /// A request for a completion; fields that the router doesn't know are passed on as they are.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Completion {
+pub struct CompletionRequest {
     model: ModelId,
     adapter: Option<AdapterId>,
     kind: CompletionKind,
@@ -49,7 +49,7 @@
     Chat,
 }
 
-impl Completion {
+impl CompletionRequest {
     /// Reads a request from a JSON body.
     ///
     /// # Errors
@@ -112,7 +112,7 @@
     ///
     /// Cached blocks are fetched only as `transfer` says: a caller could name another
     /// organisation's.
-    pub fn to_engine(
+    pub fn to_engine_body(
         &self,
         salt: &CacheSalt,
         priority: i32,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -6,10 +6,10 @@
 //! # Example
 //!
 //! ```
-//! use wire::completion::Completion;
+//! use wire::completion::CompletionRequest;
 //!
 //! let body = br#"{"model": "diary-8b", "prompt": "Dear diary", "stream": true}"#;
-//! let completion = Completion::from_slice(body)?;
+//! let completion = CompletionRequest::from_slice(body)?;
 //! assert_eq!(completion.model().as_str(), "diary-8b");
 //! assert!(completion.wants_stream());
 //! # Ok::<(), wire::BodyError>(())
--- a/crates/wire/tests/any_bytes.rs
+++ b/crates/wire/tests/any_bytes.rs
@@ -7,7 +7,7 @@
 use wire::{
     announcement::AnnouncementBody,
     chunk::Chunk,
-    completion::Completion,
+    completion::CompletionRequest,
     leader::{LeaderRequest, LeaderResponse},
     peer::{gossip_from_bytes, gossip_to_bytes, quorum_from_bytes, quorum_to_bytes},
 };
@@ -96,7 +96,7 @@
 
     #[test]
     fn bodies_of_callers_and_endpoints_take_any_text(text in ".{0,200}") {
-        let _ = Completion::from_slice(text.as_bytes());
+        let _ = CompletionRequest::from_slice(text.as_bytes());
         let _ = AnnouncementBody::from_slice(text.as_bytes());
         let _ = Chunk::parse(&text);
     }
@@ -108,7 +108,7 @@
         stream in "(true|false|1|null)",
     ) {
         let body = format!("{{\"model\": {model}, \"prompt\": {prompt}, \"stream\": {stream}}}");
-        if let Ok(completion) = Completion::from_slice(body.as_bytes()) {
+        if let Ok(completion) = CompletionRequest::from_slice(body.as_bytes()) {
             prop_assert!(!completion.model().as_str().is_empty());
             completion.prompt_parts();
         }
--- a/crates/wire/tests/kv_transfer.rs
+++ b/crates/wire/tests/kv_transfer.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 use wire::{
-    completion::{Completion, Delivered},
+    completion::{CompletionRequest, Delivered},
     kv_transfer::{KvTransfer, PARAMS_FIELD},
 };
 
@@ -23,9 +23,9 @@
             if let Some(params) = Option::<Value>::from($caller) {
                 body[PARAMS_FIELD] = params;
             }
-            let completion = Completion::from_slice(body.to_string().as_bytes()).unwrap();
+            let completion = CompletionRequest::from_slice(body.to_string().as_bytes()).unwrap();
             let salt = "00ff".parse().unwrap();
-            let sent = completion.to_engine(&salt, 0, &Delivered::default(), own.as_ref());
+            let sent = completion.to_engine_body(&salt, 0, &Delivered::default(), own.as_ref());
             let sent: Value = serde_json::from_slice(&sent).unwrap();
             let found = sent.get(PARAMS_FIELD).map(|p| serde_json::from_value(p.clone()).unwrap());
             assert_eq!(found, written);
--- a/crates/wire/tests/streams.rs
+++ b/crates/wire/tests/streams.rs
@@ -5,7 +5,7 @@
 use wire::{
     EventId,
     chunk::{Chunk, Usage},
-    completion::{Completion, Delivered},
+    completion::{CompletionRequest, Delivered},
     sse::{Event, Parser},
 };
 
@@ -102,8 +102,8 @@
     #[test]
     fn arbitrary_text_is_no_panic(text in "\\PC{0,200}", bytes: Vec<u8>) {
         let _ = Chunk::parse(&text);
-        let _ = Completion::from_slice(&bytes);
-        let _ = Completion::from_slice(text.as_bytes());
+        let _ = CompletionRequest::from_slice(&bytes);
+        let _ = CompletionRequest::from_slice(text.as_bytes());
     }
 
     #[test]
@@ -125,10 +125,10 @@
         tokens in 1u64..50,
     ) {
         let body = serde_json::json!({"model": "m", "prompt": prompt, "max_tokens": 50});
-        let completion = Completion::from_slice(body.to_string().as_bytes()).unwrap();
+        let completion = CompletionRequest::from_slice(body.to_string().as_bytes()).unwrap();
         let delivered = Delivered { tokens, text: text.clone() };
-        let written = completion.to_engine(&"salt".parse().unwrap(), 0, &delivered, None);
-        let again = Completion::from_slice(&written).unwrap();
+        let written = completion.to_engine_body(&"salt".parse().unwrap(), 0, &delivered, None);
+        let again = CompletionRequest::from_slice(&written).unwrap();
         prop_assert_eq!(again.prompt_parts().concat(), format!("{prompt}{text}").into_bytes());
         prop_assert_eq!(again.max_tokens(), Some(50 - tokens));
     }
@@ -140,7 +140,7 @@
         fn $name() {
             let mut body = serde_json::json!($fields);
             body["model"] = "m".into();
-            let completion = Completion::from_slice(body.to_string().as_bytes()).unwrap();
+            let completion = CompletionRequest::from_slice(body.to_string().as_bytes()).unwrap();
             assert_eq!(completion.can_continue(), $expected);
         }
     )*};
