--- a/crates/bench/tests/traces.rs
+++ b/crates/bench/tests/traces.rs
@@ -12,7 +12,7 @@
     site::{Site, SiteSpec, organisation_key},
 };
 use hyper::{Method, Request};
-use telemetry::Hop;
+use telemetry::RequestStage;
 
 /// A trace that a caller has begun, and its id as spans carry it.
 const CALLER: &str = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
@@ -46,7 +46,7 @@
 }
 
 /// Returns the name of a span as a collector gets it: field 5, its length, its text.
-fn name_field(hop: Hop) -> Vec<u8> {
+fn name_field(hop: RequestStage) -> Vec<u8> {
     let name = hop.as_str().as_bytes();
     let mut field = vec![0x2a, u8::try_from(name.len()).unwrap()];
     field.extend_from_slice(name);
@@ -89,8 +89,9 @@
         order_of_a_trace(&site).await;
     });
     let missing = || -> BTreeSet<&str> {
-        let absent = Hop::ALL.into_iter().filter(|hop| !contains(&bodies, &name_field(*hop)));
-        absent.map(Hop::as_str).collect()
+        let absent =
+            RequestStage::ALL.into_iter().filter(|hop| !contains(&bodies, &name_field(*hop)));
+        absent.map(RequestStage::as_str).collect()
     };
     let all = || missing().is_empty() && contains(&bodies, &TRACE_ID);
     wait_until("a span of each hop, and the caller's trace", Duration::from_secs(20), all)
--- a/crates/daemon/src/edge/completions.rs
+++ b/crates/daemon/src/edge/completions.rs
@@ -9,7 +9,7 @@
     header::{CACHE_CONTROL, CONTENT_TYPE, HeaderValue},
 };
 use serde_json::json;
-use telemetry::{Hop, Refusal};
+use telemetry::{Refusal, RequestStage};
 use wire::{
     EventId,
     chunk::DONE_MARKER,
@@ -60,7 +60,7 @@
     let settings = edge.settings(&scope);
     let prompt_bytes = check_prompt(&completion, &settings)?;
     let cost = admission_cost(prompt_bytes, completion.max_tokens());
-    let queued = tracked.span.child(Hop::Queue);
+    let queued = tracked.span.child(RequestStage::Queue);
     let place = edge.gate.admit(&organisation, &settings, cost).await.inspect_err(|_| {
         tracked.recorder.refusal(Refusal::OverShare);
     })?;
--- a/crates/daemon/src/edge/relay/attempt.rs
+++ b/crates/daemon/src/edge/relay/attempt.rs
@@ -8,7 +8,7 @@
     body::Incoming,
     header::{AUTHORIZATION, CONTENT_TYPE, HOST},
 };
-use telemetry::Hop;
+use telemetry::RequestStage;
 use wire::completion::{CompletionKind, Delivered};
 
 use crate::edge::router::{Chosen, cache_salt};
@@ -72,7 +72,7 @@
     /// Asks an engine for the answer, or for its rest if it `resumes`.
     pub(super) async fn attempt(&mut self, chosen: &Chosen, resumes: bool) -> End {
         let pool = chosen.in_flight.target().pool();
-        let mut span = self.job.span.child(Hop::Connect);
+        let mut span = self.job.span.child(RequestStage::Connect);
         span.set("endpoint", chosen.endpoint.to_string());
         let req = self.request(chosen, resumes);
         let connect_timeout = self.job.settings.connect_timeout.as_duration();
--- a/crates/daemon/src/edge/relay/mod.rs
+++ b/crates/daemon/src/edge/relay/mod.rs
@@ -11,7 +11,7 @@
 use std::{borrow::Cow, rc::Rc, time::Duration};
 
 use base::{EndpointId, MonotonicTime, OrganisationId, RequestId, Verdict};
-use telemetry::{Hop, Recorder, Span};
+use telemetry::{Recorder, RequestStage, Span};
 use wire::{EventId, completion::CompletionRequest};
 
 use self::{attempt::Broken, progress::Progress};
@@ -197,7 +197,7 @@
     }
 
     fn choose(&mut self) -> Result<Chosen, NoEndpoint> {
-        let _span = self.job.span.child(Hop::Route);
+        let _span = self.job.span.child(RequestStage::Route);
         let now = self.edge.clock.now();
         let prompt = self.job.completion.prompt_parts();
         let wanted = self.wanted(&prompt);
--- a/crates/daemon/src/edge/relay/pump.rs
+++ b/crates/daemon/src/edge/relay/pump.rs
@@ -3,7 +3,7 @@
 use base::{ByteCount, MonotonicTime, TokenCount};
 use http_body_util::BodyExt as _;
 use hyper::body::{Frame, Incoming};
-use telemetry::Hop;
+use telemetry::RequestStage;
 use wire::{
     chunk::{Chunk, DONE_MARKER, Usage},
     sse::{Event, Parser},
@@ -30,7 +30,7 @@
     ) -> End {
         self.progress.begin_attempt();
         let before = self.progress.tokens();
-        let mut span = self.job.span.child(Hop::FirstToken);
+        let mut span = self.job.span.child(RequestStage::FirstToken);
         let mut parser = Parser::new(MAX_EVENT);
         let mut events = Vec::new();
         let mut last_token = None;
@@ -57,7 +57,7 @@
                 }
                 if last_token.is_none() {
                     self.note_first_token(chosen, resumes);
-                    drop(std::mem::replace(&mut span, self.job.span.child(Hop::Stream)));
+                    drop(std::mem::replace(&mut span, self.job.span.child(RequestStage::Stream)));
                     span.set("resumed_after", i64::try_from(before).unwrap_or(i64::MAX));
                 }
                 last_token = Some(self.record_token(last_token));
--- a/crates/daemon/src/edge/services.rs
+++ b/crates/daemon/src/edge/services.rs
@@ -11,7 +11,7 @@
     http::request::Parts,
 };
 use route::Outcome;
-use telemetry::{Hop, Refusal};
+use telemetry::{Refusal, RequestStage};
 
 use crate::{failure::Failure, net};
 
@@ -149,7 +149,7 @@
     let connected = connect(edge, call).await;
     let claim_timeout = call.settings.claim_send_deadline.as_duration();
     let wait = call.settings.claim_wait.as_duration();
-    let claiming = call.tracked.span.child(Hop::Claim);
+    let claiming = call.tracked.span.child(RequestStage::Claim);
     call.tracked.recorder.claim();
     let claimed = keyed.claim(edge, claim_timeout, wait).await?;
     drop(claiming);
@@ -177,7 +177,7 @@
     let mut tried = Vec::new();
     let mut last = None;
     for _ in 0..MAX_CONNECTS {
-        let routing = call.tracked.span.child(Hop::Route);
+        let routing = call.tracked.span.child(RequestStage::Route);
         let chosen = edge.choose_service(call, &tried);
         drop(routing);
         let (endpoint, in_flight) = match chosen {
@@ -185,7 +185,7 @@
             Err(why) => return Err(last.unwrap_or_else(|| no_endpoint(call, why))),
         };
         tried.push(endpoint.clone());
-        let mut connecting = call.tracked.span.child(Hop::Connect);
+        let mut connecting = call.tracked.span.child(RequestStage::Connect);
         connecting.set("endpoint", endpoint.to_string());
         match in_flight.target().pool().connect(timeout).await {
             Ok(connection) => return Ok(Connected { connection, in_flight }),
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,7 +1,7 @@
 //! Logs, metrics and traces.
 //!
 //! Logs go through [`log`] and are written one line an event. [`Metrics`] holds every instrument
-//! and renders them for Prometheus. A [`Tracer`] records a span for each [`Hop`] of a request and
+//! and renders them for Prometheus. A [`Tracer`] records a span for each [`RequestStage`] of a request and
 //! exports them by OTLP on a thread of its own, behind a bounded ring: a slow or dead collector
 //! costs spans and never holds a request.
 //!
@@ -10,7 +10,7 @@
 //! ```
 //! use std::time::Duration;
 //!
-//! use telemetry::{Hop, Metrics, Tracer};
+//! use telemetry::{RequestStage, Metrics, Tracer};
 //!
 //! let metrics = Metrics::new()?;
 //! let organisation = "north-press".parse()?;
@@ -20,7 +20,7 @@
 //!
 //! let tracer = Tracer::off();
 //! let request = tracer.accept(None);
-//! let _queued = request.child(Hop::Queue);
+//! let _queued = request.child(RequestStage::Queue);
 //! # Ok::<(), eyre::Report>(())
 //! ```
 
@@ -41,5 +41,5 @@
     logs::{LogFormat, init_logs},
     metrics::{MAX_LABELLED_ORGANISATIONS, Metrics, OTHER_ORGANISATION, QuorumRole},
     recorder::{InFlight, Recorder, Refusal},
-    trace::{Hop, SampleRatio, Span, TraceConfig, Tracer},
+    trace::{RequestStage, SampleRatio, Span, TraceConfig, Tracer},
 };
--- a/crates/telemetry/src/trace.rs
+++ b/crates/telemetry/src/trace.rs
@@ -23,7 +23,7 @@
 
 /// A part of a request's way through the router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Hop {
+pub enum RequestStage {
     /// From the request's head to the end of its answer.
     Accept,
     /// The wait for a slot.
@@ -40,7 +40,7 @@
     Stream,
 }
 
-impl Hop {
+impl RequestStage {
     /// Every hop, in the order of a request.
     pub const ALL: [Self; 7] = [
         Self::Accept,
@@ -74,7 +74,7 @@
     }
 }
 
-impl fmt::Display for Hop {
+impl fmt::Display for RequestStage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.as_str())
     }
@@ -165,7 +165,7 @@
         let parent = caller.map_or_else(Context::new, |caller| {
             Context::new().with_remote_span_context(caller.into())
         });
-        Span::start(tracer, Hop::Accept, &parent)
+        Span::start(tracer, RequestStage::Accept, &parent)
     }
 }
 
@@ -190,7 +190,7 @@
 }
 
 impl Span {
-    fn start(tracer: &SdkTracer, hop: Hop, parent: &Context) -> Self {
+    fn start(tracer: &SdkTracer, hop: RequestStage, parent: &Context) -> Self {
         let builder = SpanBuilder::from_name(hop.as_str()).with_kind(hop.kind());
         let span = tracer.build_with_context(builder, parent);
         let passed = Some(TraceContext::from(span.span_context()));
@@ -198,7 +198,7 @@
     }
 
     /// Starts a hop within this one.
-    pub fn child(&self, hop: Hop) -> Self {
+    pub fn child(&self, hop: RequestStage) -> Self {
         let Some(recording) = &self.recording else {
             return Self { passed: self.passed, recording: None };
         };
--- a/crates/telemetry/tests/traces.rs
+++ b/crates/telemetry/tests/traces.rs
@@ -10,7 +10,7 @@
 use base::Verdict;
 use proptest::{prelude::*, test_runner::RngSeed};
 use telemetry::{
-    ExportCounts, Flush, Hop, Metrics, SampleRatio, TraceConfig, TraceContext, Tracer,
+    ExportCounts, Flush, Metrics, RequestStage, SampleRatio, TraceConfig, TraceContext, Tracer,
 };
 use yare::parameterized;
 
@@ -26,7 +26,7 @@
     let (url, rx) = collector::start(200);
     let (tracer, exporter) = Tracer::start(config(url)).unwrap();
     let accept = tracer.accept(Some(CALLER.parse().unwrap()));
-    for hop in &Hop::ALL[1..] {
+    for hop in &RequestStage::ALL[1..] {
         let mut span = accept.child(*hop);
         span.set("endpoint", "engine-1");
         span.fail(Verdict::NotRun);
@@ -38,7 +38,7 @@
     let spans: Vec<_> = rx.drain().collect();
     let mut names: Vec<_> = spans.iter().map(|span| span.name.as_str()).collect();
     names.sort_unstable();
-    let mut expected = Hop::ALL.map(Hop::as_str);
+    let mut expected = RequestStage::ALL.map(RequestStage::as_str);
     expected.sort_unstable();
     assert_eq!(names, expected);
     for span in spans {
@@ -77,7 +77,7 @@
 fn tracer_that_is_off_passes_the_context_on() {
     let tracer = Tracer::off();
     let caller = CALLER.parse().unwrap();
-    assert_eq!(tracer.accept(Some(caller)).child(Hop::Connect).context(), Some(caller));
+    assert_eq!(tracer.accept(Some(caller)).child(RequestStage::Connect).context(), Some(caller));
     assert_eq!(tracer.accept(None).context(), None);
 }
 
