--- a/crates/daemon/src/edge/relay/pump.rs
+++ b/crates/daemon/src/edge/relay/pump.rs
@@ -81,7 +81,7 @@
             Err(e) => return Some(End::Broken(Broken::cut(format!("a malformed chunk: {e}")))),
         };
         if !chunk.belongs_to(self.engine_request().as_str()) {
-            self.job.recorder.crossed_answer();
+            self.job.recorder.mismatched_response();
             log::warn!(request:% = self.job.request, other:? = chunk.id; "crossed answer dropped");
             return None;
         }
--- a/crates/daemon/src/gateway/exchange.rs
+++ b/crates/daemon/src/gateway/exchange.rs
@@ -389,7 +389,7 @@
             return Err(Unanswered::Refused(status));
         }
         if head.request.as_deref() != Some(self.arrival.id.as_str()) {
-            self.recorder.crossed_answer();
+            self.recorder.mismatched_response();
             return Err(self.may_have_run("the answer belongs to another request".to_owned()));
         }
         if !head.signed {
--- a/crates/telemetry/src/recorder.rs
+++ b/crates/telemetry/src/recorder.rs
@@ -135,7 +135,7 @@
     }
 
     /// Counts an answer to another request, which was dropped.
-    pub fn crossed_answer(&self) {
+    pub fn mismatched_response(&self) {
         self.instruments.crossed.add(1, &self.labels.organisation);
     }
 
