--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -166,8 +166,8 @@
         let clock = Clock::start();
         let metrics = Arc::new(Metrics::new()?);
         // Series that are there from the start can be compared between hosts.
-        metrics.revision(Revision::ZERO);
-        metrics.quorum(QuorumRole::Observer, Term::ZERO);
+        metrics.set_configuration_revision(Revision::ZERO);
+        metrics.set_quorum_state(QuorumRole::Observer, Term::ZERO);
         let configurations = match &cfg.data_dir {
             Some(data_dir) => Configurations::open(data_dir)
                 .wrap_err("the configuration in the data folder can't be used")?,
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -207,14 +207,14 @@
         self.ticked = now;
         let revision = self.rings.configurations.revision();
         self.membership.set_revision(revision);
-        self.rings.metrics.revision(revision);
+        self.rings.metrics.set_configuration_revision(revision);
         let mut part = (QuorumRole::Observer, Term::ZERO);
         if let Some(view) = self.rings.replica_state.load() {
             self.membership.set_leader(view.node.leader.clone());
             self.tell_learners(now, &view.node.voters);
             part = (role(&view, &self.membership.peers().me().host), view.node.term);
         }
-        self.rings.metrics.quorum(part.0, part.1);
+        self.rings.metrics.set_quorum_state(part.0, part.1);
         let messages = self.membership.tick(now, &mut self.rng);
         self.send(now, messages);
         self.ask_for_configuration(now);
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -126,12 +126,12 @@
     }
 
     /// Sets the revision of the configuration in force.
-    pub fn revision(&self, revision: Revision) {
+    pub fn set_configuration_revision(&self, revision: Revision) {
         self.instruments.revision.record(revision.as_u64(), &[]);
     }
 
     /// Sets the part in the quorum.
-    pub fn quorum(&self, role: QuorumRole, term: Term) {
+    pub fn set_quorum_state(&self, role: QuorumRole, term: Term) {
         self.instruments.quorum_term.record(term.as_u64(), &[]);
         for (candidate, labels) in QuorumRole::ALL.into_iter().zip(&self.roles) {
             self.instruments.quorum_role.record(u64::from(candidate == role), labels);
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -25,8 +25,8 @@
     recorder.prompt(TokenCount::new(100), TokenCount::new(80));
     recorder.verdict(Verdict::MayHaveRun);
     recorder.refusal(Refusal::NoQuorum);
-    metrics.revision(Revision::new(7));
-    metrics.quorum(QuorumRole::Leader, Term::new(3));
+    metrics.set_configuration_revision(Revision::new(7));
+    metrics.set_quorum_state(QuorumRole::Leader, Term::new(3));
     let cases = [
         (r#"time_to_first_token_seconds_bucket{organisation="org-0",le="0.35"}"#, 1.0),
         (r#"time_to_first_token_seconds_bucket{organisation="org-0",le="0.2"}"#, 0.0),
