--- a/crates/wire/schema/peer.capnp
+++ b/crates/wire/schema/peer.capnp
@@ -1,10 +1,10 @@
 @0xd07e33a1b5c4f2e9;
 
-# What routers say to each other.
+# RPC interface between routers.
 #
-# Both sides first prove that they know the fleet's key; `Gate` is all that a stranger can reach.
-# Bodies of type Data are the cores' own messages in postcard, behind the protocol version that
-# `hello` agreed on.
+# Both sides first prove knowledge of the fleet's key; an unauthenticated peer can reach only `Gate`.
+# Fields of type Data hold postcard-encoded messages, whose layout is fixed by the protocol version
+# that `hello` negotiates.
 
 struct Configuration {
   revision @0 :UInt64;
@@ -18,9 +18,9 @@
 struct Submitted {
   union {
     reply @0 :Data;
-    # The request was not taken; the text names the leader, if known.
+    # The request was not accepted; the text names the leader, if known.
     notLeader @1 :Text;
-    # The request may or may not have been carried out.
+    # It is unknown whether the request was carried out.
     unknown @2 :Void;
   }
 }
--- a/crates/wire/src/announcement.rs
+++ b/crates/wire/src/announcement.rs
@@ -1,4 +1,4 @@
-//! What an endpoint posts to `/announce`, as JSON.
+//! Announcements that endpoints post to `/announce`, as JSON.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,50 +11,50 @@
 
 use crate::BodyError;
 
-/// Longest lease that an endpoint may ask for, in milliseconds.
+/// Longest lease that an endpoint may request, in milliseconds.
 const MAX_LEASE_MS: u64 = 60_000;
 
-/// Most models that an engine may announce.
+/// Maximum number of models that an engine may announce.
 const MAX_MODELS: usize = 64;
 
-/// An announcement.
+/// Body of an endpoint's announcement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AnnouncementBody {
-    /// The endpoint.
+    /// The endpoint's id.
     pub id: EndpointId,
-    /// The life of its process: higher after each start.
+    /// The incarnation of its process; increases with each start.
     pub incarnation: Incarnation,
-    /// Higher with each announcement of this incarnation.
+    /// Sequence number; increases with each announcement of this incarnation.
     pub sequence: Sequence,
-    /// The data centre it stands in.
+    /// Its data centre.
     pub data_centre: DataCentreId,
-    /// Where it takes requests.
+    /// The address on which it accepts requests.
     pub address: SocketAddr,
-    /// How long the announcement counts, in milliseconds.
+    /// How long the announcement is valid, in milliseconds.
     pub lease_ms: u64,
-    /// Whether it wants no new work.
+    /// Whether it must be sent no new requests.
     #[serde(default)]
     pub leaving: bool,
-    /// Set for a model engine.
+    /// Present for a model engine.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub engine: Option<EngineBody>,
-    /// Set for a plain service.
+    /// Present for a plain service.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub service: Option<ServiceId>,
 }
 
-/// What a model engine says about itself.
+/// A model engine's properties and load.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineBody {
     /// The models it has loaded.
     pub models: Vec<ModelBody>,
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether it rejects orders with an outdated fencing token.
     pub checks_fencing: bool,
-    /// Tokens in a cached block.
+    /// Number of tokens in a cached block.
     pub block_tokens: TokenCount,
-    /// Its load now.
+    /// Its current load.
     #[serde(default)]
     pub load: LoadBody,
 }
@@ -65,9 +65,9 @@
 pub struct ModelBody {
     /// The model.
     pub model: ModelId,
-    /// The version of its weights.
+    /// The version of the model's weights.
     pub weights: WeightsVersion,
-    /// The adapters loaded on top.
+    /// The adapters loaded for the model.
     #[serde(default)]
     pub adapters: Vec<AdapterId>,
 }
@@ -78,11 +78,11 @@
 pub struct LoadBody {
     /// Requests in the running batch.
     pub running: u32,
-    /// Requests that wait for the batch.
+    /// Requests waiting to join the batch.
     pub waiting: u32,
-    /// Tokens still to be prefilled.
+    /// Prompt tokens still to be prefilled.
     pub prefill_tokens: TokenCount,
-    /// Blocks cached.
+    /// Cached blocks.
     pub cached_blocks: BlockCount,
 }
 
@@ -91,7 +91,7 @@
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with the body, and where.
+    /// Returns an error that describes what is malformed, and where.
     pub fn from_slice(body: &[u8]) -> Result<Self, BodyError> {
         Ok(serde_json::from_slice(body)?)
     }
@@ -148,7 +148,7 @@
 
     fn try_from(body: EngineBody) -> Result<Self, BodyError> {
         if MAX_MODELS < body.models.len() {
-            return Err(BodyError::new(format!("over {MAX_MODELS} models")));
+            return Err(BodyError::new(format!("more than {MAX_MODELS} models")));
         }
         if body.block_tokens == TokenCount::ZERO {
             return Err(BodyError::new("\"block_tokens\" must be at least 1"));
--- a/crates/wire/src/chunk.rs
+++ b/crates/wire/src/chunk.rs
@@ -1,4 +1,4 @@
-//! The pieces of a streamed completion.
+//! The chunks of a streamed completion.
 
 use std::borrow::Cow;
 
@@ -9,38 +9,38 @@
 /// The data of the event that ends a stream.
 pub const DONE_MARKER: &str = "[DONE]";
 
-/// A piece of a streamed completion.
+/// A chunk of a streamed completion.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk<'a> {
-    /// The completion it belongs to, from the request's `X-Request-Id`.
+    /// The id of the completion, derived from the request's `X-Request-Id`.
     #[serde(borrow)]
     pub id: Cow<'a, str>,
-    /// The answers; the router asks for one.
+    /// The choices; the router requests one.
     #[serde(borrow, default)]
     pub choices: Vec<Choice<'a>>,
-    /// What the request took, on the last piece.
+    /// The request's token usage, on the last chunk.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
 }
 
-/// A piece of one answer.
+/// A chunk of one choice.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Choice<'a> {
-    /// Which answer.
+    /// The index of the choice.
     #[serde(default)]
     pub index: u32,
-    /// The text, for completions.
+    /// The text, for text completions.
     #[serde(borrow, default, skip_serializing_if = "Option::is_none")]
     pub text: Option<Cow<'a, str>>,
-    /// The text, for chat.
+    /// The message delta, for chat completions.
     #[serde(borrow, default, skip_serializing_if = "Option::is_none")]
     pub delta: Option<Delta<'a>>,
-    /// Why the answer ended, on its last piece.
+    /// Why generation ended, on the choice's last chunk.
     #[serde(borrow, default)]
     pub finish_reason: Option<Cow<'a, str>>,
 }
 
-/// A piece of a chat message.
+/// A delta of a chat message.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta<'a> {
     /// The text.
@@ -48,60 +48,60 @@
     pub content: Option<Cow<'a, str>>,
 }
 
-/// What a request took.
+/// A request's token usage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Tokens in the prompt.
     #[serde(default)]
     pub prompt_tokens: u64,
     /// Tokens generated.
     #[serde(default)]
     pub completion_tokens: u64,
-    /// How the prompt was taken.
+    /// Details on the prompt's tokens.
     #[serde(default)]
     pub prompt_tokens_details: PromptDetails,
 }
 
-/// How a prompt was taken.
+/// Details on a prompt's tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptDetails {
-    /// Tokens of the prompt that the engine had cached.
+    /// Prompt tokens that the engine had cached.
     #[serde(default)]
     pub cached_tokens: u64,
 }
 
 impl<'a> Chunk<'a> {
-    /// Reads a piece from the data of an event.
+    /// Parses a chunk from the data of an event.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with the data.
+    /// Returns an error that describes what is malformed.
     pub fn parse(data: &'a str) -> Result<Self, BodyError> {
         Ok(serde_json::from_str(data)?)
     }
 
-    /// Returns whether the piece belongs to the completion of `request`.
+    /// Returns whether the chunk belongs to the completion of `request`.
     ///
-    /// Engines put the kind of completion before the request's id.
+    /// Engines prefix the request's id with the kind of completion.
     pub fn belongs_to(&self, request: &str) -> bool {
         let id = self.id.as_ref();
         let id = id.strip_prefix("chatcmpl-").or_else(|| id.strip_prefix("cmpl-")).unwrap_or(id);
         id == request
     }
 
-    /// Returns whether the piece ends an answer or tells what the request took.
+    /// Returns whether the chunk ends a choice or reports the token usage.
     pub fn is_tail(&self) -> bool {
         self.usage.is_some() || self.choices.iter().any(|choice| choice.finish_reason.is_some())
     }
 
-    /// Returns the text of the piece's first answer.
+    /// Returns the text of the chunk's first choice.
     pub fn text(&self) -> Option<&str> {
         self.choices.first()?.text()
     }
 }
 
 impl Choice<'_> {
-    /// Returns the piece's text, of completions as of chat.
+    /// Returns the chunk's text, for text and chat completions.
     pub fn text(&self) -> Option<&str> {
         let chat = self.delta.as_ref().and_then(|delta| delta.content.as_deref());
         self.text.as_deref().or(chat)
@@ -109,8 +109,8 @@
 }
 
 impl Usage {
-    /// Returns what the whole answer took, of which earlier engines generated `tokens` that this
-    /// engine was given as part of the prompt.
+    /// Returns the usage of the whole response, of which earlier engines generated `tokens`; this
+    /// engine counted them as part of the prompt.
     #[must_use]
     pub fn with_earlier_tokens(self, tokens: u64) -> Self {
         Self {
--- a/crates/wire/src/completion.rs
+++ b/crates/wire/src/completion.rs
@@ -1,4 +1,4 @@
-//! Requests for completions, as OpenAI-style clients send them.
+//! Completion requests in the format of the OpenAI API.
 
 use std::borrow::Cow;
 
@@ -10,14 +10,14 @@
     kv_transfer::{self, KvTransfer},
 };
 
-/// Separates a model from an adapter in a request's `model`.
+/// Separates the model from the adapter in a request's `model`.
 const ADAPTER_SEPARATOR: char = '+';
 
-/// Fields that limit the tokens generated.
-const TOKEN_LIMITS: [&str; 2] = ["max_tokens", "max_completion_tokens"];
+/// Fields that limit the number of generated tokens.
+const TOKEN_LIMIT_FIELDS: [&str; 2] = ["max_tokens", "max_completion_tokens"];
 
-/// Fields with which the rest of an answer depends on more than the text before it.
-const WHOLE_ONLY: [&str; 9] = [
+/// Fields that prevent resumption: the rest of the response depends on more than the preceding text.
+const NON_RESUMABLE_FIELDS: [&str; 9] = [
     "best_of",
     "echo",
     "guided_choice",
@@ -29,7 +29,7 @@
     "tools",
 ];
 
-/// A request for a completion; fields that the router doesn't know are passed on as they are.
+/// A completion request; fields unknown to the router are forwarded unchanged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CompletionRequest {
     model: ModelId,
@@ -40,7 +40,7 @@
     fields: Map<String, Value>,
 }
 
-/// Which of the two interfaces the request is for.
+/// The API of a completion request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CompletionKind {
     /// `POST /v1/completions`, with a `prompt`.
@@ -50,50 +50,50 @@
 }
 
 impl CompletionRequest {
-    /// Reads a request from a JSON body.
+    /// Parses a request from a JSON body.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with the body, and where.
+    /// Returns an error that describes what is malformed, and where.
     pub fn from_slice(body: &[u8]) -> Result<Self, BodyError> {
         let Value::Object(fields) = serde_json::from_slice(body)? else {
             return Err(BodyError::new("the body must be a JSON object"));
         };
         let kind = completion_kind(&fields)?;
         let (model, adapter) = parse_model(&fields)?;
-        let stream = optional(&fields, "stream", "true or false", Value::as_bool)?;
-        let [max_tokens, max_completion_tokens] =
-            TOKEN_LIMITS.map(|limit| optional(&fields, limit, "a whole number", Value::as_u64));
+        let stream = optional_field(&fields, "stream", "true or false", Value::as_bool)?;
+        let [max_tokens, max_completion_tokens] = TOKEN_LIMIT_FIELDS
+            .map(|limit| optional_field(&fields, limit, "a non-negative integer", Value::as_u64));
         let max_tokens = max_tokens?.or(max_completion_tokens?);
         Ok(Self { model, adapter, kind, stream: stream.unwrap_or(false), max_tokens, fields })
     }
 
-    /// Returns the model asked for.
+    /// Returns the requested model.
     pub fn model(&self) -> &ModelId {
         &self.model
     }
 
-    /// Returns the adapter asked for.
+    /// Returns the requested adapter.
     pub fn adapter(&self) -> Option<&AdapterId> {
         self.adapter.as_ref()
     }
 
-    /// Returns which interface the request is for.
+    /// Returns the API of the request.
     pub fn kind(&self) -> CompletionKind {
         self.kind
     }
 
-    /// Returns whether the caller wants the answer as a stream.
+    /// Returns whether the caller requests a streamed response.
     pub fn wants_stream(&self) -> bool {
         self.stream
     }
 
-    /// Returns the most tokens that the caller wants.
+    /// Returns the caller's limit on generated tokens.
     pub fn max_tokens(&self) -> Option<u64> {
         self.max_tokens
     }
 
-    /// Returns the prompt's parts in order; joined, they name the prompt.
+    /// Returns the prompt's parts in order; their concatenation identifies the prompt.
     pub fn prompt_parts(&self) -> Vec<Cow<'_, [u8]>> {
         match self.kind {
             CompletionKind::Text => match &self.fields["prompt"] {
@@ -107,11 +107,11 @@
         }
     }
 
-    /// Writes the request for an engine: always streamed, with `salt` and `priority` in place of
-    /// what the caller may have set, and going on after the text already `delivered`.
+    /// Encodes the request for an engine: always streamed, with `salt` and `priority` overriding
+    /// the caller's, and continuing after the text already `delivered`.
     ///
-    /// Cached blocks are fetched only as `transfer` says: a caller could name another
-    /// organisation's.
+    /// A caller's own transfer parameters are replaced by `transfer` or removed, since they could
+    /// name blocks of another organisation.
     pub fn to_engine_body(
         &self,
         salt: &CacheSalt,
@@ -122,7 +122,8 @@
         let mut fields = self.fields.clone();
         fields.remove(kv_transfer::PARAMS_FIELD);
         if let Some(transfer) = transfer {
-            let params = serde_json::to_value(transfer).expect("a transfer is JSON");
+            let params =
+                serde_json::to_value(transfer).expect("KV transfer parameters serialise to JSON");
             fields.insert(kv_transfer::PARAMS_FIELD.into(), params);
         }
         fields.insert("stream".into(), true.into());
@@ -130,16 +131,16 @@
         fields.insert("cache_salt".into(), salt.as_str().into());
         fields.insert("priority".into(), priority.into());
         if delivered.tokens != 0 {
-            self.continue_after(&mut fields, delivered);
+            self.set_continuation(&mut fields, delivered);
         }
         Value::Object(fields).to_string().into_bytes()
     }
 
-    fn continue_after(&self, fields: &mut Map<String, Value>, delivered: &Delivered) {
-        for limit in TOKEN_LIMITS {
+    fn set_continuation(&self, fields: &mut Map<String, Value>, delivered: &Delivered) {
+        for limit in TOKEN_LIMIT_FIELDS {
             if let Some(max_tokens) = fields.get(limit).and_then(Value::as_u64) {
-                let left = max_tokens.saturating_sub(delivered.tokens);
-                fields.insert(limit.into(), left.into());
+                let remaining = max_tokens.saturating_sub(delivered.tokens);
+                fields.insert(limit.into(), remaining.into());
             }
         }
         match self.kind {
@@ -152,21 +153,21 @@
         !matches!(self.fields.get(name), None | Some(Value::Null | Value::Bool(false)))
     }
 
-    /// Returns whether the request can go on at another engine after some tokens.
+    /// Returns whether another engine can continue the request after part of the response.
     pub fn can_continue(&self) -> bool {
-        let one_choice = self.fields.get("n").is_none_or(|n| n == 1);
+        let single_choice = self.fields.get("n").is_none_or(|n| n == 1);
         let text_prompt = self.fields.get("prompt").is_none_or(Value::is_string);
-        let whole_only = WHOLE_ONLY.iter().any(|name| self.is_set(name));
-        one_choice && text_prompt && !whole_only
+        let non_resumable = NON_RESUMABLE_FIELDS.iter().any(|name| self.is_set(name));
+        single_choice && text_prompt && !non_resumable
     }
 }
 
-/// The part of an answer that a caller already has.
+/// The part of a response already delivered to the caller.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Delivered {
-    /// Tokens delivered.
+    /// Number of delivered tokens.
     pub tokens: u64,
-    /// Their text.
+    /// The delivered text.
     pub text: String,
 }
 
@@ -193,13 +194,13 @@
 }
 
 fn check_prompt(prompt: &Value) -> Result<(), BodyError> {
-    let fits = match prompt {
+    let valid = match prompt {
         Value::String(_) => true,
         Value::Array(tokens) => tokens.iter().all(is_token),
         _ => false,
     };
-    if !fits {
-        return Err(BodyError::new("\"prompt\" must be a text or a list of token numbers"));
+    if !valid {
+        return Err(BodyError::new("\"prompt\" must be a string or an array of token ids"));
     }
     Ok(())
 }
@@ -210,12 +211,12 @@
 
 fn check_messages(messages: &Value) -> Result<(), BodyError> {
     let Value::Array(messages) = messages else {
-        return Err(BodyError::new("\"messages\" must be a list"));
+        return Err(BodyError::new("\"messages\" must be an array"));
     };
-    let fits = !messages.is_empty() && messages.iter().all(is_message);
-    if !fits {
+    let valid = !messages.is_empty() && messages.iter().all(is_message);
+    if !valid {
         return Err(BodyError::new(
-            "each of \"messages\" must have a text \"role\" and \"content\"",
+            "each of \"messages\" must have a string \"role\" and \"content\"",
         ));
     }
     Ok(())
@@ -238,18 +239,18 @@
 
 fn parse_model(fields: &Map<String, Value>) -> Result<(ModelId, Option<AdapterId>), BodyError> {
     let Some(Value::String(text)) = fields.get("model") else {
-        return Err(BodyError::new("\"model\" must be a text"));
+        return Err(BodyError::new("\"model\" must be a string"));
     };
     let (model, adapter) = match text.split_once(ADAPTER_SEPARATOR) {
         Some((model, adapter)) => (model, Some(adapter)),
         None => (text.as_str(), None),
     };
-    let wrong = |e: base::ParseError| BodyError::new(format!("\"model\": {e}"));
-    let adapter = adapter.map(str::parse).transpose().map_err(wrong)?;
-    Ok((model.parse().map_err(wrong)?, adapter))
+    let invalid = |e: base::ParseError| BodyError::new(format!("\"model\": {e}"));
+    let adapter = adapter.map(str::parse).transpose().map_err(invalid)?;
+    Ok((model.parse().map_err(invalid)?, adapter))
 }
 
-fn optional<T>(
+fn optional_field<T>(
     fields: &Map<String, Value>,
     name: &str,
     allowed: &str,
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,6 +1,6 @@
 use std::{error, fmt};
 
-/// A body that can't be taken.
+/// Error returned for a body or message that can't be decoded or breaks a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BodyError {
     message: String,
--- a/crates/wire/src/event_id.rs
+++ b/crates/wire/src/event_id.rs
@@ -2,33 +2,33 @@
 
 use base::{EndpointId, Incarnation, ParseError, RequestId, WeightsVersion};
 
-/// Separates the parts; no identifier holds it.
+/// Separates the parts; no identifier can contain it.
 const SEPARATOR: char = ',';
 
-const RULE: &str = "ENDPOINT,INCARNATION,WEIGHTS,REQUEST,OFFSET,TOKEN";
+const FORMAT: &str = "ENDPOINT,INCARNATION,WEIGHTS,REQUEST,OFFSET,TOKEN";
 
-/// The id of an event in a streamed answer: all that another router needs to resume the stream.
+/// The id of an event in a streamed response: all that another router needs to resume the stream.
 ///
-/// Callers send the last one that they got as `Last-Event-ID`. It reads
+/// Callers send the last id that they received as `Last-Event-ID`. Its format is
 /// `ENDPOINT,INCARNATION,WEIGHTS,REQUEST,OFFSET,TOKEN`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventId {
-    /// The engine that generates.
+    /// The generating engine.
     pub endpoint: EndpointId,
-    /// The life of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
-    /// The version of the weights that it generates with.
+    /// The version of the weights in use.
     pub weights: WeightsVersion,
     /// The request's id at the engine.
     pub request: RequestId,
-    /// Tokens of the answer that earlier engines generated.
+    /// Tokens of the response that earlier engines generated.
     pub offset: u64,
-    /// Tokens of the answer up to here; never below `offset`.
+    /// Tokens of the response up to this event; never less than `offset`.
     pub token: u64,
 }
 
 impl EventId {
-    /// Returns the last token's number at the engine.
+    /// Returns the number of tokens that this engine has generated.
     pub fn engine_token(&self) -> u64 {
         self.token.saturating_sub(self.offset)
     }
@@ -38,19 +38,19 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let wrong = || ParseError::new("event id", text, RULE);
+        let invalid = || ParseError::new("event id", text, FORMAT);
         let mut parts = text.split(SEPARATOR);
-        let mut part = || parts.next().ok_or_else(wrong);
+        let mut part = || parts.next().ok_or_else(invalid);
         let id = Self {
             endpoint: part()?.parse()?,
-            incarnation: Incarnation::new(number(part()?).ok_or_else(wrong)?),
+            incarnation: Incarnation::new(parse_number(part()?).ok_or_else(invalid)?),
             weights: part()?.parse()?,
             request: part()?.parse()?,
-            offset: number(part()?).ok_or_else(wrong)?,
-            token: number(part()?).ok_or_else(wrong)?,
+            offset: parse_number(part()?).ok_or_else(invalid)?,
+            token: parse_number(part()?).ok_or_else(invalid)?,
         };
         if parts.next().is_some() || id.token < id.offset {
-            return Err(wrong());
+            return Err(invalid());
         }
         Ok(id)
     }
@@ -64,8 +64,8 @@
     }
 }
 
-/// Reads a number that is written in the one way that `Display` writes it.
-fn number(text: &str) -> Option<u64> {
+/// Parses a number in the canonical form that `Display` writes.
+fn parse_number(text: &str) -> Option<u64> {
     let number: u64 = text.parse().ok()?;
     (number.to_string() == text).then_some(number)
 }
--- a/crates/wire/src/leader.rs
+++ b/crates/wire/src/leader.rs
@@ -1,4 +1,4 @@
-//! Requests to the quorum's leader, and its answers.
+//! Requests to the quorum's leader, and its responses.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,162 +17,162 @@
 /// A request to the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LeaderRequest {
-    /// Writes a command to the log.
+    /// Appends a command to the log.
     Command(Command),
-    /// Reads what is known of a call.
+    /// Reads a call's record.
     ReadCall(CallKey),
     /// Lists the calls that are open or whose outcome is unknown.
     ReadUnsettled,
     /// Reads the revision of the configuration in force.
     ReadRevision,
-    /// Takes a voter in.
+    /// Adds a voter.
     AddVoter {
-        /// Its host.
+        /// The voter's host.
         host: HostId,
-        /// The folder that it may vote from.
+        /// The data folder that it may vote from.
         folder: FolderId,
     },
-    /// Takes a voter out.
+    /// Removes a voter.
     RemoveVoter {
-        /// Its host.
+        /// The voter's host.
         host: HostId,
     },
-    /// Lists the changes of configuration that are kept.
+    /// Lists the retained configuration changes.
     ReadHistory,
     /// Lists the voters.
     ReadVoters,
-    /// Reads the numbered configuration in force and the weights named.
+    /// Reads the configuration in force, with its number, and the named weights.
     ReadPublished,
-    /// Reads what is published, once it differs from what was seen or some time has passed.
+    /// Reads the published state once it differs from the cursor's, or after a timeout (long poll).
     FollowPublished(FollowRequest),
 }
 
-/// A question for what is published, with what its sender tells in turn.
+/// A long poll for the published state, which also reports the sender's loads and prompts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FollowRequest {
-    /// The router that asks.
+    /// The requesting router's host.
     pub from: HostId,
-    /// What it has seen.
+    /// The state that the router already has.
     pub seen: FollowCursor,
-    /// How long the question may be held for news.
+    /// How long the leader may wait for a change before it responds.
     pub max_wait: Duration,
-    /// What it has under way at endpoints.
+    /// The load that the router has in flight at endpoints.
     pub loads: Vec<SentLoad>,
-    /// The prompts that it has sent since the last question.
+    /// The prompts that the router has sent to endpoints since its last request.
     pub sent: Vec<SentPrompt>,
-    /// Lives of endpoints that it has heard to leave.
+    /// Endpoint incarnations that have announced to the router that they are leaving.
     pub leaving: Vec<LifeKey>,
 }
 
-/// What a follower of the published state has seen.
+/// The position of a follower in the published state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FollowCursor {
-    /// The configuration that it holds.
+    /// The number of the configuration that it has.
     pub number: ConfigurationNumber,
-    /// The version of the last answer.
+    /// The version of the last response.
     pub version: ViewVersion,
-    /// The position after the prompts that the last answer told of, in the same term.
+    /// The position after the sent prompts of the last response, in the same term.
     pub next_sent: u64,
 }
 
-/// The version of a leader's answer; equal ones come from the same leader and say the same.
+/// The version of a leader's response; equal versions are of the same leader and content.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewVersion {
     /// The leader's term.
     pub term: Term,
-    /// How often what it tells has changed.
+    /// Number of changes of the leader's view in this term.
     pub changes: u64,
 }
 
-/// What is published, as the leader knows it.
+/// The published state, as known to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublishedView {
-    /// The answer's version.
+    /// The response's version.
     pub version: ViewVersion,
     /// The number of the configuration in force.
     pub number: ConfigurationNumber,
-    /// The configuration, unless the asker holds it.
+    /// The configuration, unless the requester has it already.
     pub content: Option<Arc<[u8]>>,
-    /// The weights that were named, with their ages; each model's newest are those to have.
+    /// The named weights with their ages; the newest of each model are to be loaded.
     pub weights: Vec<WeightsAge>,
-    /// What is known of engines beyond their announcements.
+    /// State of engines that is not in their announcements.
     pub engines: Vec<EngineNews>,
-    /// What all routers have under way at endpoints, the asker included.
+    /// The load that all routers, including the requester, have in flight at endpoints.
     pub loads: Vec<SentLoad>,
-    /// Lives of endpoints that any router has heard to leave.
+    /// Endpoint incarnations that have announced to any router that they are leaving.
     pub leaving: Vec<LifeKey>,
-    /// Prompts that other routers have sent since the last answer.
+    /// Prompts that other routers have sent to endpoints since the last response.
     pub sent: Vec<SentPrompt>,
-    /// The position after those.
+    /// The position after these prompts.
     pub next_sent: u64,
 }
 
-/// The leader's answer.
+/// The leader's response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LeaderResponse {
-    /// The command was committed and led to this.
+    /// The result of a committed command.
     Reply(Reply),
-    /// What is known of the call.
+    /// The call's record, if there is one.
     Call(Option<Box<Call>>),
     /// The calls that are open or whose outcome is unknown.
     Unsettled(Vec<UnsettledCall>),
     /// The revision of the configuration in force.
     Revision(Revision),
-    /// The voters from now on.
+    /// The current voters.
     Voters(VoterSet),
-    /// The request was understood and refused; nothing changed.
+    /// The request was valid but refused; nothing changed.
     Refused(String),
-    /// The changes of configuration that are kept, the oldest first.
+    /// The retained configuration changes, oldest first.
     History(Vec<ChangeRecord>),
-    /// What is published.
+    /// The published state.
     Published(Box<PublishedView>),
 }
 
 /// A call that is open or whose outcome is unknown.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UnsettledCall {
-    /// The call.
+    /// The call's key.
     pub key: CallKey,
-    /// What is known of it.
+    /// The call's record.
     pub call: Call,
 }
 
 impl LeaderRequest {
-    /// Writes the request.
+    /// Encodes the request.
     pub fn to_bytes(&self) -> Vec<u8> {
         to_bytes(self)
     }
 
-    /// Reads a request.
+    /// Decodes a request.
     ///
     /// # Errors
     ///
-    /// Returns an error if the bytes are damaged.
+    /// Returns an error if the bytes are malformed.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, BodyError> {
         from_bytes(bytes)
     }
 }
 
 impl LeaderResponse {
-    /// Writes the answer.
+    /// Encodes the response.
     pub fn to_bytes(&self) -> Vec<u8> {
         to_bytes(self)
     }
 
-    /// Reads an answer.
+    /// Decodes a response.
     ///
     /// # Errors
     ///
-    /// Returns an error if the bytes are damaged.
+    /// Returns an error if the bytes are malformed.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, BodyError> {
         from_bytes(bytes)
     }
 }
 
 pub(crate) fn to_bytes<T: Serialize>(value: &T) -> Vec<u8> {
-    postcard::to_stdvec(value).expect("each type here has a postcard form")
+    postcard::to_stdvec(value).expect("each message type can be encoded with postcard")
 }
 
 pub(crate) fn from_bytes<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, BodyError> {
-    postcard::from_bytes(bytes).map_err(|e| BodyError::new(format!("damaged message: {e}")))
+    postcard::from_bytes(bytes).map_err(|e| BodyError::new(format!("malformed message: {e}")))
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! Wire types: what callers, endpoints, operators and routers say to each other.
+//! Wire types: HTTP bodies of callers, endpoints and operators, and messages between routers.
 //!
-//! Bodies of HTTP messages are types of their own, which convert to and from the types of the
-//! cores with `From` and `TryFrom`, so that a core never depends on a format.
+//! HTTP bodies have types of their own, which convert to and from the domain crates' types with
+//! `From` and `TryFrom`, so that no domain crate depends on a wire format.
 //!
 //! # Example
 //!
--- a/crates/wire/src/operator.rs
+++ b/crates/wire/src/operator.rs
@@ -1,7 +1,7 @@
 //! Bodies of the operator's HTTP interface.
 //!
-//! Unknown fields are ignored in answers, so that an older tool reads a newer router, and refused
-//! in requests, so that no part of an order is dropped unseen. Errors are a
+//! Unknown fields are ignored in responses, so that an older tool can read a newer router's, and
+//! rejected in requests, so that no part of a request is silently dropped. Errors are returned as a
 //! [`Problem`](crate::problem::Problem).
 
 mod calls;
@@ -36,7 +36,7 @@
 pub const EXPLAIN_PATH: &str = "/operator/explain";
 /// Path of [`Voters`] and, for `POST`, of [`VoterChangeRequest`].
 pub const VOTERS_PATH: &str = "/operator/voters";
-/// Path of [`UnsettledCalls`] and start of each [`CallPath`].
+/// Path of [`UnsettledCalls`] and prefix of each [`CallPath`].
 pub const CALLS_PATH: &str = "/operator/calls";
-/// What follows a [`CallPath`] for `POST` of [`ResolveRequest`].
+/// Suffix of a [`CallPath`] for `POST` of [`ResolveRequest`].
 pub const RESOLVE_SUFFIX: &str = "/resolve";
--- a/crates/wire/src/operator/calls.rs
+++ b/crates/wire/src/operator/calls.rs
@@ -13,10 +13,9 @@
 
 const PATH_RULE: &str = "/operator/calls/ORGANISATION/KEY, each percent-encoded";
 
-/// The path of a call that may not be repeated.
+/// The path of a non-idempotent call.
 ///
-/// Organisation and key may hold slashes, so it must be parsed from the path as sent, before
-/// percent-decoding.
+/// Organisation and key may contain slashes, so the path must be parsed before percent-decoding.
 ///
 /// # Examples
 ///
@@ -29,9 +28,9 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CallPath {
-    /// The organisation that calls.
+    /// The calling organisation.
     pub organisation: OrganisationId,
-    /// Its name for the call.
+    /// The call's idempotency key.
     pub key: IdempotencyKey,
 }
 
@@ -63,10 +62,10 @@
 }
 
 fn write_segment(f: &mut fmt::Formatter<'_>, text: &str) -> fmt::Result {
-    // A segment of dots alone would be taken for a relative path by some clients.
-    let dots = text.bytes().all(|byte| byte == b'.');
+    // Some clients resolve a segment of only dots as a relative path.
+    let only_dots = text.bytes().all(|byte| byte == b'.');
     text.bytes().try_for_each(|byte| {
-        if byte.is_ascii_alphanumeric() || b"-_".contains(&byte) || (byte == b'.' && !dots) {
+        if byte.is_ascii_alphanumeric() || b"-_".contains(&byte) || (byte == b'.' && !only_dots) {
             f.write_char(char::from(byte))
         } else {
             write!(f, "%{byte:02X}")
@@ -89,33 +88,33 @@
     String::from_utf8(decoded).ok()
 }
 
-/// A call that may not be repeated.
+/// A non-idempotent call, run at most once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Call {
-    /// The organisation that called.
+    /// The calling organisation.
     pub organisation: OrganisationId,
-    /// Its name for the call.
+    /// The call's idempotency key.
     pub key: IdempotencyKey,
-    /// How far the call has come.
+    /// The call's state.
     pub state: CallState,
-    /// Whether it may have run.
+    /// Whether the call may have run.
     pub verdict: Verdict,
-    /// The host that claimed it, unless it was given back.
+    /// The host that claimed the call, unless it released the claim.
     #[serde(default)]
     pub owner: Option<HostId>,
-    /// The life of that host's process.
+    /// The incarnation of that host's process.
     #[serde(default)]
     pub owner_incarnation: Option<Incarnation>,
-    /// When it was claimed.
+    /// The time of the claim.
     #[serde(default)]
     pub claimed_at: Option<UnixMillis>,
-    /// The status that the endpoint answered with, if it did.
+    /// The status of the endpoint's response, if there was one.
     #[serde(default)]
     pub status: Option<u16>,
-    /// What an operator decided, if one did.
+    /// The operator's resolution, if any.
     #[serde(default)]
     pub resolution: Option<Resolution>,
-    /// The status of an answer that came after the operator had decided.
+    /// The status of a response that arrived after the operator's resolution.
     #[serde(default)]
     pub late_status: Option<u16>,
 }
@@ -123,53 +122,53 @@
 /// The calls that are open or whose outcome is unknown.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnsettledCalls {
-    /// Each call.
+    /// The calls.
     pub calls: Vec<Call>,
 }
 
-/// How far a call has come.
+/// The state of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CallState {
-    /// It is claimed, and its outcome is not known.
+    /// Claimed; its outcome is not known yet.
     Open,
-    /// Its answer is recorded.
+    /// Its response is recorded.
     Answered,
-    /// It was sent, and no answer is known.
+    /// Sent, but no response is known.
     Failed,
-    /// Its owner sent nothing; it may be claimed again.
+    /// Its owner did not send it; it may be claimed again.
     Released,
-    /// An operator decided its outcome.
+    /// An operator set its outcome.
     Resolved,
-    /// A state that this program does not know.
+    /// A state that this version does not know.
     #[serde(other)]
     Unknown,
 }
 
-/// What an operator decided about a call.
+/// An operator's resolution of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resolution {
-    /// Who decided it.
+    /// The operator.
     pub author: Author,
-    /// Why.
+    /// The reason for it.
     pub reason: Arc<str>,
-    /// When.
+    /// The time of the resolution.
     pub at: UnixMillis,
 }
 
-/// Decides the outcome of a call that stayed open; deciding the same twice is the same as once.
+/// Request to set the outcome of a call that stayed open; idempotent for the same outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ResolveRequest {
     /// The outcome.
     pub verdict: ResolvedVerdict,
-    /// Who decides it.
+    /// The operator.
     pub author: Author,
-    /// Why.
+    /// The reason for it.
     pub reason: Arc<str>,
 }
 
-/// An outcome that an operator can vouch for.
+/// An outcome that an operator can set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ResolvedVerdict {
--- a/crates/wire/src/operator/change.rs
+++ b/crates/wire/src/operator/change.rs
@@ -8,38 +8,38 @@
 /// The declaration in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CurrentDeclaration {
-    /// Its revision; 0 is the built-in one.
+    /// Its revision; 0 is the built-in declaration.
     pub revision: Revision,
     /// The whole declaration, as TOML.
     pub toml: Arc<str>,
-    /// Who made the last change.
+    /// The author of the last change.
     #[serde(default)]
     pub author: Option<Author>,
-    /// When.
+    /// The time of the last change.
     #[serde(default)]
     pub at: Option<UnixMillis>,
-    /// Why.
+    /// The reason for the last change.
     #[serde(default)]
     pub reason: Option<Arc<str>>,
 }
 
-/// Replaces the declaration if its revision is still the expected one.
+/// Request to replace the declaration, applied only if its revision is still the expected one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeRequest {
-    /// The same on every resend.
+    /// Id of the change; a retry carries the same id.
     pub id: ChangeId,
-    /// The revision that the author changed.
+    /// The revision that the change is based on.
     pub expected: Revision,
-    /// Who makes the change.
+    /// The author of the change.
     pub author: Author,
-    /// Why.
+    /// The reason for the change.
     pub reason: Arc<str>,
     /// The whole new declaration.
     pub toml: Arc<str>,
 }
 
-/// What became of a change.
+/// Result of a change of the declaration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "kebab-case")]
 pub enum ChangeResult {
@@ -48,27 +48,27 @@
         /// Its revision.
         revision: Revision,
     },
-    /// Another change came first; nothing was changed.
+    /// Another change was committed first; nothing was changed.
     Conflict {
-        /// The change that won.
+        /// The change that was committed first.
         winner: HistoryEntry,
     },
-    /// The change id stands for another change; nothing was changed.
+    /// The change id was used by a different change; nothing was changed.
     ReusedId {
-        /// The change that has the id.
+        /// The change that used the id first.
         first: HistoryEntry,
     },
     /// The declaration is not valid; nothing was changed.
     Invalid {
-        /// The line at fault, from 1, if there is one.
+        /// The line of the error, counted from 1, if known.
         line: Option<u32>,
-        /// What is wrong there.
+        /// Description of the error.
         message: Arc<str>,
     },
 }
 
 impl ChangeResult {
-    /// Returns the HTTP status that the answer goes with.
+    /// Returns the HTTP status of the response.
     pub fn status(&self) -> u16 {
         match self {
             Self::Applied { .. } => 200,
@@ -78,59 +78,59 @@
     }
 }
 
-/// The changes made, the newest last.
+/// The history of changes, newest last.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct History {
-    /// Each change that is still kept.
+    /// The changes that are still retained.
     pub changes: Vec<HistoryEntry>,
 }
 
-/// A change that was made.
+/// A committed change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryEntry {
-    /// The revision it made.
+    /// The revision it created.
     pub revision: Revision,
-    /// Its identity.
+    /// Its id.
     pub id: ChangeId,
-    /// Who made it.
+    /// Its author.
     pub author: Author,
-    /// When.
+    /// The time it was made.
     pub at: UnixMillis,
-    /// Why.
+    /// The reason for it.
     pub reason: Arc<str>,
 }
 
 /// The voters of the quorum.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Voters {
-    /// Each voter.
+    /// The voters.
     pub voters: Vec<Voter>,
 }
 
-/// Adds or removes one voter.
+/// Request to add or remove one voter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VoterChangeRequest {
-    /// What to do.
+    /// The change of the voter set.
     pub change: VoterChange,
-    /// Who asks for it.
+    /// The author of the request.
     pub author: Author,
-    /// Why.
+    /// The reason for it.
     pub reason: Arc<str>,
 }
 
-/// A change of the voters; making it twice is the same as once.
+/// A change of the voter set; idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum VoterChange {
-    /// Admits a host with its present data folder.
+    /// Adds a host as a voter with its current data folder.
     Add {
         /// The host.
         host: HostId,
         /// Its data folder, in hexadecimal.
         folder: Arc<str>,
     },
-    /// Takes a host's vote.
+    /// Removes a voter.
     Remove {
         /// The host.
         host: HostId,
--- a/crates/wire/src/operator/explain.rs
+++ b/crates/wire/src/operator/explain.rs
@@ -3,64 +3,64 @@
 use base::{AdapterId, DataCentreId, EndpointId, ModelId, OrganisationId, TokenCount};
 use serde::{Deserialize, Serialize};
 
-/// Asks where a request would go, without sending it.
+/// Request to explain how a request would be routed, without sending it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ExplainRequest {
-    /// The organisation that would call.
+    /// The organisation of the request.
     pub organisation: OrganisationId,
-    /// The model that it would name.
+    /// The requested model.
     pub model: ModelId,
-    /// The adapter that it would name, if any.
+    /// The requested adapter, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<AdapterId>,
-    /// What it would send.
+    /// The prompt or its prefix.
     pub input: PromptPart,
 }
 
-/// How much of a prompt is known.
+/// A prompt, or the prefix that several prompts share.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PromptPart {
     /// The whole prompt.
     Prompt(Arc<str>),
-    /// The start that prompts share.
+    /// The shared prefix.
     Prefix(Arc<str>),
 }
 
-/// Where a request would go, and why.
+/// The routing decision for a request, with each candidate's cost.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// The prompt's length as the router estimates it.
+    /// The router's estimate of the prompt's length.
     pub prompt_tokens: TokenCount,
-    /// The endpoints that can serve the request, the best first.
+    /// The endpoints that can serve the request, best first.
     pub candidates: Vec<ExplainedCandidate>,
 }
 
-/// An endpoint and its score.
+/// An endpoint that can serve the request, and its cost.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ExplainedCandidate {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Its data centre.
     pub data_centre: DataCentreId,
-    /// Whether it is the prefix's home.
+    /// Whether it is the home endpoint of the prompt's prefix.
     #[serde(default)]
     pub home: bool,
-    /// Tokens of the prompt that it is believed to hold.
+    /// Prompt tokens that it is expected to have cached.
     #[serde(default)]
     pub warm_tokens: TokenCount,
-    /// The sum of the parts; the least cost is the best.
+    /// The sum of the parts; the lowest cost is best.
     pub cost: f64,
-    /// What the cost is made of.
+    /// The components of the cost.
     #[serde(default)]
     pub parts: Vec<ScorePart>,
 }
 
-/// A part of a candidate's cost.
+/// A component of a candidate's cost.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScorePart {
-    /// What it stands for.
+    /// The component's name.
     pub name: Arc<str>,
     /// Its cost.
     pub cost: f64,
--- a/crates/wire/src/operator/status.rs
+++ b/crates/wire/src/operator/status.rs
@@ -6,99 +6,99 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// How a router sees itself, its peers and the quorum.
+/// A router's status, with its view of its peers and the quorum.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// The router's host.
     pub host: HostId,
-    /// The life of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
     /// Its data centre.
     pub data_centre: DataCentreId,
-    /// The version of its program.
+    /// The version of the daemon.
     pub version: Arc<str>,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub state: ServingState,
     /// The revision of the configuration in force.
     pub revision: Revision,
-    /// The newest revision that it heard of.
+    /// The newest revision known to it.
     #[serde(default)]
     pub newest: Revision,
-    /// What it knows of the quorum.
+    /// Its view of the quorum.
     pub quorum: QuorumStatus,
     /// The other routers.
     pub peers: Vec<Peer>,
-    /// Totals.
+    /// Request, endpoint and call counts.
     #[serde(default)]
     pub counts: Counts,
 }
 
-/// Whether a router takes requests.
+/// Whether a router accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServingState {
-    /// It waits for news from its peers.
+    /// Waiting for state from its peers.
     Starting,
-    /// It takes requests.
+    /// Accepting requests.
     Ready,
-    /// It ends the requests it has, and takes no new ones.
+    /// Finishing the requests in flight and accepting no new ones.
     Draining,
-    /// A state that this program does not know.
+    /// A state that this version does not know.
     #[serde(other)]
     Unknown,
 }
 
-/// A router's part in the quorum.
+/// A router's state in the quorum.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuorumStatus {
-    /// What it does.
+    /// Its role.
     pub role: QuorumRole,
-    /// The latest term it saw.
+    /// The latest term it has seen.
     pub term: Term,
     /// The term's leader, if known.
     pub leader: Option<HostId>,
-    /// The last entry known to be committed.
+    /// Index of the last entry known to be committed.
     pub commit: LogIndex,
-    /// The last entry applied.
+    /// Index of the last applied entry.
     pub applied: LogIndex,
-    /// The voters, as far as it knows.
+    /// The voters known to it.
     pub voters: Vec<Voter>,
-    /// Its own data folder, in hexadecimal, if it can hold a vote.
+    /// Id of its data folder, in hexadecimal, if it can be a voter.
     #[serde(default)]
     pub folder: Option<Arc<str>>,
     /// Whether it may vote from that folder.
     #[serde(default)]
     pub registration: Option<Arc<str>>,
-    /// Why it acknowledges nothing any more, if so.
+    /// The reason why it has stopped acknowledging entries, if it has.
     #[serde(default)]
     pub failure: Option<Arc<str>>,
 }
 
-/// What a router does in the quorum.
+/// A router's role in the quorum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum QuorumRole {
-    /// It holds no vote.
+    /// Not a voter.
     Observer,
-    /// It follows the leader.
+    /// Replicates the leader's log.
     Follower,
-    /// It asks for votes.
+    /// Requests votes.
     Candidate,
-    /// It writes the log.
+    /// Appends to the log and replicates it.
     Leader,
-    /// A role that this program does not know.
+    /// A role that this version does not know.
     #[serde(other)]
     Unknown,
 }
 
-/// A voter and how far it has come.
+/// A voter and its replication progress.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Voter {
     /// The voter's host.
     pub host: HostId,
-    /// The data folder it may vote from, in hexadecimal.
+    /// Id of the data folder it may vote from, in hexadecimal.
     pub folder: Arc<str>,
-    /// The last entry it is known to hold; only a leader knows.
+    /// Index of the last entry it is known to have stored; set only by a leader.
     #[serde(default)]
     pub matched: Option<LogIndex>,
 }
@@ -108,105 +108,105 @@
 pub struct Peer {
     /// Its host.
     pub host: HostId,
-    /// The life of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
     /// Its data centre.
     pub data_centre: DataCentreId,
-    /// Whether it is heard.
+    /// Its liveness.
     pub state: PeerState,
-    /// The revision it reported last.
+    /// The last revision it reported.
     pub revision: Revision,
-    /// Whether it has stayed behind the revision in force.
+    /// Whether it has remained behind the revision in force.
     pub laggard: bool,
-    /// Time since it was heard, in milliseconds.
+    /// Time since the last message from it, in milliseconds.
     #[serde(default)]
     pub heard_ms: u64,
 }
 
-/// Whether a peer is heard.
+/// A peer's liveness, by gossip.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PeerState {
-    /// It is heard.
+    /// Its messages arrive in time.
     Alive,
-    /// It was not heard in time.
+    /// No message from it arrived in time.
     Suspect,
-    /// It ends its requests and will stop.
+    /// It is finishing its requests and will stop.
     Leaving,
-    /// It is taken to be dead.
+    /// It is considered dead.
     Dead,
-    /// A state that this program does not know.
+    /// A state that this version does not know.
     #[serde(other)]
     Unknown,
 }
 
-/// Totals of a router.
+/// Counts of a router's requests, endpoints and calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Counts {
-    /// Requests under way.
+    /// Requests in flight.
     pub in_flight: u64,
-    /// Requests that wait for a slot.
+    /// Requests queued for a slot.
     pub queued: u64,
-    /// Endpoints that may get new work.
+    /// Endpoints that may be sent new requests.
     pub ready_endpoints: u64,
-    /// Calls that are claimed or whose outcome is unknown, on a host that can hold a vote.
+    /// Calls that are claimed or whose outcome is unknown; set only on a host that can be a voter.
     pub open_calls: Option<u64>,
 }
 
-/// The endpoints that a router knows.
+/// The endpoints known to a router.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Endpoints {
-    /// Each endpoint.
+    /// The endpoints.
     pub endpoints: Vec<EndpointStatus>,
 }
 
-/// An endpoint as a router knows it.
+/// A router's view of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointStatus {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The life of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
     /// Its data centre.
     pub data_centre: DataCentreId,
-    /// Where it takes requests.
+    /// The address on which it accepts requests.
     pub address: SocketAddr,
-    /// Whether it may get new work.
+    /// Whether it may be sent new requests.
     pub state: EndpointState,
-    /// What is left of its lease, in milliseconds.
+    /// Time until its lease expires, in milliseconds.
     pub lease_ms: u64,
     /// The models it has loaded; empty for a plain service.
     #[serde(default)]
     pub models: Vec<ServedModel>,
-    /// The plain service it is, if it is one.
+    /// The service, for a plain service.
     #[serde(default)]
     pub service: Option<ServiceId>,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it rejects orders with an outdated fencing token.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// Requests of this router under way there.
+    /// Requests of this router in flight to it.
     #[serde(default)]
     pub in_flight: u64,
-    /// Requests that wait there, by its last report.
+    /// Requests waiting there, by its last report.
     #[serde(default)]
     pub waiting: u64,
-    /// Tokens that wait there for prefill, by its last report.
+    /// Tokens waiting there for prefill, by its last report.
     #[serde(default)]
     pub prefill_tokens: TokenCount,
 }
 
-/// Whether an endpoint may get new work.
+/// Whether an endpoint may be sent new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndpointState {
-    /// It may get new work.
+    /// It may be sent new requests.
     Ready,
-    /// It wants no new work.
+    /// It has announced that it must be sent no new requests.
     Leaving,
-    /// Requests to it have failed, and it gets none for a while.
+    /// Requests to it have failed; it is sent none for a while.
     Avoided,
-    /// A state that this program does not know.
+    /// A state that this version does not know.
     #[serde(other)]
     Unknown,
 }
@@ -216,9 +216,9 @@
 pub struct ServedModel {
     /// The model.
     pub model: ModelId,
-    /// The version of its weights.
+    /// The version of the model's weights.
     pub weights: WeightsVersion,
-    /// The adapters loaded on top.
+    /// The adapters loaded for the model.
     #[serde(default)]
     pub adapters: Vec<AdapterId>,
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,4 +1,4 @@
-//! Messages between routers, beside the schema's generated code.
+//! Encoding and decoding of messages between routers, on top of the schema's generated code.
 
 use std::sync::Arc;
 
@@ -6,20 +6,20 @@
 
 use crate::{BodyError, peer_capnp::configuration};
 
-/// A configuration, as one router gives it to another.
+/// A configuration, as routers send it to each other.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Configuration {
     /// Its revision.
     pub revision: Revision,
     /// The declaration, as TOML.
     pub declaration: Arc<str>,
-    /// Who made the change.
+    /// The author of the change.
     pub author: Author,
-    /// Why.
+    /// The reason for the change.
     pub reason: Arc<str>,
     /// The change's id.
     pub change: ChangeId,
-    /// When.
+    /// The time of the change.
     pub at: UnixMillis,
 }
 
@@ -34,14 +34,14 @@
         to.set_at_unix_millis(self.at.as_u64());
     }
 
-    /// Writes the configuration for a file.
+    /// Encodes the configuration for a file.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut message = capnp::message::Builder::new_default();
         self.write(message.init_root());
         capnp::serialize::write_message_to_words(&message)
     }
 
-    /// Reads a configuration from a file.
+    /// Decodes a configuration from a file's bytes.
     ///
     /// # Errors
     ///
@@ -73,30 +73,30 @@
     capnp::Error::failed(e.to_string())
 }
 
-/// Writes a message of the quorum.
+/// Encodes a quorum message.
 pub fn quorum_to_bytes(message: &quorum::Message) -> Vec<u8> {
     crate::leader::to_bytes(message)
 }
 
-/// Reads a message of the quorum.
+/// Decodes a quorum message.
 ///
 /// # Errors
 ///
-/// Returns an error if the bytes are damaged.
+/// Returns an error if the bytes are malformed.
 pub fn quorum_from_bytes(bytes: &[u8]) -> Result<quorum::Message, BodyError> {
     crate::leader::from_bytes(bytes)
 }
 
-/// Writes gossip.
+/// Encodes a gossip message.
 pub fn gossip_to_bytes(message: &member::Gossip) -> Vec<u8> {
     crate::leader::to_bytes(message)
 }
 
-/// Reads gossip.
+/// Decodes a gossip message.
 ///
 /// # Errors
 ///
-/// Returns an error if the bytes are damaged.
+/// Returns an error if the bytes are malformed.
 pub fn gossip_from_bytes(bytes: &[u8]) -> Result<member::Gossip, BodyError> {
     crate::leader::from_bytes(bytes)
 }
--- a/crates/wire/src/problem.rs
+++ b/crates/wire/src/problem.rs
@@ -1,4 +1,4 @@
-//! Error responses in the form of RFC 9457.
+//! Error responses in the problem details format of RFC 9457.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 /// The media type of a [`Problem`].
 pub const CONTENT_TYPE: &str = "application/problem+json";
 
-/// The type of a problem that its status explains.
+/// The type of a problem without further meaning than its HTTP status.
 const BLANK_TYPE: &str = "about:blank";
 
 /// An error response.
@@ -26,7 +26,7 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// A URI that names the kind of problem.
+    /// A URI that identifies the kind of problem.
     #[serde(rename = "type", default = "blank_type")]
     pub kind: Arc<str>,
     /// A short summary of the kind.
@@ -34,19 +34,19 @@
     pub title: Arc<str>,
     /// The HTTP status.
     pub status: u16,
-    /// What happened this time.
+    /// Explanation of this occurrence.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub detail: Option<Arc<str>>,
     /// Whether the request may have run.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub verdict: Option<Verdict>,
-    /// The request that failed.
+    /// The id of the failed request.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request_id: Option<RequestId>,
 }
 
 impl Problem {
-    /// Describes a problem that `status` and `title` explain.
+    /// Creates a problem of type `about:blank`.
     pub fn new(status: u16, title: impl Into<Arc<str>>) -> Self {
         Self {
             kind: blank_type(),
@@ -58,25 +58,25 @@
         }
     }
 
-    /// Names the kind of problem by a URI.
+    /// Sets the URI of the kind of problem.
     #[must_use]
     pub fn with_kind(self, kind: impl Into<Arc<str>>) -> Self {
         Self { kind: kind.into(), ..self }
     }
 
-    /// Adds what happened this time.
+    /// Sets the explanation of this occurrence.
     #[must_use]
     pub fn with_detail(self, detail: impl Into<Arc<str>>) -> Self {
         Self { detail: Some(detail.into()), ..self }
     }
 
-    /// Adds whether the request may have run.
+    /// Sets whether the request may have run.
     #[must_use]
     pub fn with_verdict(self, verdict: Verdict) -> Self {
         Self { verdict: Some(verdict), ..self }
     }
 
-    /// Adds the request that failed.
+    /// Sets the id of the failed request.
     #[must_use]
     pub fn with_request_id(self, id: RequestId) -> Self {
         Self { request_id: Some(id), ..self }
--- a/crates/wire/src/sse.rs
+++ b/crates/wire/src/sse.rs
@@ -1,4 +1,4 @@
-//! Server-sent events: a parser bounded in memory, and their text.
+//! Server-sent events: a parser and a splitter with bounded memory, and an encoder.
 
 use std::fmt::Write as _;
 
@@ -11,19 +11,19 @@
 pub struct Event {
     /// The event's id.
     pub id: Option<String>,
-    /// The event's type, if it isn't the usual one.
+    /// The event's type, unless it is the default one.
     pub kind: Option<String>,
     /// The data, its lines joined by line feeds.
     pub data: String,
 }
 
 impl Event {
-    /// Creates an event of the usual type.
+    /// Creates an event of the default type.
     pub fn data(data: impl Into<String>) -> Self {
         Self { data: data.into(), ..Self::default() }
     }
 
-    /// Returns the event's text, with the empty line that ends it.
+    /// Encodes the event, with the empty line that ends it.
     pub fn to_text(&self) -> String {
         let mut text = String::with_capacity(self.data.len() + 32);
         if let Some(id) = &self.id {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Cuts a stream of bytes into events.
+/// Parses a stream of bytes into events.
 #[derive(Debug)]
 pub struct Parser {
     max_event: usize,
@@ -52,7 +52,7 @@
 }
 
 impl Parser {
-    /// Creates a parser that keeps no more than `max_event` of one event.
+    /// Creates a parser that buffers at most `max_event` of one event.
     pub fn new(max_event: ByteCount) -> Self {
         Self {
             max_event: usize::try_from(max_event.as_u64()).unwrap_or(usize::MAX),
@@ -64,24 +64,24 @@
         }
     }
 
-    /// Takes bytes and adds the events that they complete to `events`.
+    /// Parses `bytes` and appends the events that they complete to `events`.
     ///
     /// # Errors
     ///
-    /// Returns an error if an event is too long or not UTF-8; the parser is then of no further use.
+    /// Returns an error if an event is too long or not UTF-8; the parser must not be used after that.
     pub fn push(&mut self, bytes: &[u8], events: &mut Vec<Event>) -> Result<(), BodyError> {
         self.buf.extend_from_slice(bytes);
         let mut start = 0;
         while let Some(offset) = self.buf[self.scanned..].iter().position(|&b| b == b'\n') {
             let end = self.scanned + offset;
             let line = std::str::from_utf8(&self.buf[start..end])
-                .map_err(|_| BodyError::new("an event is not UTF-8"))?;
+                .map_err(|_| BodyError::new("event is not valid UTF-8"))?;
             let line = line.strip_suffix('\r').unwrap_or(line);
             self.event_bytes += end - start;
             if self.max_event < self.event_bytes {
                 return Err(self.too_long());
             }
-            take_line(line, &mut self.event, &mut self.has_data);
+            parse_line(line, &mut self.event, &mut self.has_data);
             if line.is_empty() {
                 self.event_bytes = 0;
                 let event = std::mem::take(&mut self.event);
@@ -101,11 +101,11 @@
     }
 
     fn too_long(&self) -> BodyError {
-        BodyError::new(format!("an event is over {} bytes", self.max_event))
+        BodyError::new(format!("event exceeds {} bytes", self.max_event))
     }
 }
 
-fn take_line(line: &str, event: &mut Event, has_data: &mut bool) {
+fn parse_line(line: &str, event: &mut Event, has_data: &mut bool) {
     let (field, value) = line.split_once(':').unwrap_or((line, ""));
     let value = value.strip_prefix(' ').unwrap_or(value);
     match field {
@@ -122,16 +122,16 @@
     }
 }
 
-/// Cuts a stream of bytes into whole events without changing a byte of them.
+/// Splits a stream of bytes into complete events without changing a byte of them.
 #[derive(Debug)]
 pub struct EventSplitter {
     max_event: usize,
     buf: Vec<u8>,
 }
 
-/// Whole events, as they came.
+/// Complete events, byte for byte as received.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Cut {
+pub struct CompleteEvents {
     /// The events' bytes, each with the empty line that ends it.
     pub bytes: Vec<u8>,
     /// The number of events.
@@ -141,20 +141,20 @@
 }
 
 impl EventSplitter {
-    /// Creates a cutter that keeps no more than `max_event` of one event.
+    /// Creates a splitter that buffers at most `max_event` of one event.
     pub fn new(max_event: ByteCount) -> Self {
         let max_event = usize::try_from(max_event.as_u64()).unwrap_or(usize::MAX);
         Self { max_event, buf: Vec::new() }
     }
 
-    /// Takes bytes and returns the events that they complete.
+    /// Buffers `bytes` and returns the events that they complete.
     ///
     /// # Errors
     ///
-    /// Returns an error if an event is too long; the cutter is then of no further use.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Cut, BodyError> {
+    /// Returns an error if an event is too long; the splitter must not be used after that.
+    pub fn push(&mut self, bytes: &[u8]) -> Result<CompleteEvents, BodyError> {
         self.buf.extend_from_slice(bytes);
-        let mut cut = Cut::default();
+        let mut complete = CompleteEvents::default();
         let (mut start, mut end, mut id) = (0, 0, None);
         while let Some(offset) = self.buf[start..].iter().position(|&b| b == b'\n') {
             let line = &self.buf[start..start + offset];
@@ -162,21 +162,21 @@
             start += offset + 1;
             if line.is_empty() {
                 end = start;
-                cut.events += 1;
-                cut.last_id = id.take().or(cut.last_id);
+                complete.events += 1;
+                complete.last_id = id.take().or(complete.last_id);
             } else if let Some(text) = line.strip_prefix(b"id:") {
                 let text = text.strip_prefix(b" ").unwrap_or(text);
                 id = Some(String::from_utf8_lossy(text).into_owned());
             }
         }
-        cut.bytes = self.buf.drain(..end).collect();
+        complete.bytes = self.buf.drain(..end).collect();
         if self.max_event < self.buf.len() {
-            return Err(BodyError::new(format!("an event is over {} bytes", self.max_event)));
+            return Err(BodyError::new(format!("event exceeds {} bytes", self.max_event)));
         }
-        Ok(cut)
+        Ok(complete)
     }
 
-    /// Returns whether bytes of an unfinished event are held.
+    /// Returns whether bytes of an incomplete event are buffered.
     pub fn is_within_event(&self) -> bool {
         !self.buf.is_empty()
     }
--- a/crates/wire/tests/announcement.rs
+++ b/crates/wire/tests/announcement.rs
@@ -1,4 +1,4 @@
-//! Announcements: what endpoints post survives the way in and out, and nonsense is refused.
+//! Announcements round-trip through JSON, and invalid ones are rejected.
 
 use member::Announcement;
 use proptest::{
@@ -15,27 +15,27 @@
     AnnouncementBody::from_slice(json.as_bytes())?.try_into()
 }
 
-macro_rules! refused {
-    ($($name:ident: $from:literal -> $to:literal => $said:literal,)*) => {$(
+macro_rules! rejected {
+    ($($name:ident: $from:literal -> $to:literal => $message:literal,)*) => {$(
         #[test]
         fn $name() {
             let json = SERVICE.replace($from, $to);
             assert_ne!(json, SERVICE);
-            let message = announcement(&json).unwrap_err().to_string();
-            assert!(message.contains($said), "{message}");
+            let error = announcement(&json).unwrap_err().to_string();
+            assert!(error.contains($message), "{error}");
         }
     )*};
 }
 
-refused! {
+rejected! {
     neither_engine_nor_service: ", \"service\": \"orders\"" -> "" => "either",
-    lease_of_nothing: "1000" -> "0" => "lease_ms",
-    endless_lease: "1000" -> "60001" => "lease_ms",
+    zero_lease: "1000" -> "0" => "lease_ms",
+    lease_above_maximum: "1000" -> "60001" => "lease_ms",
     unknown_field: "\"sequence\"" -> "\"sequenze\": 1, \"sequence\"" => "sequenze",
-    forged_id: "orders-1" -> "orders 1" => "endpoint id",
+    id_with_space: "orders-1" -> "orders 1" => "endpoint id",
     address_without_port: "127.0.0.1:9000" -> "127.0.0.1" => "line",
     negative_incarnation: "\"incarnation\": 1" -> "\"incarnation\": -1" => "line",
-    engine_without_blocks:
+    zero_block_tokens:
         "\"service\": \"orders\""
         -> "\"engine\": {\"models\": [], \"checks_fencing\": true, \"block_tokens\": 0}"
         => "block_tokens",
@@ -104,8 +104,8 @@
         let json = serde_json::to_vec(&body).unwrap();
         let read = AnnouncementBody::from_slice(&json).unwrap();
         prop_assert_eq!(&read, &body);
-        let core: Announcement = read.try_into().unwrap();
-        prop_assert_eq!(AnnouncementBody::from(core), body);
+        let announcement: Announcement = read.try_into().unwrap();
+        prop_assert_eq!(AnnouncementBody::from(announcement), body);
     }
 
     #[test]
--- a/crates/wire/tests/any_bytes.rs
+++ b/crates/wire/tests/arbitrary_bytes.rs
@@ -1,4 +1,4 @@
-//! Every parser takes any bytes, and what it accepts survives a round trip.
+//! Every parser handles arbitrary bytes without a panic, and accepted messages round-trip.
 
 use base::{Revision, UnixMillis};
 use fleet::{CallKey, ChangeRecord};
@@ -12,7 +12,7 @@
     peer::{gossip_from_bytes, gossip_to_bytes, quorum_from_bytes, quorum_to_bytes},
 };
 
-fn fixed(cases: u32) -> ProptestConfig {
+fn config(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
         rng_seed: RngSeed::Fixed(11),
@@ -35,7 +35,7 @@
     ]
 }
 
-fn answers() -> Vec<LeaderResponse> {
+fn responses() -> Vec<LeaderResponse> {
     let folders = [("host-1".parse().unwrap(), FolderId::new(7))];
     let change = ChangeRecord {
         revision: Revision::new(3),
@@ -54,20 +54,20 @@
 }
 
 #[test]
-fn requests_and_answers_of_the_leader_survive_a_round_trip() {
+fn leader_requests_and_responses_round_trip() {
     for request in requests() {
         assert_eq!(LeaderRequest::from_bytes(&request.to_bytes()).unwrap(), request);
     }
-    for answer in answers() {
-        assert_eq!(LeaderResponse::from_bytes(&answer.to_bytes()).unwrap(), answer);
+    for response in responses() {
+        assert_eq!(LeaderResponse::from_bytes(&response.to_bytes()).unwrap(), response);
     }
 }
 
 proptest! {
-    #![proptest_config(fixed(512))]
+    #![proptest_config(config(512))]
 
     #[test]
-    fn messages_between_routers_take_any_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_as_router_messages(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         if let Ok(message) = gossip_from_bytes(&bytes) {
             prop_assert_eq!(gossip_from_bytes(&gossip_to_bytes(&message)).unwrap(), message);
         }
@@ -77,17 +77,17 @@
         if let Ok(request) = LeaderRequest::from_bytes(&bytes) {
             prop_assert_eq!(LeaderRequest::from_bytes(&request.to_bytes()).unwrap(), request);
         }
-        if let Ok(answer) = LeaderResponse::from_bytes(&bytes) {
-            prop_assert_eq!(LeaderResponse::from_bytes(&answer.to_bytes()).unwrap(), answer);
+        if let Ok(response) = LeaderResponse::from_bytes(&bytes) {
+            prop_assert_eq!(LeaderResponse::from_bytes(&response.to_bytes()).unwrap(), response);
         }
     }
 
     #[test]
-    fn cut_and_altered_requests_are_taken_without_a_panic(
-        which in 0..6_usize, cut in 0..40_usize, at in 0..40_usize, byte: u8,
+    fn truncated_and_altered_requests_never_panic(
+        which in 0..6_usize, length in 0..40_usize, at in 0..40_usize, byte: u8,
     ) {
         let mut bytes = requests()[which].to_bytes();
-        bytes.truncate(cut);
+        bytes.truncate(length);
         if let Some(altered) = bytes.get_mut(at) {
             *altered = byte;
         }
@@ -95,14 +95,14 @@
     }
 
     #[test]
-    fn bodies_of_callers_and_endpoints_take_any_text(text in ".{0,200}") {
+    fn arbitrary_text_as_bodies_never_panics(text in ".{0,200}") {
         let _ = CompletionRequest::from_slice(text.as_bytes());
         let _ = AnnouncementBody::from_slice(text.as_bytes());
         let _ = Chunk::parse(&text);
     }
 
     #[test]
-    fn completion_takes_any_json(
+    fn completion_of_arbitrary_json(
         prompt in "(\"[a-z ]{0,9}\"|[0-9]{1,3}|\\[[0-9]\\]|null)",
         model in "(\"[a-z+/]{0,9}\"|[0-9]|null)",
         stream in "(true|false|1|null)",
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn variant_in_a_long_varint_is_refused() {
+fn overlong_varint_is_rejected() {
     let mut bytes = LeaderRequest::ReadUnsettled.to_bytes();
     bytes[0] = 0xff;
     bytes.extend([0xff; 16]);
--- a/crates/wire/tests/kv_transfer.rs
+++ b/crates/wire/tests/kv_transfer.rs
@@ -1,4 +1,4 @@
-//! Engines fetch cached blocks only where the router says.
+//! Engines get only the router's transfer parameters, never a caller's.
 
 use serde_json::{Value, json};
 use wire::{
@@ -6,7 +6,7 @@
     kv_transfer::{KvTransfer, PARAMS_FIELD},
 };
 
-fn own() -> KvTransfer {
+fn router_params() -> KvTransfer {
     serde_json::from_value(json!({
         "endpoint": "engine-2", "incarnation": 4, "address": "127.0.0.1:9000", "salt": "00ff",
         "model": "m", "weights": "v1", "blocks": 7,
@@ -14,28 +14,28 @@
     .unwrap()
 }
 
-macro_rules! written_cases {
-    ($($name:ident: $caller:expr, $own:expr => $written:expr;)*) => {$(
+macro_rules! transfer_cases {
+    ($($name:ident: $caller:expr, $router:expr => $expected:expr;)*) => {$(
         #[test]
         fn $name() {
-            let (own, written): (Option<KvTransfer>, Option<KvTransfer>) = ($own, $written);
+            let (router, expected): (Option<KvTransfer>, Option<KvTransfer>) = ($router, $expected);
             let mut body = json!({"model": "m", "prompt": "p"});
             if let Some(params) = Option::<Value>::from($caller) {
                 body[PARAMS_FIELD] = params;
             }
             let completion = CompletionRequest::from_slice(body.to_string().as_bytes()).unwrap();
             let salt = "00ff".parse().unwrap();
-            let sent = completion.to_engine_body(&salt, 0, &Delivered::default(), own.as_ref());
+            let sent = completion.to_engine_body(&salt, 0, &Delivered::default(), router.as_ref());
             let sent: Value = serde_json::from_slice(&sent).unwrap();
             let found = sent.get(PARAMS_FIELD).map(|p| serde_json::from_value(p.clone()).unwrap());
-            assert_eq!(found, written);
+            assert_eq!(found, expected);
         }
     )*};
 }
 
-written_cases! {
-    nothing_is_added_unasked: None, None => None;
-    the_routers_own_is_sent: None, Some(own()) => Some(own());
-    what_a_caller_names_is_dropped: Some(json!({"salt": "of another"})), None => None;
-    what_a_caller_names_is_replaced: Some(json!({"salt": "of another"})), Some(own()) => Some(own());
+transfer_cases! {
+    no_parameters_by_default: None, None => None;
+    router_parameters_are_sent: None, Some(router_params()) => Some(router_params());
+    caller_parameters_are_removed: Some(json!({"salt": "of another"})), None => None;
+    caller_parameters_are_replaced: Some(json!({"salt": "of another"})), Some(router_params()) => Some(router_params());
 }
--- a/crates/wire/tests/streams.rs
+++ b/crates/wire/tests/streams.rs
@@ -1,4 +1,5 @@
-//! What streams are made of survives round trips, any cut and hostile bytes.
+//! Event ids, events, chunks and completion requests round-trip, and parsers handle arbitrary input
+//! in arbitrary pieces.
 
 use base::{ByteCount, Incarnation};
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -14,7 +15,7 @@
 const MAX_EVENT: ByteCount = ByteCount::new(4096);
 const SMALL_EVENT: ByteCount = ByteCount::new(24);
 
-fn fixed(cases: u32) -> ProptestConfig {
+fn config(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
         rng_seed: RngSeed::Fixed(5),
@@ -60,7 +61,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed(256))]
+    #![proptest_config(config(256))]
 
     #[test]
     fn event_id_round_trip(id in event_id()) {
@@ -68,14 +69,14 @@
     }
 
     #[test]
-    fn event_id_of_any_text_is_refused_or_reads_back(text in "[a-z0-9,+-]{0,40}|\\PC{0,60}") {
+    fn accepted_event_id_has_canonical_form(text in "[a-z0-9,+-]{0,40}|\\PC{0,60}") {
         if let Ok(id) = text.parse::<EventId>() {
             prop_assert_eq!(id.to_string(), text);
         }
     }
 
     #[test]
-    fn events_round_trip_wherever_the_bytes_are_cut(
+    fn events_round_trip_in_arbitrary_pieces(
         events in events(),
         cuts in prop::collection::vec(any::<prop::sample::Index>(), 0..8),
     ) {
@@ -88,7 +89,7 @@
     }
 
     #[test]
-    fn arbitrary_bytes_give_the_same_events_byte_by_byte(
+    fn arbitrary_bytes_parse_alike_whole_and_byte_by_byte(
         bytes in prop::collection::vec(prop_oneof![any::<u8>(), Just(b'\n'), Just(b':')], 0..300),
     ) {
         let whole = parse(SMALL_EVENT, [bytes.as_slice()]);
@@ -100,7 +101,7 @@
     }
 
     #[test]
-    fn arbitrary_text_is_no_panic(text in "\\PC{0,200}", bytes: Vec<u8>) {
+    fn arbitrary_text_never_panics(text in "\\PC{0,200}", bytes: Vec<u8>) {
         let _ = Chunk::parse(&text);
         let _ = CompletionRequest::from_slice(&bytes);
         let _ = CompletionRequest::from_slice(text.as_bytes());
@@ -119,7 +120,7 @@
     }
 
     #[test]
-    fn continued_completion_holds_what_was_delivered(
+    fn continued_completion_includes_delivered_text(
         prompt in "\\PC{1,60}",
         text in "\\PC{1,60}",
         tokens in 1u64..50,
@@ -128,13 +129,13 @@
         let completion = CompletionRequest::from_slice(body.to_string().as_bytes()).unwrap();
         let delivered = Delivered { tokens, text: text.clone() };
         let written = completion.to_engine_body(&"salt".parse().unwrap(), 0, &delivered, None);
-        let again = CompletionRequest::from_slice(&written).unwrap();
-        prop_assert_eq!(again.prompt_parts().concat(), format!("{prompt}{text}").into_bytes());
-        prop_assert_eq!(again.max_tokens(), Some(50 - tokens));
+        let continued = CompletionRequest::from_slice(&written).unwrap();
+        prop_assert_eq!(continued.prompt_parts().concat(), format!("{prompt}{text}").into_bytes());
+        prop_assert_eq!(continued.max_tokens(), Some(50 - tokens));
     }
 }
 
-macro_rules! continues {
+macro_rules! can_continue {
     ($($name:ident: $fields:tt => $expected:literal;)*) => {$(
         #[test]
         fn $name() {
@@ -146,11 +147,11 @@
     )*};
 }
 
-continues! {
-    text_continues: {"prompt": "p"} => true;
-    unset_fields_continue: {"prompt": "p", "tools": null, "echo": false, "n": 1} => true;
-    two_choices_do_not: {"prompt": "p", "n": 2} => false;
-    token_numbers_do_not: {"prompt": [1, 2]} => false;
-    echo_does_not: {"prompt": "p", "echo": true} => false;
-    structured_output_does_not: {"prompt": "p", "response_format": {"type": "json"}} => false;
+can_continue! {
+    text_prompt_can_continue: {"prompt": "p"} => true;
+    unset_fields_can_continue: {"prompt": "p", "tools": null, "echo": false, "n": 1} => true;
+    two_choices_cannot_continue: {"prompt": "p", "n": 2} => false;
+    token_ids_cannot_continue: {"prompt": [1, 2]} => false;
+    echo_cannot_continue: {"prompt": "p", "echo": true} => false;
+    structured_output_cannot_continue: {"prompt": "p", "response_format": {"type": "json"}} => false;
 }
