--- a/crates/telemetry/src/context.rs
+++ b/crates/telemetry/src/context.rs
@@ -3,9 +3,9 @@
 use opentelemetry::trace::{SpanContext, SpanId, TraceFlags, TraceId, TraceState};
 
 const VERSION_0_BYTES: usize = 55;
-const SAMPLED: u8 = 1;
+const SAMPLED_FLAG: u8 = 1;
 
-/// The place of a span in a trace, as a W3C `traceparent` header gives it.
+/// A trace context as in the W3C `traceparent` header: trace id, span id and sampled flag.
 ///
 /// # Examples
 ///
@@ -29,25 +29,25 @@
     /// Name of the header.
     pub const HEADER: &'static str = "traceparent";
 
-    /// Creates a context, `None` if an identifier is zero.
+    /// Creates a context, or returns `None` if an id is zero.
     pub fn new(trace: u128, span: u64, sampled: bool) -> Option<Self> {
         let valid = trace != 0 && span != 0;
         valid.then_some(Self { trace, span, flags: u8::from(sampled) })
     }
 
-    /// Returns the trace's identifier.
+    /// Returns the trace id.
     pub fn trace_id(&self) -> u128 {
         self.trace
     }
 
-    /// Returns the span's identifier.
+    /// Returns the span id.
     pub fn span_id(&self) -> u64 {
         self.span
     }
 
-    /// Returns whether the trace is recorded.
+    /// Returns whether the trace is sampled.
     pub fn is_sampled(&self) -> bool {
-        self.flags & SAMPLED != 0
+        self.flags & SAMPLED_FLAG != 0
     }
 }
 
@@ -67,16 +67,16 @@
 
 fn parse(text: &str) -> Option<TraceContext> {
     let version = lower_hex(text.get(..2)?)?;
-    let later = 0 < version && text.as_bytes().get(VERSION_0_BYTES) == Some(&b'-');
-    if version == 0xff || (text.len() != VERSION_0_BYTES && !later) {
+    let later_version = 0 < version && text.as_bytes().get(VERSION_0_BYTES) == Some(&b'-');
+    if version == 0xff || (text.len() != VERSION_0_BYTES && !later_version) {
         return None;
     }
     let mut fields = text.get(..VERSION_0_BYTES)?.split('-').skip(1);
     let trace = lower_hex(fields.next().filter(|field| field.len() == 32)?)?;
     let span = lower_hex(fields.next().filter(|field| field.len() == 16)?)?;
     let flags = lower_hex(fields.next().filter(|field| field.len() == 2)?)?;
-    // Flags other than the sampled one are not defined, and not to be passed on.
-    TraceContext::new(trace, u64::try_from(span).ok()?, flags & u128::from(SAMPLED) != 0)
+    // Other flags are undefined and must not be propagated.
+    TraceContext::new(trace, u64::try_from(span).ok()?, flags & u128::from(SAMPLED_FLAG) != 0)
 }
 
 fn lower_hex(text: &str) -> Option<u128> {
@@ -103,7 +103,7 @@
     }
 }
 
-/// A header that is not a valid `traceparent`.
+/// Error returned for an invalid `traceparent` header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ParseTraceContextError(());
 
--- a/crates/telemetry/src/export.rs
+++ b/crates/telemetry/src/export.rs
@@ -16,36 +16,36 @@
 
 use crate::otlp::block_on;
 
-/// Spans that wait for export.
-const RING_SPANS: usize = 8192;
-/// Most spans in one request to the collector.
-const BATCH_SPANS: usize = 512;
-/// Longest time that a span waits for others to share its request.
-const BATCH_DELAY: Duration = Duration::from_millis(500);
-/// Time that a dropped exporter has for its last spans.
-const DROP_FLUSH: Duration = Duration::from_secs(1);
-
-/// What became of the spans.
+/// Maximum number of spans queued for export; more are dropped.
+const MAX_QUEUED_SPANS: usize = 8192;
+/// Maximum number of spans in one request to the collector.
+const MAX_BATCH_SPANS: usize = 512;
+/// Longest time that a span is delayed to be batched with others.
+const MAX_BATCH_DELAY: Duration = Duration::from_millis(500);
+/// Timeout of the flush when an exporter is dropped.
+const DROP_FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// Counts of spans by export outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ExportCounts {
-    /// Spans that the collector took.
+    /// Spans accepted by the collector.
     pub exported: u64,
-    /// Spans that the collector did not take.
+    /// Spans whose export failed.
     pub failed: u64,
-    /// Spans that found the ring full.
+    /// Spans dropped because the queue was full.
     pub dropped: u64,
 }
 
-/// Whether the spans recorded so far have left.
+/// Outcome of a flush.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flush {
-    /// Each was sent or has failed.
+    /// Each span recorded before was exported or has failed.
     Done,
-    /// Time ran out.
+    /// The timeout expired first.
     TimedOut,
 }
 
-/// The thread that exports spans; flushes on drop.
+/// Handle of the thread that exports spans; flushes on drop.
 #[derive(Debug)]
 pub struct Exporter {
     tx: flume::Sender<Message>,
@@ -53,21 +53,21 @@
 }
 
 impl Exporter {
-    pub(crate) fn start(exporter: SpanExporter) -> eyre::Result<(Self, RingProcessor)> {
-        let (tx, rx) = flume::bounded(RING_SPANS);
+    pub(crate) fn start(exporter: SpanExporter) -> eyre::Result<(Self, QueueProcessor)> {
+        let (tx, rx) = flume::bounded(MAX_QUEUED_SPANS);
         let counters = Arc::new(Counters::default());
         let worker = Worker { exporter, rx, counters: Arc::clone(&counters) };
         thread::Builder::new().name("trace-export".into()).spawn(move || worker.run())?;
-        let processor = RingProcessor { tx: tx.clone(), counters: Arc::clone(&counters) };
+        let processor = QueueProcessor { tx: tx.clone(), counters: Arc::clone(&counters) };
         Ok((Self { tx, counters }, processor))
     }
 
-    /// Sends the spans recorded so far, and waits for it at most `bound`.
-    pub fn flush(&self, bound: Duration) -> Flush {
-        flush(&self.tx, bound)
+    /// Exports the spans recorded so far and waits for that at most `timeout`.
+    pub fn flush(&self, timeout: Duration) -> Flush {
+        flush(&self.tx, timeout)
     }
 
-    /// Returns what became of the spans so far.
+    /// Returns the counts of spans by outcome so far.
     pub fn counts(&self) -> ExportCounts {
         self.counters.read()
     }
@@ -79,18 +79,18 @@
 
 impl Drop for Exporter {
     fn drop(&mut self) {
-        flush(&self.tx, DROP_FLUSH);
+        flush(&self.tx, DROP_FLUSH_TIMEOUT);
     }
 }
 
-/// Hands ended spans to the exporter's thread without waiting.
+/// Queues ended spans for the exporter's thread without blocking.
 #[derive(Debug)]
-pub(crate) struct RingProcessor {
+pub(crate) struct QueueProcessor {
     tx: flume::Sender<Message>,
     counters: Arc<Counters>,
 }
 
-impl SpanProcessor for RingProcessor {
+impl SpanProcessor for QueueProcessor {
     fn on_start(&self, _span: &mut Span, _cx: &Context) {}
 
     fn on_end(&self, span: SpanData) {
@@ -100,20 +100,20 @@
     }
 
     fn force_flush(&self) -> OTelSdkResult {
-        match flush(&self.tx, DROP_FLUSH) {
+        match flush(&self.tx, DROP_FLUSH_TIMEOUT) {
             Flush::Done => Ok(()),
-            Flush::TimedOut => Err(OTelSdkError::Timeout(DROP_FLUSH)),
+            Flush::TimedOut => Err(OTelSdkError::Timeout(DROP_FLUSH_TIMEOUT)),
         }
     }
 
     fn shutdown_with_timeout(&self, _timeout: Duration) -> OTelSdkResult {
-        // The exporter flushes; waiting here as well would double the time to stop.
+        // The exporter flushes on drop; flushing here as well would double the shutdown time.
         Ok(())
     }
 }
 
-fn flush(tx: &flume::Sender<Message>, bound: Duration) -> Flush {
-    let deadline = Instant::now() + bound;
+fn flush(tx: &flume::Sender<Message>, timeout: Duration) -> Flush {
+    let deadline = Instant::now() + timeout;
     let (done_tx, done_rx) = flume::bounded(1);
     let sent = tx.send_deadline(Message::Flush(done_tx), deadline);
     if sent.is_ok() && done_rx.recv_deadline(deadline).is_ok() {
@@ -158,14 +158,14 @@
             let (batch, flushed) = self.collect(first);
             self.export(batch);
             if let Some(flushed) = flushed {
-                // Who asked may have stopped waiting.
+                // The receiver may have timed out.
                 let _ = flushed.try_send(());
             }
         }
     }
 
     fn collect(&self, first: Message) -> (Vec<SpanData>, Option<flume::Sender<()>>) {
-        let deadline = Instant::now() + BATCH_DELAY;
+        let deadline = Instant::now() + MAX_BATCH_DELAY;
         let mut batch = Vec::new();
         let mut next = Some(first);
         while let Some(message) = next {
@@ -173,7 +173,7 @@
                 Message::Span(span) => batch.push(*span),
                 Message::Flush(flushed) => return (batch, Some(flushed)),
             }
-            let full = BATCH_SPANS <= batch.len();
+            let full = MAX_BATCH_SPANS <= batch.len();
             next = if full { None } else { self.rx.recv_deadline(deadline).ok() };
         }
         (batch, None)
@@ -187,7 +187,7 @@
         match block_on(self.exporter.export(batch)) {
             Ok(()) => self.counters.exported.fetch_add(spans, Ordering::Relaxed),
             Err(e) => {
-                log::warn!(spans, error:% = e; "spans were not exported");
+                log::warn!(spans, error:% = e; "span export failed");
                 self.counters.failed.fetch_add(spans, Ordering::Relaxed)
             }
         };
--- a/crates/telemetry/src/instruments.rs
+++ b/crates/telemetry/src/instruments.rs
@@ -1,14 +1,14 @@
 use opentelemetry::metrics::{Counter, Gauge, Histogram, Meter, UpDownCounter};
 
-/// Upper bounds of the histograms' buckets, in seconds, from half a millisecond to a minute.
+/// Upper bounds of the histogram buckets, in seconds, from 0.5 ms to 60 s.
 ///
-/// They include the service's targets of 79 ms between tokens and 0.79 s to the first.
+/// They include the latency targets of 79 ms between tokens and 0.79 s to the first token.
 const SECONDS_BUCKETS: [f64; 20] = [
     0.0005, 0.001, 0.002, 0.004, 0.008, 0.015, 0.03, 0.05, 0.079, 0.12, 0.2, 0.35, 0.5, 0.79, 1.2,
     2.0, 5.0, 10.0, 30.0, 60.0,
 ];
 
-/// Every instrument, created once.
+/// The metric instruments.
 #[derive(Debug)]
 pub(crate) struct Instruments {
     pub(crate) first_token: Histogram<f64>,
@@ -23,7 +23,7 @@
     pub(crate) hedges: Counter<u64>,
     pub(crate) refusals: Counter<u64>,
     pub(crate) in_flight: UpDownCounter<i64>,
-    pub(crate) crossed: Counter<u64>,
+    pub(crate) mismatched_responses: Counter<u64>,
     pub(crate) resumes: Counter<u64>,
     pub(crate) claims: Counter<u64>,
     pub(crate) gossip_bytes: Counter<u64>,
@@ -58,7 +58,10 @@
                 .i64_up_down_counter("in_flight")
                 .with_description("Requests under way.")
                 .build(),
-            crossed: count("crossed_answers_dropped", "Answers to another request, dropped."),
+            mismatched_responses: count(
+                "crossed_answers_dropped",
+                "Answers to another request, dropped.",
+            ),
             resumes: count("resumes", "Streams resumed after a cut."),
             claims: count("claims", "Claims of calls that may not be repeated."),
             gossip_bytes: count("gossip_bytes", "Bytes of gossip by direction."),
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,9 +1,9 @@
 //! Logs, metrics and traces.
 //!
-//! Logs go through [`log`] and are written one line an event. [`Metrics`] holds every instrument
-//! and renders them for Prometheus. A [`Tracer`] records a span for each [`RequestStage`] of a request and
-//! exports them by OTLP on a thread of its own, behind a bounded ring: a slow or dead collector
-//! costs spans and never holds a request.
+//! Logs go through [`log`] and are written as one line per event. [`Metrics`] holds every
+//! instrument and renders them for Prometheus. A [`Tracer`] records a span for each
+//! [`RequestStage`] of a request and exports the spans by OTLP on a thread of its own, through a
+//! bounded queue: a slow or unavailable collector loses spans, but never delays a request.
 //!
 //! # Example
 //!
@@ -27,7 +27,7 @@
 mod context;
 mod export;
 mod instruments;
-mod log_ring;
+mod log_queue;
 mod logs;
 mod metrics;
 mod otlp;
@@ -37,9 +37,9 @@
 pub use crate::{
     context::{ParseTraceContextError, TraceContext},
     export::{ExportCounts, Exporter, Flush},
-    log_ring::{LogBudget, LogGuard, LogRing},
+    log_queue::{LogBudget, LogGuard, LogQueue},
     logs::{LogFormat, init_logs},
-    metrics::{MAX_LABELLED_ORGANISATIONS, Metrics, OTHER_ORGANISATION, QuorumRole},
+    metrics::{MAX_LABELLED_ORGANISATIONS, Metrics, OTHER_ORGANISATIONS_LABEL, QuorumRole},
     recorder::{InFlight, Recorder, Refusal},
     trace::{RequestStage, SampleRatio, Span, TraceConfig, Tracer},
 };
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -11,40 +11,40 @@
     kv::{self, Key, Value, VisitSource},
 };
 
-use crate::{LogBudget, LogGuard, LogRing};
+use crate::{LogBudget, LogGuard, LogQueue};
 
-/// Length of a usual line, in bytes.
-const LINE_BYTES: usize = 256;
+/// Initial capacity of a line's buffer, in bytes; most lines fit.
+const LINE_CAPACITY_BYTES: usize = 256;
 
-/// How a log line is written.
+/// The format of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// `key=value` pairs; values with other than plain characters in quotes.
+    /// `key=value` pairs; values with special characters are quoted.
     #[default]
     Text,
     /// A JSON object.
     Json,
 }
 
-/// Starts logging to standard output, with lines left out rather than a caller held up.
+/// Starts logging to standard output; lines are dropped rather than block the caller.
 ///
 /// The last lines are written when the guard is dropped.
 ///
-/// A line that concerns a request carries its id: `log::info!(request_id:% = id; "answered")`.
+/// A line about a request carries its id: `log::info!(request_id:% = id; "answered")`.
 ///
 /// # Errors
 ///
 /// Returns an error if a logger was started before.
 pub fn init_logs(format: LogFormat, level: LevelFilter) -> eyre::Result<LogGuard> {
-    let (ring, guard) = LogRing::start(io::stdout(), LogBudget::default())
-        .wrap_err("cannot start the log's writer")?;
+    let (queue, guard) = LogQueue::start(io::stdout(), LogBudget::default())
+        .wrap_err("cannot start the log writer")?;
     env_logger::Builder::new()
         .filter_level(level)
         .format(move |buf, record| {
             let time = buf.timestamp_millis().to_string();
-            let mut line = Vec::with_capacity(LINE_BYTES);
+            let mut line = Vec::with_capacity(LINE_CAPACITY_BYTES);
             format.write_record(&mut line, &time, record)?;
-            ring.push(record.level(), line);
+            queue.push(record.level(), line);
             Ok(())
         })
         .try_init()
@@ -55,11 +55,11 @@
 impl LogFormat {
     /// Writes `record` as one line.
     ///
-    /// No value can end the line or pass for another pair.
+    /// Values are escaped, so that none can end the line or inject another pair.
     ///
     /// # Errors
     ///
-    /// Returns an error if `out` does.
+    /// Returns an error if writing to `out` fails.
     pub fn write_record<W: Write>(
         self,
         out: &mut W,
@@ -71,7 +71,7 @@
         line.pair("level", &record.level().as_str().to_ascii_lowercase());
         line.pair("target", record.target());
         line.pair("event", &record.args().to_string());
-        // A visitor that never fails makes the visit succeed.
+        // The visitor never fails, so neither does the visit.
         let _ = record.key_values().visit(&mut line);
         match self {
             Self::Text => writeln!(out, "{}", line.text),
@@ -106,8 +106,8 @@
         }
         match self.format {
             LogFormat::Text => {
-                let plain = |c: char| if c.is_ascii_alphanumeric() { c } else { '_' };
-                self.text.extend(key.chars().map(plain));
+                let sanitised = |c: char| if c.is_ascii_alphanumeric() { c } else { '_' };
+                self.text.extend(key.chars().map(sanitised));
                 self.text.push('=');
             }
             LogFormat::Json => {
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -12,23 +12,23 @@
 
 use crate::{Exporter, Recorder, instruments::Instruments, recorder::Labels};
 
-/// Organisations that get a label of their own, those of the configuration first.
+/// Maximum number of organisations with a label of their own, those in the configuration first.
 pub const MAX_LABELLED_ORGANISATIONS: usize = 64;
-/// The label of all other organisations.
-pub const OTHER_ORGANISATION: &str = "other";
+/// The label shared by all other organisations.
+pub const OTHER_ORGANISATIONS_LABEL: &str = "other";
 
 const NAMESPACE: &str = "dotterelreach";
 
-/// A part in the quorum, as a label.
+/// A role in the quorum, as a metric label.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuorumRole {
-    /// Holds no vote.
+    /// Not a voter.
     Observer,
-    /// Follows the leader.
+    /// Replicates the leader's log.
     Follower,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
-    /// Writes the log.
+    /// Appends to the log and replicates it.
     Leader,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Every metric of a router.
+/// The metrics of a router.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the registry refuses them.
+    /// Returns an error if the registry rejects the exporter.
     pub fn new() -> eyre::Result<Self> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -80,7 +80,7 @@
             provider,
             instruments,
             organisations: RwLock::default(),
-            other: Arc::new(Labels::new(OTHER_ORGANISATION)),
+            other: Arc::new(Labels::new(OTHER_ORGANISATIONS_LABEL)),
             sent: [KeyValue::new("direction", "sent")],
             received: [KeyValue::new("direction", "received")],
             roles: QuorumRole::ALL.map(|role| [KeyValue::new("role", role.as_str())]),
@@ -89,48 +89,48 @@
 
     /// Gives organisations labels of their own, up to [`MAX_LABELLED_ORGANISATIONS`] in all.
     ///
-    /// A label once given stays, so that no series changes its meaning.
+    /// An organisation keeps its label, so that no time series changes its meaning.
     pub fn label_organisations<'a>(
         &self,
         organisations: impl IntoIterator<Item = &'a OrganisationId>,
     ) {
-        let mut known = self.organisations.write().unwrap_or_else(PoisonError::into_inner);
+        let mut labelled = self.organisations.write().unwrap_or_else(PoisonError::into_inner);
         for organisation in organisations {
-            if known.len() < MAX_LABELLED_ORGANISATIONS && !known.contains_key(organisation) {
+            if labelled.len() < MAX_LABELLED_ORGANISATIONS && !labelled.contains_key(organisation) {
                 let labels = Labels::new(organisation.as_str());
-                known.insert(organisation.clone(), Arc::new(labels));
+                labelled.insert(organisation.clone(), Arc::new(labels));
             }
         }
     }
 
-    /// Returns the recorder of an organisation's requests.
+    /// Returns the recorder for an organisation's requests.
     pub fn recorder(&self, organisation: &OrganisationId) -> Recorder {
-        let known = self.organisations.read().unwrap_or_else(PoisonError::into_inner);
-        let labels = known.get(organisation).unwrap_or(&self.other);
+        let labelled = self.organisations.read().unwrap_or_else(PoisonError::into_inner);
+        let labels = labelled.get(organisation).unwrap_or(&self.other);
         Recorder::new(Arc::clone(&self.instruments), Arc::clone(labels))
     }
 
-    /// Returns the recorder of requests whose organisation is not known.
+    /// Returns the recorder for requests of an unknown organisation.
     pub fn unknown_recorder(&self) -> Recorder {
         Recorder::new(Arc::clone(&self.instruments), Arc::clone(&self.other))
     }
 
-    /// Counts gossip sent.
+    /// Counts gossip bytes sent.
     pub fn gossip_sent(&self, bytes: ByteCount) {
         self.instruments.gossip_bytes.add(bytes.as_u64(), &self.sent);
     }
 
-    /// Counts gossip received.
+    /// Counts gossip bytes received.
     pub fn gossip_received(&self, bytes: ByteCount) {
         self.instruments.gossip_bytes.add(bytes.as_u64(), &self.received);
     }
 
-    /// Sets the revision of the configuration in force.
+    /// Sets the gauge of the revision of the configuration in force.
     pub fn set_configuration_revision(&self, revision: Revision) {
         self.instruments.revision.record(revision.as_u64(), &[]);
     }
 
-    /// Sets the part in the quorum.
+    /// Sets the gauges of the quorum role and term.
     pub fn set_quorum_state(&self, role: QuorumRole, term: Term) {
         self.instruments.quorum_term.record(term.as_u64(), &[]);
         for (candidate, labels) in QuorumRole::ALL.into_iter().zip(&self.roles) {
@@ -138,12 +138,12 @@
         }
     }
 
-    /// Records the time from a proposal to its commit.
+    /// Records the time from a proposal to its commit in the quorum.
     pub fn commit_latency(&self, time: Duration) {
         self.instruments.commit_latency.record(time.as_secs_f64(), &[]);
     }
 
-    /// Counts what becomes of the spans of `exporter` from now on.
+    /// Exposes the span counts of `exporter` as a metric.
     pub fn watch_exporter(&self, exporter: &Exporter) {
         let counters = exporter.counters();
         let outcomes = ["exported", "failed", "dropped"].map(|o| [KeyValue::new("outcome", o)]);
@@ -160,11 +160,11 @@
             .build();
     }
 
-    /// Returns all metrics in Prometheus' text format.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let encoded = TextEncoder::new().encode_to_string(&self.registry.gather());
         encoded.unwrap_or_else(|e| {
-            log::error!(error:% = e; "metrics could not be rendered");
+            log::error!(error:% = e; "metrics rendering failed");
             String::new()
         })
     }
--- a/crates/telemetry/src/otlp.rs
+++ b/crates/telemetry/src/otlp.rs
@@ -11,8 +11,8 @@
 use attohttpc::{ProxySettings, RequestBuilder};
 use opentelemetry_http::{Bytes, HttpClient, HttpError, Request, Response};
 
-/// Longest answer read from a collector, in bytes.
-const MAX_ANSWER_BYTES: u64 = 64 * 1024;
+/// Maximum number of bytes read of a collector's response.
+const MAX_RESPONSE_BYTES: u64 = 64 * 1024;
 
 /// Sends OTLP requests with blocking calls.
 #[derive(Debug)]
@@ -38,9 +38,9 @@
             call = call.try_header(name, value)?;
         }
         let (status, _, reader) = call.send()?.split();
-        let mut answer = Vec::new();
-        reader.take(MAX_ANSWER_BYTES).read_to_end(&mut answer)?;
-        Ok(Response::builder().status(status.as_u16()).body(answer.into())?)
+        let mut response = Vec::new();
+        reader.take(MAX_RESPONSE_BYTES).read_to_end(&mut response)?;
+        Ok(Response::builder().status(status.as_u16()).body(response.into())?)
     }
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// Runs `future` to its end on this thread.
+/// Runs `future` to completion on this thread.
 pub(crate) fn block_on<F: Future>(future: F) -> F::Output {
     let waker = Waker::from(Arc::new(Unpark(thread::current())));
     let mut cx = Context::from_waker(&waker);
--- a/crates/telemetry/src/recorder.rs
+++ b/crates/telemetry/src/recorder.rs
@@ -10,26 +10,26 @@
 pub enum Refusal {
     /// The request could not be parsed, or broke a limit.
     Malformed,
-    /// The key names no organisation.
+    /// The API key belongs to no organisation.
     Unauthorised,
     /// No endpoint serves the model or service.
     Unknown,
     /// The organisation is over its share.
     OverShare,
-    /// The answer would come after the deadline.
+    /// The response would arrive after the deadline.
     Deadline,
     /// Every endpoint that serves the request is full or avoided.
     NoEndpoint,
     /// The claim could not be committed.
     NoQuorum,
-    /// The idempotency key is missing, or stands for another request.
+    /// The idempotency key is missing, or was used for a different request.
     IdempotencyKey,
     /// The router is stopping.
     Draining,
 }
 
 impl Refusal {
-    /// Every reason.
+    /// All reasons.
     pub const ALL: [Self; 9] = [
         Self::Malformed,
         Self::Unauthorised,
@@ -64,7 +64,7 @@
     }
 }
 
-/// Records what befalls one organisation's requests; cheap to clone and to use.
+/// Records metrics of one organisation's requests; cheap to clone and use.
 #[derive(Clone, Debug)]
 pub struct Recorder {
     instruments: Arc<Instruments>,
@@ -86,23 +86,23 @@
         self.instruments.between_tokens.record(time.as_secs_f64(), &self.labels.organisation);
     }
 
-    /// Records how long a request waited for a slot.
+    /// Records how long a request was queued for a slot.
     pub fn queue_wait(&self, time: Duration) {
         self.instruments.queue_wait.record(time.as_secs_f64(), &self.labels.organisation);
     }
 
-    /// Records the time from a request to the end of its answer.
+    /// Records the time from a request to the end of its response.
     pub fn request_duration(&self, time: Duration) {
         self.instruments.request_duration.record(time.as_secs_f64(), &self.labels.organisation);
     }
 
-    /// Counts a prompt's tokens and those of them that the engine held.
+    /// Counts a prompt's tokens and those that the engine had cached.
     pub fn prompt(&self, tokens: TokenCount, cached: TokenCount) {
         self.instruments.prompt_tokens.add(tokens.as_u64(), &self.labels.organisation);
         self.instruments.cached_tokens.add(cached.as_u64(), &self.labels.organisation);
     }
 
-    /// Counts tokens that were computed though another engine held them.
+    /// Counts tokens that were computed although another engine had them cached.
     pub fn recomputed(&self, tokens: TokenCount) {
         self.instruments.recomputed_tokens.add(tokens.as_u64(), &self.labels.organisation);
     }
@@ -112,12 +112,12 @@
         self.instruments.verdicts.add(1, &self.labels.verdicts[verdict as usize]);
     }
 
-    /// Counts a request sent again.
+    /// Counts a retry.
     pub fn retry(&self) {
         self.instruments.retries.add(1, &self.labels.organisation);
     }
 
-    /// Counts a request sent to a second endpoint.
+    /// Counts a hedged request, sent to a second endpoint.
     pub fn hedge(&self) {
         self.instruments.hedges.add(1, &self.labels.organisation);
     }
@@ -127,30 +127,30 @@
         self.instruments.refusals.add(1, &self.labels.refusals[reason as usize]);
     }
 
-    /// Counts a request as under way until the guard is dropped.
+    /// Counts a request as in flight until the guard is dropped.
     #[must_use]
     pub fn in_flight(&self) -> InFlight {
         self.instruments.in_flight.add(1, &self.labels.organisation);
         InFlight(self.clone())
     }
 
-    /// Counts an answer to another request, which was dropped.
+    /// Counts a response dropped because it belonged to another request.
     pub fn mismatched_response(&self) {
-        self.instruments.crossed.add(1, &self.labels.organisation);
+        self.instruments.mismatched_responses.add(1, &self.labels.organisation);
     }
 
-    /// Counts a stream resumed after a cut.
+    /// Counts a stream resumed after an interruption.
     pub fn resume(&self) {
         self.instruments.resumes.add(1, &self.labels.organisation);
     }
 
-    /// Counts a claim of a call that may not be repeated.
+    /// Counts a claim of a non-idempotent call.
     pub fn claim(&self) {
         self.instruments.claims.add(1, &self.labels.organisation);
     }
 }
 
-/// A request under way.
+/// Guard that counts a request as in flight until dropped.
 #[derive(Debug)]
 pub struct InFlight(Recorder);
 
@@ -160,7 +160,7 @@
     }
 }
 
-/// Sets of labels, made once per organisation.
+/// Label sets, created once per organisation.
 #[derive(Debug)]
 pub(crate) struct Labels {
     organisation: [KeyValue; 1],
--- a/crates/telemetry/src/trace.rs
+++ b/crates/telemetry/src/trace.rs
@@ -17,20 +17,21 @@
 
 use crate::{Exporter, TraceContext, otlp::BlockingClient};
 
-const SCOPE: &str = "dotterelreach";
-/// Time for one request to the collector.
+/// Service name and instrumentation scope of the spans.
+const SERVICE_NAME: &str = "dotterelreach";
+/// Timeout of one request to the collector.
 const EXPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A part of a request's way through the router.
+/// A stage of a request in the router, recorded as a span.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RequestStage {
-    /// From the request's head to the end of its answer.
+    /// From the request's head to the end of its response.
     Accept,
-    /// The wait for a slot.
+    /// Queueing for a slot.
     Queue,
-    /// The choice of endpoint.
+    /// The choice of an endpoint.
     Route,
-    /// The commit of the claim of a call that may not be repeated.
+    /// The commit of the claim of a non-idempotent call.
     Claim,
     /// The connection to the endpoint.
     Connect,
@@ -41,7 +42,7 @@
 }
 
 impl RequestStage {
-    /// Every hop, in the order of a request.
+    /// All stages, in the order of a request.
     pub const ALL: [Self; 7] = [
         Self::Accept,
         Self::Queue,
@@ -52,7 +53,7 @@
         Self::Stream,
     ];
 
-    /// Returns the name of its spans.
+    /// Returns the stage's span name.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Accept => "accept",
@@ -80,15 +81,15 @@
     }
 }
 
-/// The share of new traces that are recorded, from 0 to 1.
+/// The fraction of new traces that are sampled, from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SampleRatio(f64);
 
 impl SampleRatio {
-    /// Every trace.
+    /// Samples every trace.
     pub const ALL: Self = Self(1.0);
 
-    /// Returns the plain number.
+    /// Returns the ratio as a number.
     pub fn as_f64(self) -> f64 {
         self.0
     }
@@ -113,23 +114,23 @@
     }
 }
 
-/// Settings of tracing.
+/// Configuration of tracing.
 #[derive(Clone, Debug)]
 pub struct TraceConfig {
     /// The collector's URL for traces, such as `http://127.0.0.1:4318/v1/traces`.
     pub endpoint: String,
-    /// The share of new traces to record; a caller's own decision goes first.
+    /// The fraction of new traces to sample; a caller's sampling decision takes precedence.
     pub sample: SampleRatio,
-    /// The host's name in the spans.
+    /// The host's name, set on the spans as `host.name`.
     pub host: String,
 }
 
-/// Starts spans.
+/// Starts the spans of requests.
 #[derive(Clone, Debug)]
 pub struct Tracer(Option<SdkTracer>);
 
 impl Tracer {
-    /// Creates a tracer that records nothing and passes trace contexts on.
+    /// Creates a tracer that records nothing and propagates the callers' trace contexts.
     pub fn off() -> Self {
         Self(None)
     }
@@ -138,10 +139,10 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the endpoint is no `http` URL or the thread cannot start.
+    /// Returns an error if the endpoint is not an `http` URL or the thread can't be started.
     pub fn start(cfg: TraceConfig) -> eyre::Result<(Self, Exporter)> {
-        let plain = cfg.endpoint.starts_with("http://");
-        ensure!(plain, "trace endpoint {:?} does not start with http://", cfg.endpoint);
+        let is_http = cfg.endpoint.starts_with("http://");
+        ensure!(is_http, "trace endpoint {:?} does not start with http://", cfg.endpoint);
         let exporter = SpanExporter::builder()
             .with_http()
             .with_http_client(BlockingClient::new(EXPORT_TIMEOUT))
@@ -156,12 +157,12 @@
             .with_resource(resource(&cfg))
             .with_span_processor(processor)
             .build();
-        Ok((Self(Some(provider.tracer(SCOPE))), exporter))
+        Ok((Self(Some(provider.tracer(SERVICE_NAME))), exporter))
     }
 
-    /// Starts the span of a request, in the caller's trace if it gave one.
+    /// Starts the span of a request, in the caller's trace if there is one.
     pub fn accept(&self, caller: Option<TraceContext>) -> Span {
-        let Some(tracer) = &self.0 else { return Span { passed: caller, recording: None } };
+        let Some(tracer) = &self.0 else { return Span { context: caller, recording: None } };
         let parent = caller.map_or_else(Context::new, |caller| {
             Context::new().with_remote_span_context(caller.into())
         });
@@ -171,15 +172,15 @@
 
 fn resource(cfg: &TraceConfig) -> Resource {
     Resource::builder_empty()
-        .with_service_name(SCOPE)
+        .with_service_name(SERVICE_NAME)
         .with_attribute(KeyValue::new("host.name", cfg.host.clone()))
         .build()
 }
 
-/// A hop under way; ends on drop.
+/// The span of a request stage; ends on drop.
 #[derive(Debug)]
 pub struct Span {
-    passed: Option<TraceContext>,
+    context: Option<TraceContext>,
     recording: Option<Recording>,
 }
 
@@ -190,35 +191,35 @@
 }
 
 impl Span {
-    fn start(tracer: &SdkTracer, hop: RequestStage, parent: &Context) -> Self {
-        let builder = SpanBuilder::from_name(hop.as_str()).with_kind(hop.kind());
+    fn start(tracer: &SdkTracer, stage: RequestStage, parent: &Context) -> Self {
+        let builder = SpanBuilder::from_name(stage.as_str()).with_kind(stage.kind());
         let span = tracer.build_with_context(builder, parent);
-        let passed = Some(TraceContext::from(span.span_context()));
-        Self { passed, recording: Some(Recording { tracer: tracer.clone(), span }) }
+        let context = Some(TraceContext::from(span.span_context()));
+        Self { context, recording: Some(Recording { tracer: tracer.clone(), span }) }
     }
 
-    /// Starts a hop within this one.
-    pub fn child(&self, hop: RequestStage) -> Self {
+    /// Starts the span of a stage within this one.
+    pub fn child(&self, stage: RequestStage) -> Self {
         let Some(recording) = &self.recording else {
-            return Self { passed: self.passed, recording: None };
+            return Self { context: self.context, recording: None };
         };
         let parent = Context::new().with_remote_span_context(recording.span.span_context().clone());
-        Self::start(&recording.tracer, hop, &parent)
+        Self::start(&recording.tracer, stage, &parent)
     }
 
-    /// Returns the context to pass on, `None` if tracing is off and the caller gave none.
+    /// Returns the context to propagate, or `None` if tracing is off and the caller sent none.
     pub fn context(&self) -> Option<TraceContext> {
-        self.passed
+        self.context
     }
 
-    /// Adds a fact, if the span is recorded.
+    /// Sets an attribute, if the span is recorded.
     pub fn set(&mut self, key: &'static str, value: impl Into<Value>) {
         if let Some(recording) = &mut self.recording {
             recording.span.set_attribute(KeyValue::new(key, value));
         }
     }
 
-    /// Marks the hop as failed.
+    /// Marks the stage as failed.
     pub fn fail(&mut self, verdict: Verdict) {
         self.set("verdict", verdict.as_str());
         if let Some(recording) = &mut self.recording {
--- a/crates/telemetry/tests/collector/mod.rs
+++ b/crates/telemetry/tests/collector/mod.rs
@@ -1,4 +1,4 @@
-//! A fake OTLP collector that keeps the spans it is sent.
+//! A fake OTLP collector that passes on the spans it receives.
 
 use std::{
     io::{BufRead as _, BufReader, Read as _, Write as _},
@@ -6,17 +6,18 @@
     thread,
 };
 
-/// A span as it was received.
+/// A span as received by the collector.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Received {
+pub struct ReceivedSpan {
     pub trace: Vec<u8>,
     pub span: Vec<u8>,
     pub parent: Vec<u8>,
     pub name: String,
 }
 
-/// Answers each export with `status` and passes its spans on.
-pub fn start(status: u16) -> (String, flume::Receiver<Received>) {
+/// Starts a collector that responds to each export with `status`; returns its URL and the channel of
+/// received spans.
+pub fn start(status: u16) -> (String, flume::Receiver<ReceivedSpan>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let url = format!("http://{}/v1/traces", listener.local_addr().unwrap());
     let (tx, rx) = flume::unbounded();
@@ -24,10 +25,11 @@
         for stream in listener.incoming() {
             let mut reader = BufReader::new(stream.unwrap());
             for span in spans(&read_body(&mut reader)) {
-                // Known to the test before the exporter is; a test may not ask for it.
+                // Sent before the response, so that a flush implies receipt; the test may have dropped
+                // the receiver.
                 let _ = tx.send(span);
             }
-            answer(reader.into_inner(), status);
+            respond(reader.into_inner(), status);
         }
     });
     (url, rx)
@@ -48,20 +50,20 @@
     body
 }
 
-fn answer(mut stream: TcpStream, status: u16) {
-    let answer = format!("HTTP/1.1 {status} X\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
-    stream.write_all(answer.as_bytes()).unwrap();
+fn respond(mut stream: TcpStream, status: u16) {
+    let response = format!("HTTP/1.1 {status} X\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+    stream.write_all(response.as_bytes()).unwrap();
 }
 
-fn spans(request: &[u8]) -> Vec<Received> {
+fn spans(request: &[u8]) -> Vec<ReceivedSpan> {
     let resources = fields(request).into_iter().filter(|field| field.0 == 1);
     let scopes = resources.flat_map(|field| fields(field.1)).filter(|field| field.0 == 2);
     let spans = scopes.flat_map(|field| fields(field.1)).filter(|field| field.0 == 2);
     spans.map(|field| span(field.1)).collect()
 }
 
-fn span(bytes: &[u8]) -> Received {
-    let mut span = Received::default();
+fn span(bytes: &[u8]) -> ReceivedSpan {
+    let mut span = ReceivedSpan::default();
     for (number, value) in fields(bytes) {
         match number {
             1 => span.trace = value.to_vec(),
@@ -74,7 +76,7 @@
     span
 }
 
-/// Reads a protobuf message's fields; numbers have no bytes.
+/// Splits a protobuf message into field numbers and values; the value of a varint field is empty.
 fn fields(mut bytes: &[u8]) -> Vec<(u64, &[u8])> {
     let mut found = Vec::new();
     while !bytes.is_empty() {
--- a/crates/telemetry/tests/logs.rs
+++ b/crates/telemetry/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines keep their form whatever the values hold.
+//! Log lines keep their format whatever the values contain.
 
 use log::{Level, Record};
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -15,21 +15,21 @@
 }
 
 #[test]
-fn text_line() {
+fn text_format() {
     let expected = "time=2026-01-01T00:00:00.000Z level=info target=daemon \
                     event=answered request_id=r-1\n";
     assert_eq!(line(LogFormat::Text, "answered", "r-1"), expected);
 }
 
 #[test]
-fn forged_line_is_escaped() {
+fn injected_line_is_escaped() {
     let text = line(LogFormat::Text, "answered", "a\" level=error\nlevel=error \u{202e}");
     let expected = r#"request_id="a\" level=error\nlevel=error \u{202e}""#;
     assert!(text.ends_with(&format!("{expected}\n")), "{text}");
 }
 
 #[test]
-fn format_names() {
+fn format_names_round_trip() {
     for format in [LogFormat::Text, LogFormat::Json] {
         assert_eq!(format.to_string().parse::<LogFormat>().unwrap(), format);
     }
@@ -46,7 +46,7 @@
     })]
 
     #[test]
-    fn one_line_an_event(event in "\\PC*|(?s).*", request in "(?s).*") {
+    fn one_line_per_event(event in "\\PC*|(?s).*", request in "(?s).*") {
         let text = line(LogFormat::Text, &event, &request);
         prop_assert_eq!(text.find(|c: char| c.is_control()), Some(text.len() - 1));
         let json = line(LogFormat::Json, &event, &request);
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics count by organisation, within a bound.
+//! Metrics are labelled by organisation, up to a maximum number of labels.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn each_instrument_is_rendered() {
+fn instruments_are_rendered() {
     let metrics = Metrics::new().unwrap();
     let school = organisation(0);
     metrics.label_organisations([&school]);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn in_flight_falls_on_drop() {
+fn in_flight_decreases_on_drop() {
     let metrics = Metrics::new().unwrap();
     let series = r#"dotterelreach_in_flight{organisation="other"}"#;
     let guard = metrics.recorder(&organisation(0)).in_flight();
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn organisations_past_the_bound_share_a_label() {
+fn organisations_over_the_maximum_share_a_label() {
     let metrics = Metrics::new().unwrap();
     let all: Vec<_> = (0..MAX_LABELLED_ORGANISATIONS + 10).map(organisation).collect();
     metrics.label_organisations(&all);
--- a/crates/telemetry/tests/traces.rs
+++ b/crates/telemetry/tests/traces.rs
@@ -1,4 +1,4 @@
-//! Spans reach the collector with their links, and a bad collector does no harm.
+//! Spans are exported with their parents, and a failing collector doesn't affect requests.
 
 mod collector;
 
@@ -15,25 +15,25 @@
 use yare::parameterized;
 
 const CALLER: &str = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01";
-const LONG: Duration = Duration::from_secs(20);
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn config(endpoint: String) -> TraceConfig {
     TraceConfig { endpoint, sample: SampleRatio::ALL, host: "host-1".into() }
 }
 
 #[test]
-fn each_hop_reaches_the_collector_below_its_parent() {
+fn each_stage_is_exported_with_its_parent() {
     let (url, rx) = collector::start(200);
     let (tracer, exporter) = Tracer::start(config(url)).unwrap();
     let accept = tracer.accept(Some(CALLER.parse().unwrap()));
-    for hop in &RequestStage::ALL[1..] {
-        let mut span = accept.child(*hop);
+    for stage in &RequestStage::ALL[1..] {
+        let mut span = accept.child(*stage);
         span.set("endpoint", "engine-1");
         span.fail(Verdict::NotRun);
     }
-    let own = accept.context().unwrap();
+    let accept_context = accept.context().unwrap();
     drop(accept);
-    assert_eq!(exporter.flush(LONG), Flush::Done);
+    assert_eq!(exporter.flush(FLUSH_TIMEOUT), Flush::Done);
     assert_eq!(exporter.counts(), ExportCounts { exported: 7, ..ExportCounts::default() });
     let spans: Vec<_> = rx.drain().collect();
     let mut names: Vec<_> = spans.iter().map(|span| span.name.as_str()).collect();
@@ -43,19 +43,19 @@
     assert_eq!(names, expected);
     for span in spans {
         let caller: TraceContext = CALLER.parse().unwrap();
-        let parent = if span.name == "accept" { caller } else { own };
+        let parent = if span.name == "accept" { caller } else { accept_context };
         assert_eq!(span.trace, caller.trace_id().to_be_bytes());
         assert_eq!(span.parent, parent.span_id().to_be_bytes());
     }
 }
 
 #[test]
-fn request_without_a_caller_starts_a_trace() {
+fn request_without_context_starts_a_trace() {
     let (url, rx) = collector::start(200);
     let (tracer, exporter) = Tracer::start(config(url)).unwrap();
     drop(tracer.accept(None));
     drop(tracer.accept(None));
-    assert_eq!(exporter.flush(LONG), Flush::Done);
+    assert_eq!(exporter.flush(FLUSH_TIMEOUT), Flush::Done);
     let spans: Vec<_> = rx.drain().collect();
     assert_eq!(spans.len(), 2);
     assert_ne!(spans[0].trace, spans[1].trace);
@@ -63,18 +63,18 @@
 }
 
 #[test]
-fn unsampled_caller_is_not_recorded() {
+fn unsampled_trace_is_not_recorded() {
     let (url, rx) = collector::start(200);
     let (tracer, exporter) = Tracer::start(config(url)).unwrap();
     let accept = tracer.accept(Some(CALLER.replace("-01", "-00").parse().unwrap()));
     assert!(!accept.context().unwrap().is_sampled());
     drop(accept);
-    assert_eq!(exporter.flush(LONG), Flush::Done);
+    assert_eq!(exporter.flush(FLUSH_TIMEOUT), Flush::Done);
     assert!(rx.is_empty());
 }
 
 #[test]
-fn tracer_that_is_off_passes_the_context_on() {
+fn disabled_tracer_propagates_the_context() {
     let tracer = Tracer::off();
     let caller = CALLER.parse().unwrap();
     assert_eq!(tracer.accept(Some(caller)).child(RequestStage::Connect).context(), Some(caller));
@@ -82,34 +82,34 @@
 }
 
 #[test]
-fn refusing_collector_fails_spans_only() {
+fn rejected_export_is_counted_as_failed() {
     let (url, _rx) = collector::start(400);
     let (tracer, exporter) = Tracer::start(config(url)).unwrap();
     drop(tracer.accept(None));
-    assert_eq!(exporter.flush(LONG), Flush::Done);
+    assert_eq!(exporter.flush(FLUSH_TIMEOUT), Flush::Done);
     assert_eq!(exporter.counts(), ExportCounts { failed: 1, ..ExportCounts::default() });
 }
 
 #[test]
-fn absent_collector_fails_spans_only() {
-    // No listener of a test can be given this port.
+fn failed_connection_is_counted_as_failed() {
+    // A listener bound to port 0 is never given port 1.
     let (tracer, exporter) = Tracer::start(config("http://127.0.0.1:1/".into())).unwrap();
     drop(tracer.accept(None));
-    assert_eq!(exporter.flush(LONG), Flush::Done);
+    assert_eq!(exporter.flush(FLUSH_TIMEOUT), Flush::Done);
     assert_eq!(exporter.counts(), ExportCounts { failed: 1, ..ExportCounts::default() });
 }
 
 #[test]
-fn silent_collector_fills_the_ring_and_holds_nothing() {
+fn unresponsive_collector_causes_drops_without_blocking() {
     const SPANS: u64 = 20_000;
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let url = format!("http://{}/", listener.local_addr().unwrap());
     let (tracer, exporter) = Tracer::start(config(url)).unwrap();
     (0..SPANS).for_each(|_| drop(tracer.accept(None)));
-    let bound = Duration::from_millis(50);
-    let began = Instant::now();
-    assert_eq!(exporter.flush(bound), Flush::TimedOut);
-    assert!(bound <= began.elapsed());
+    let timeout = Duration::from_millis(50);
+    let start = Instant::now();
+    assert_eq!(exporter.flush(timeout), Flush::TimedOut);
+    assert!(timeout <= start.elapsed());
     assert!(0 < exporter.counts().dropped);
     assert_eq!(exporter.counts().exported, 0);
     let metrics = Metrics::new().unwrap();
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn endpoint_must_be_plain_http() {
+fn endpoint_must_be_http() {
     let message = Tracer::start(config("https://collector/".into())).unwrap_err().to_string();
     assert_eq!(message, r#"trace endpoint "https://collector/" does not start with http://"#);
 }
@@ -137,12 +137,12 @@
     misplaced_dash = { "00-4bf92f3577b34da6a3ce929d0e0e47360-0f067aa0ba902b7-01" },
     not_ascii = { "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-é" },
 )]
-fn malformed_header(text: &str) {
+fn malformed_header_is_rejected(text: &str) {
     assert!(text.parse::<TraceContext>().is_err());
 }
 
 #[test]
-fn later_version_is_read_as_version_0() {
+fn later_version_is_parsed_as_version_0() {
     let text = "01-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-03-more";
     assert_eq!(text.parse::<TraceContext>().unwrap().to_string(), CALLER);
 }
@@ -162,7 +162,7 @@
     }
 
     #[test]
-    fn any_text_is_taken(text in "(?s).{0,80}", hex in "[0-9a-f-]{50,60}") {
+    fn arbitrary_text_never_panics(text in "(?s).{0,80}", hex in "[0-9a-f-]{50,60}") {
         let _ = text.parse::<TraceContext>();
         let _ = hex.parse::<TraceContext>();
         let _ = text.parse::<SampleRatio>();
--- a/crates/wire/schema/peer.capnp
+++ b/crates/wire/schema/peer.capnp
@@ -2,7 +2,7 @@
 
 # RPC interface between routers.
 #
-# Both sides first prove knowledge of the fleet's key; an unauthenticated peer can reach only `Gate`.
+# Both sides first prove knowledge of the fleet's key; an unauthenticated peer reaches only `Gate`.
 # Fields of type Data hold postcard-encoded messages, whose layout is fixed by the protocol version
 # that `hello` negotiates.
 
--- a/crates/wire/src/completion.rs
+++ b/crates/wire/src/completion.rs
@@ -16,7 +16,8 @@
 /// Fields that limit the number of generated tokens.
 const TOKEN_LIMIT_FIELDS: [&str; 2] = ["max_tokens", "max_completion_tokens"];
 
-/// Fields that prevent resumption: the rest of the response depends on more than the preceding text.
+/// Fields that prevent resumption, since the rest of the response depends on more than the text
+/// before it.
 const NON_RESUMABLE_FIELDS: [&str; 9] = [
     "best_of",
     "echo",
--- a/crates/wire/src/sse.rs
+++ b/crates/wire/src/sse.rs
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if an event is too long or not UTF-8; the parser must not be used after that.
+    /// Returns an error if an event is too long or not UTF-8; the parser can't be used after that.
     pub fn push(&mut self, bytes: &[u8], events: &mut Vec<Event>) -> Result<(), BodyError> {
         self.buf.extend_from_slice(bytes);
         let mut start = 0;
@@ -151,7 +151,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if an event is too long; the splitter must not be used after that.
+    /// Returns an error if an event is too long; the splitter can't be used after that.
     pub fn push(&mut self, bytes: &[u8]) -> Result<CompleteEvents, BodyError> {
         self.buf.extend_from_slice(bytes);
         let mut complete = CompleteEvents::default();
