--- a/crates/telemetry/src/export.rs
+++ b/crates/telemetry/src/export.rs
@@ -38,7 +38,7 @@
 
 /// Outcome of a flush.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flush {
+pub enum FlushOutcome {
     /// Each span recorded before was exported or has failed.
     Done,
     /// The timeout expired first.
@@ -63,7 +63,7 @@
     }
 
     /// Exports the spans recorded so far and waits for that at most `timeout`.
-    pub fn flush(&self, timeout: Duration) -> Flush {
+    pub fn flush(&self, timeout: Duration) -> FlushOutcome {
         flush(&self.tx, timeout)
     }
 
@@ -101,8 +101,8 @@
 
     fn force_flush(&self) -> OTelSdkResult {
         match flush(&self.tx, DROP_FLUSH_TIMEOUT) {
-            Flush::Done => Ok(()),
-            Flush::TimedOut => Err(OTelSdkError::Timeout(DROP_FLUSH_TIMEOUT)),
+            FlushOutcome::Done => Ok(()),
+            FlushOutcome::TimedOut => Err(OTelSdkError::Timeout(DROP_FLUSH_TIMEOUT)),
         }
     }
 
@@ -112,14 +112,14 @@
     }
 }
 
-fn flush(tx: &flume::Sender<Message>, timeout: Duration) -> Flush {
+fn flush(tx: &flume::Sender<Message>, timeout: Duration) -> FlushOutcome {
     let deadline = Instant::now() + timeout;
     let (done_tx, done_rx) = flume::bounded(1);
     let sent = tx.send_deadline(Message::Flush(done_tx), deadline);
     if sent.is_ok() && done_rx.recv_deadline(deadline).is_ok() {
-        Flush::Done
+        FlushOutcome::Done
     } else {
-        Flush::TimedOut
+        FlushOutcome::TimedOut
     }
 }
 
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -36,7 +36,7 @@
 
 pub use crate::{
     context::{ParseTraceContextError, TraceContext},
-    export::{ExportCounts, Exporter, Flush},
+    export::{ExportCounts, Exporter, FlushOutcome},
     log_queue::{LogBudget, LogGuard, LogQueue},
     logs::{LogFormat, init_logs},
     metrics::{MAX_LABELLED_ORGANISATIONS, Metrics, OTHER_ORGANISATIONS_LABEL, QuorumRole},
--- a/crates/telemetry/src/log_queue.rs
+++ b/crates/telemetry/src/log_queue.rs
@@ -48,7 +48,7 @@
 struct Shared {
     budget: LogBudget,
     started: Instant,
-    /// The second that `lines` counts, since `started`.
+    /// The second since `started` in which `lines` were counted.
     second: AtomicU64,
     lines: AtomicU64,
     dropped: AtomicU64,
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -133,8 +133,8 @@
     /// Sets the gauges of the quorum role and term.
     pub fn set_quorum_state(&self, role: QuorumRole, term: Term) {
         self.instruments.quorum_term.record(term.as_u64(), &[]);
-        for (candidate, labels) in QuorumRole::ALL.into_iter().zip(&self.roles) {
-            self.instruments.quorum_role.record(u64::from(candidate == role), labels);
+        for (labelled_role, labels) in QuorumRole::ALL.into_iter().zip(&self.roles) {
+            self.instruments.quorum_role.record(u64::from(labelled_role == role), labels);
         }
     }
 
--- a/crates/telemetry/src/recorder.rs
+++ b/crates/telemetry/src/recorder.rs
@@ -171,10 +171,10 @@
 impl Labels {
     pub(crate) fn new(organisation: &str) -> Self {
         let organisation = KeyValue::new("organisation", organisation.to_owned());
-        let with = |key, value| [organisation.clone(), KeyValue::new(key, value)];
+        let with_label = |key, value| [organisation.clone(), KeyValue::new(key, value)];
         Self {
-            verdicts: array::from_fn(|i| with("verdict", Verdict::ALL[i].as_str())),
-            refusals: array::from_fn(|i| with("reason", Refusal::ALL[i].as_str())),
+            verdicts: array::from_fn(|i| with_label("verdict", Verdict::ALL[i].as_str())),
+            refusals: array::from_fn(|i| with_label("reason", Refusal::ALL[i].as_str())),
             organisation: [organisation],
         }
     }
--- a/crates/telemetry/tests/traces.rs
+++ b/crates/telemetry/tests/traces.rs
@@ -10,7 +10,8 @@
 use base::Verdict;
 use proptest::{prelude::*, test_runner::RngSeed};
 use telemetry::{
-    ExportCounts, Flush, Metrics, RequestStage, SampleRatio, TraceConfig, TraceContext, Tracer,
+    ExportCounts, FlushOutcome, Metrics, RequestStage, SampleRatio, TraceConfig, TraceContext,
+    Tracer,
 };
 use yare::parameterized;
 
@@ -33,7 +34,7 @@
     }
     let accept_context = accept.context().unwrap();
     drop(accept);
-    assert_eq!(exporter.flush(FLUSH_TIMEOUT), Flush::Done);
+    assert_eq!(exporter.flush(FLUSH_TIMEOUT), FlushOutcome::Done);
     assert_eq!(exporter.counts(), ExportCounts { exported: 7, ..ExportCounts::default() });
     let spans: Vec<_> = rx.drain().collect();
     let mut names: Vec<_> = spans.iter().map(|span| span.name.as_str()).collect();
@@ -55,7 +56,7 @@
     let (tracer, exporter) = Tracer::start(config(url)).unwrap();
     drop(tracer.accept(None));
     drop(tracer.accept(None));
-    assert_eq!(exporter.flush(FLUSH_TIMEOUT), Flush::Done);
+    assert_eq!(exporter.flush(FLUSH_TIMEOUT), FlushOutcome::Done);
     let spans: Vec<_> = rx.drain().collect();
     assert_eq!(spans.len(), 2);
     assert_ne!(spans[0].trace, spans[1].trace);
@@ -69,7 +70,7 @@
     let accept = tracer.accept(Some(CALLER.replace("-01", "-00").parse().unwrap()));
     assert!(!accept.context().unwrap().is_sampled());
     drop(accept);
-    assert_eq!(exporter.flush(FLUSH_TIMEOUT), Flush::Done);
+    assert_eq!(exporter.flush(FLUSH_TIMEOUT), FlushOutcome::Done);
     assert!(rx.is_empty());
 }
 
@@ -86,7 +87,7 @@
     let (url, _rx) = collector::start(400);
     let (tracer, exporter) = Tracer::start(config(url)).unwrap();
     drop(tracer.accept(None));
-    assert_eq!(exporter.flush(FLUSH_TIMEOUT), Flush::Done);
+    assert_eq!(exporter.flush(FLUSH_TIMEOUT), FlushOutcome::Done);
     assert_eq!(exporter.counts(), ExportCounts { failed: 1, ..ExportCounts::default() });
 }
 
@@ -95,7 +96,7 @@
     // A listener bound to port 0 is never given port 1.
     let (tracer, exporter) = Tracer::start(config("http://127.0.0.1:1/".into())).unwrap();
     drop(tracer.accept(None));
-    assert_eq!(exporter.flush(FLUSH_TIMEOUT), Flush::Done);
+    assert_eq!(exporter.flush(FLUSH_TIMEOUT), FlushOutcome::Done);
     assert_eq!(exporter.counts(), ExportCounts { failed: 1, ..ExportCounts::default() });
 }
 
@@ -108,7 +109,7 @@
     (0..SPANS).for_each(|_| drop(tracer.accept(None)));
     let timeout = Duration::from_millis(50);
     let start = Instant::now();
-    assert_eq!(exporter.flush(timeout), Flush::TimedOut);
+    assert_eq!(exporter.flush(timeout), FlushOutcome::TimedOut);
     assert!(timeout <= start.elapsed());
     assert!(0 < exporter.counts().dropped);
     assert_eq!(exporter.counts().exported, 0);
--- a/crates/wire/src/leader.rs
+++ b/crates/wire/src/leader.rs
@@ -60,7 +60,7 @@
     pub loads: Vec<SentLoad>,
     /// The prompts that the router has sent to endpoints since its last request.
     pub sent: Vec<SentPrompt>,
-    /// Endpoint incarnations that have announced to the router that they are leaving.
+    /// Endpoint incarnations that the router knows to be leaving.
     pub leaving: Vec<LifeKey>,
 }
 
@@ -75,12 +75,12 @@
     pub next_sent: u64,
 }
 
-/// The version of a leader's response; equal versions are of the same leader and content.
+/// The version of a leader's response; equal versions come from the same leader and state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewVersion {
     /// The leader's term.
     pub term: Term,
-    /// Number of changes of the leader's view in this term.
+    /// Counter of changes of the leader's published state.
     pub changes: u64,
 }
 
@@ -99,7 +99,7 @@
     pub engines: Vec<EngineNews>,
     /// The load that all routers, including the requester, have in flight at endpoints.
     pub loads: Vec<SentLoad>,
-    /// Endpoint incarnations that have announced to any router that they are leaving.
+    /// Endpoint incarnations that any router knows to be leaving.
     pub leaving: Vec<LifeKey>,
     /// Prompts that other routers have sent to endpoints since the last response.
     pub sent: Vec<SentPrompt>,
--- a/crates/wire/src/operator/calls.rs
+++ b/crates/wire/src/operator/calls.rs
@@ -140,7 +140,7 @@
     Released,
     /// An operator set its outcome.
     Resolved,
-    /// A state that this version does not know.
+    /// A state unknown to this version.
     #[serde(other)]
     Unknown,
 }
--- a/crates/wire/src/operator/status.rs
+++ b/crates/wire/src/operator/status.rs
@@ -43,7 +43,7 @@
     Ready,
     /// Finishing the requests in flight and accepting no new ones.
     Draining,
-    /// A state that this version does not know.
+    /// A state unknown to this version.
     #[serde(other)]
     Unknown,
 }
@@ -86,7 +86,7 @@
     Candidate,
     /// Appends to the log and replicates it.
     Leader,
-    /// A role that this version does not know.
+    /// A role unknown to this version.
     #[serde(other)]
     Unknown,
 }
@@ -135,7 +135,7 @@
     Leaving,
     /// It is considered dead.
     Dead,
-    /// A state that this version does not know.
+    /// A state unknown to this version.
     #[serde(other)]
     Unknown,
 }
@@ -206,7 +206,7 @@
     Leaving,
     /// Requests to it have failed; it is sent none for a while.
     Avoided,
-    /// A state that this version does not know.
+    /// A state unknown to this version.
     #[serde(other)]
     Unknown,
 }
