--- a/crates/wire/src/announcement.rs
+++ b/crates/wire/src/announcement.rs
@@ -33,7 +33,7 @@
     pub address: SocketAddr,
     /// How long the announcement is valid, in milliseconds.
     pub lease_ms: u64,
-    /// Whether it must be sent no new requests.
+    /// Whether it is leaving and must not be sent new requests.
     #[serde(default)]
     pub leaving: bool,
     /// Present for a model engine.
--- a/crates/wire/src/operator/status.rs
+++ b/crates/wire/src/operator/status.rs
@@ -202,7 +202,7 @@
 pub enum EndpointState {
     /// It may be sent new requests.
     Ready,
-    /// It has announced that it must be sent no new requests.
+    /// It has announced that it is leaving, and is sent no new requests.
     Leaving,
     /// Requests to it have failed; it is sent none for a while.
     Avoided,
--- a/crates/wire/src/sse.rs
+++ b/crates/wire/src/sse.rs
@@ -43,7 +43,7 @@
 /// Parses a stream of bytes into events.
 #[derive(Debug)]
 pub struct Parser {
-    max_event: usize,
+    max_event_bytes: usize,
     buf: Vec<u8>,
     scanned: usize,
     event: Event,
@@ -52,10 +52,10 @@
 }
 
 impl Parser {
-    /// Creates a parser that buffers at most `max_event` of one event.
-    pub fn new(max_event: ByteCount) -> Self {
+    /// Creates a parser that buffers at most `max_event_bytes` of one event.
+    pub fn new(max_event_bytes: ByteCount) -> Self {
         Self {
-            max_event: usize::try_from(max_event.as_u64()).unwrap_or(usize::MAX),
+            max_event_bytes: usize::try_from(max_event_bytes.as_u64()).unwrap_or(usize::MAX),
             buf: Vec::new(),
             scanned: 0,
             event: Event::default(),
@@ -78,7 +78,7 @@
                 .map_err(|_| BodyError::new("event is not valid UTF-8"))?;
             let line = line.strip_suffix('\r').unwrap_or(line);
             self.event_bytes += end - start;
-            if self.max_event < self.event_bytes {
+            if self.max_event_bytes < self.event_bytes {
                 return Err(self.too_long());
             }
             parse_line(line, &mut self.event, &mut self.has_data);
@@ -94,14 +94,14 @@
         }
         self.buf.drain(..start);
         self.scanned = self.buf.len();
-        if self.max_event < self.event_bytes + self.buf.len() {
+        if self.max_event_bytes < self.event_bytes + self.buf.len() {
             return Err(self.too_long());
         }
         Ok(())
     }
 
     fn too_long(&self) -> BodyError {
-        BodyError::new(format!("event exceeds {} bytes", self.max_event))
+        BodyError::new(format!("event exceeds {} bytes", self.max_event_bytes))
     }
 }
 
@@ -125,7 +125,7 @@
 /// Splits a stream of bytes into complete events without changing a byte of them.
 #[derive(Debug)]
 pub struct EventSplitter {
-    max_event: usize,
+    max_event_bytes: usize,
     buf: Vec<u8>,
 }
 
@@ -141,10 +141,10 @@
 }
 
 impl EventSplitter {
-    /// Creates a splitter that buffers at most `max_event` of one event.
-    pub fn new(max_event: ByteCount) -> Self {
-        let max_event = usize::try_from(max_event.as_u64()).unwrap_or(usize::MAX);
-        Self { max_event, buf: Vec::new() }
+    /// Creates a splitter that buffers at most `max_event_bytes` of one event.
+    pub fn new(max_event_bytes: ByteCount) -> Self {
+        let max_event_bytes = usize::try_from(max_event_bytes.as_u64()).unwrap_or(usize::MAX);
+        Self { max_event_bytes, buf: Vec::new() }
     }
 
     /// Buffers `bytes` and returns the events that they complete.
@@ -170,8 +170,8 @@
             }
         }
         complete.bytes = self.buf.drain(..end).collect();
-        if self.max_event < self.buf.len() {
-            return Err(BodyError::new(format!("event exceeds {} bytes", self.max_event)));
+        if self.max_event_bytes < self.buf.len() {
+            return Err(BodyError::new(format!("event exceeds {} bytes", self.max_event_bytes)));
         }
         Ok(complete)
     }
