--- a/crates/daemon/src/edge/claims.rs
+++ b/crates/daemon/src/edge/claims.rs
@@ -8,7 +8,7 @@
 };
 use hyper::{Response, StatusCode, header::CONTENT_TYPE};
 use tokio::task::JoinHandle;
-use wire::leader::{LeaderAnswer, LeaderRequest};
+use wire::leader::{LeaderRequest, LeaderResponse};
 
 use crate::leader_client::NoAnswer;
 
@@ -133,7 +133,7 @@
         while edge.clock.now() < until {
             tokio::time::sleep(CLAIM_POLL_INTERVAL).await;
             let left = until.saturating_since(edge.clock.now());
-            if let Ok(LeaderAnswer::Call(call)) = edge.leader.ask(&request, left).await
+            if let Ok(LeaderResponse::Call(call)) = edge.leader.ask(&request, left).await
                 && !call.is_some_and(|call| call.state.is_open())
             {
                 return Ok(());
@@ -244,7 +244,7 @@
 
 async fn command(edge: &Edge, command: Command, timeout: Duration) -> Result<Reply, NoAnswer> {
     match edge.leader.ask(&LeaderRequest::Command(command), timeout).await? {
-        LeaderAnswer::Reply(reply) => Ok(reply),
+        LeaderResponse::Reply(reply) => Ok(reply),
         _ => Err(NoAnswer::Unknown),
     }
 }
--- a/crates/daemon/src/edge/completions.rs
+++ b/crates/daemon/src/edge/completions.rs
@@ -9,11 +9,11 @@
     header::{CACHE_CONTROL, CONTENT_TYPE, HeaderValue},
 };
 use serde_json::json;
-use telemetry::{Hop, Refusal};
+use telemetry::{Refusal, RequestStage};
 use wire::{
     EventId,
-    chunk::DONE,
-    completion::{Completion, CompletionKind},
+    chunk::DONE_MARKER,
+    completion::{CompletionKind, CompletionRequest},
     sse::Event,
 };
 
@@ -41,7 +41,7 @@
     let (parts, body) = req.into_parts();
     let body = body::read(edge, body).await?;
     let completion =
-        Completion::from_slice(&body).map_err(|e| Failure::bad_request(e.to_string()))?;
+        CompletionRequest::from_slice(&body).map_err(|e| Failure::bad_request(e.to_string()))?;
     check_path(parts.uri.path(), completion.kind())?;
     let resume = last_event_id(&parts.headers)?;
     let stream = completion.wants_stream();
@@ -60,7 +60,7 @@
     let settings = edge.settings(&scope);
     let prompt_bytes = check_prompt(&completion, &settings)?;
     let cost = admission_cost(prompt_bytes, completion.max_tokens());
-    let queued = tracked.span.child(Hop::Queue);
+    let queued = tracked.span.child(RequestStage::Queue);
     let admission_permit =
         edge.admission.admit(&organisation, &settings, cost).await.inspect_err(|_| {
             tracked.recorder.refusal(Refusal::OverShare);
@@ -115,7 +115,10 @@
 }
 
 /// Returns the prompt's length in bytes, or a failure if it exceeds the limit in the settings.
-fn check_prompt(completion: &Completion, settings: &fleet::Settings) -> Result<usize, Failure> {
+fn check_prompt(
+    completion: &CompletionRequest,
+    settings: &fleet::Settings,
+) -> Result<usize, Failure> {
     let max_bytes = settings.max_prompt_bytes.as_u32() as usize;
     let bytes = completion.prompt_parts().iter().map(|part| part.len()).sum();
     if max_bytes < bytes {
@@ -185,7 +188,7 @@
         StreamItem::Data { id, data } => {
             Event { id: Some(id.to_string()), kind: None, data }.to_text()
         }
-        StreamItem::Done => Event::data(DONE).to_text(),
+        StreamItem::Done => Event::data(DONE_MARKER).to_text(),
         StreamItem::Failed(failure) => {
             let data = serde_json::to_string(&failure.to_problem()).expect("a problem is JSON");
             Event { id: None, kind: Some("error".into()), data }.to_text()
--- a/crates/daemon/src/edge/relay/attempt.rs
+++ b/crates/daemon/src/edge/relay/attempt.rs
@@ -8,7 +8,7 @@
     body::Incoming,
     header::{AUTHORIZATION, CONTENT_TYPE, HOST},
 };
-use telemetry::Hop;
+use telemetry::RequestStage;
 use wire::completion::{CompletionKind, Delivered};
 
 use crate::edge::router::{ChosenEngine, cache_salt};
@@ -72,7 +72,7 @@
     /// Requests the response from an engine, or the rest of it if the attempt `resumes`.
     pub(super) async fn attempt(&mut self, chosen: &ChosenEngine, resumes: bool) -> RelayEnd {
         let pool = chosen.in_flight.target().pool();
-        let mut span = self.job.span.child(Hop::Connect);
+        let mut span = self.job.span.child(RequestStage::Connect);
         span.set("endpoint", chosen.endpoint.to_string());
         let req = self.request(chosen, resumes);
         let connect_timeout = self.job.settings.connect_timeout.as_duration();
@@ -121,7 +121,7 @@
         let nothing = Delivered::default();
         let received = if resumes { &nothing } else { self.progress.received() };
         let body =
-            self.job.completion.to_engine(&salt, priority, received, chosen.transfer.as_ref());
+            self.job.completion.to_engine_body(&salt, priority, received, chosen.transfer.as_ref());
         let path = match self.job.completion.kind() {
             CompletionKind::Text => "/v1/completions",
             CompletionKind::Chat => "/v1/chat/completions",
--- a/crates/daemon/src/edge/relay/forward.rs
+++ b/crates/daemon/src/edge/relay/forward.rs
@@ -3,9 +3,9 @@
 use base::{ByteCount, MonotonicTime, TokenCount};
 use http_body_util::BodyExt as _;
 use hyper::body::{Frame, Incoming};
-use telemetry::Hop;
+use telemetry::RequestStage;
 use wire::{
-    chunk::{Chunk, DONE, Usage},
+    chunk::{Chunk, DONE_MARKER, Usage},
     sse::{Event, Parser},
 };
 
@@ -30,7 +30,7 @@
     ) -> RelayEnd {
         self.progress.begin_attempt();
         let before = self.progress.tokens();
-        let mut span = self.job.span.child(Hop::FirstToken);
+        let mut span = self.job.span.child(RequestStage::FirstToken);
         let mut parser = Parser::new(MAX_EVENT_BYTES);
         let mut events = Vec::new();
         let mut last_token = None;
@@ -57,7 +57,7 @@
                 }
                 if last_token.is_none() {
                     self.report_first_token(chosen, resumes);
-                    drop(std::mem::replace(&mut span, self.job.span.child(Hop::Stream)));
+                    drop(std::mem::replace(&mut span, self.job.span.child(RequestStage::Stream)));
                     span.set("resumed_after", i64::try_from(before).unwrap_or(i64::MAX));
                 }
                 last_token = Some(self.record_token(last_token));
@@ -67,7 +67,7 @@
 
     /// Handles an event; returns how the attempt ends if this event ends it.
     async fn handle_event(&mut self, chosen: &ChosenEngine, event: Event) -> Option<RelayEnd> {
-        if event.data == DONE {
+        if event.data == DONE_MARKER {
             if self.progress.has_final_chunk() {
                 return Some(RelayEnd::Done);
             }
@@ -86,8 +86,8 @@
                 ))));
             }
         };
-        if !chunk.answers(self.engine_request_id().as_str()) {
-            self.job.recorder.crossed_answer();
+        if !chunk.belongs_to(self.engine_request_id().as_str()) {
+            self.job.recorder.mismatched_response();
             log::warn!(
                 request:% = self.job.request, other:? = chunk.id;
                 "chunk of another request dropped"
@@ -104,7 +104,7 @@
                 )));
             }
         }
-        let usage = chunk.usage.map(|usage| usage.after(self.progress.offset));
+        let usage = chunk.usage.map(|usage| usage.with_earlier_tokens(self.progress.offset));
         if let Some(usage) = usage {
             self.record_usage(chosen, usage);
         }
--- a/crates/daemon/src/edge/relay/mod.rs
+++ b/crates/daemon/src/edge/relay/mod.rs
@@ -11,8 +11,8 @@
 use std::{borrow::Cow, rc::Rc, time::Duration};
 
 use base::{EndpointId, MonotonicTime, OrganisationId, RequestId, Verdict};
-use telemetry::{Hop, Recorder, Span};
-use wire::{EventId, completion::Completion};
+use telemetry::{Recorder, RequestStage, Span};
+use wire::{EventId, completion::CompletionRequest};
 
 use self::{attempt::AttemptError, progress::Progress};
 
@@ -42,7 +42,7 @@
     /// The request's id at this router, and at engines unless it resumes an earlier one.
     pub request: RequestId,
     pub organisation: OrganisationId,
-    pub completion: Completion,
+    pub completion: CompletionRequest,
     pub settings: fleet::Settings,
     /// When the request arrived.
     pub arrived: MonotonicTime,
@@ -202,7 +202,7 @@
     }
 
     fn choose(&mut self) -> Result<ChosenEngine, NoEndpoint> {
-        let _span = self.job.span.child(Hop::Route);
+        let _span = self.job.span.child(RequestStage::Route);
         let now = self.edge.clock.now();
         let prompt = self.job.completion.prompt_parts();
         let requirements = self.requirements(&prompt);
--- a/crates/daemon/src/edge/router/transfer.rs
+++ b/crates/daemon/src/edge/router/transfer.rs
@@ -104,7 +104,7 @@
 
 /// Returns whether a plain service is the KV store, which callers can't call.
 pub(super) fn is_kv_store_service(service: &ServiceId) -> bool {
-    service.as_str() == kv_transfer::STORE
+    service.as_str() == kv_transfer::KV_STORE_SERVICE
 }
 
 fn is_kv_store(kind: &EndpointKind) -> bool {
--- a/crates/daemon/src/gateway/control.rs
+++ b/crates/daemon/src/gateway/control.rs
@@ -7,7 +7,7 @@
 use http_body_util::{BodyExt as _, LengthLimitError, Limited};
 use hyper::{Request, Response, body::Incoming};
 use member::Announcement;
-use wire::leader::{LeaderAnswer, LeaderRequest};
+use wire::leader::{LeaderRequest, LeaderResponse};
 
 use crate::{leader_client::NoAnswer, roster::RosterInput};
 
@@ -114,7 +114,7 @@
 async fn submit<D: Dialect>(gateway: &Gateway<D>, command: Command) -> ControlResponse {
     let response = gateway.leader.ask(&LeaderRequest::Command(command), LEADER_TIMEOUT).await;
     match response {
-        Ok(LeaderAnswer::Reply(Reply::Publish(_) | Reply::Weights(_))) => ControlResponse::Done,
+        Ok(LeaderResponse::Reply(Reply::Publish(_) | Reply::Weights(_))) => ControlResponse::Done,
         Ok(_) => ControlResponse::Unavailable("unexpected response from the leader"),
         Err(NoAnswer::NotTaken) => ControlResponse::Unavailable("no leader accepted the command"),
         Err(NoAnswer::Unknown) => ControlResponse::Unavailable("no leader confirmed the command"),
@@ -123,7 +123,7 @@
 
 async fn read_configuration<D: Dialect>(gateway: &Gateway<D>) -> ControlResponse {
     match gateway.leader.ask(&LeaderRequest::ReadPublished, LEADER_TIMEOUT).await {
-        Ok(LeaderAnswer::Published(view)) => match view.content {
+        Ok(LeaderResponse::Published(view)) => match view.content {
             Some(content) => ControlResponse::Configuration(Arc::clone(&content)),
             None => ControlResponse::NoConfiguration,
         },
--- a/crates/daemon/src/gateway/exchange.rs
+++ b/crates/daemon/src/gateway/exchange.rs
@@ -408,7 +408,7 @@
             return Err(AttemptError::Refused(status));
         }
         if head.request.as_deref() != Some(self.caller_request.id.as_str()) {
-            self.recorder.crossed_answer();
+            self.recorder.mismatched_response();
             return Err(self.may_have_run("the response belongs to another request".to_owned()));
         }
         if !head.signed {
--- a/crates/daemon/src/gateway/follow.rs
+++ b/crates/daemon/src/gateway/follow.rs
@@ -6,7 +6,9 @@
 use fleet::{ConfigurationNumber, WeightsHistory};
 use member::{EndpointState, IncarnationKey};
 use routes::Table;
-use wire::leader::{Follow, LeaderAnswer, LeaderRequest, PublishedView, Seen, ViewVersion};
+use wire::leader::{
+    FollowCursor, FollowRequest, LeaderRequest, LeaderResponse, PublishedView, ViewVersion,
+};
 
 use crate::replica::ReplicaInput;
 
@@ -57,16 +59,20 @@
             .map_or(ConfigurationNumber::default(), |current| current.number);
         let loads = gateway.targets.borrow().sent_loads();
         let reported = gateway.unreported_prompts.borrow_mut().take();
-        let request = LeaderRequest::FollowPublished(Follow {
+        let request = LeaderRequest::FollowPublished(FollowRequest {
             from: gateway.host.clone(),
-            seen: Seen { number, version, next_sent },
-            hold: if gateway.cfg.callers.is_some() { CALLERS_POLL_HOLD } else { IDLE_POLL_HOLD },
+            seen: FollowCursor { number, version, next_sent },
+            max_wait: if gateway.cfg.callers.is_some() {
+                CALLERS_POLL_HOLD
+            } else {
+                IDLE_POLL_HOLD
+            },
             loads: loads.clone(),
             sent: reported.clone(),
             leaving: gateway.leaving_endpoints(),
         });
         match gateway.leader.ask(&request, FOLLOW_TIMEOUT).await {
-            Ok(LeaderAnswer::Published(view)) => {
+            Ok(LeaderResponse::Published(view)) => {
                 if std::mem::take(&mut is_leader_lost) {
                     log::info!(term:% = view.version.term; "leader reachable again");
                 }
--- a/crates/daemon/src/gateway/headers.rs
+++ b/crates/daemon/src/gateway/headers.rs
@@ -9,7 +9,7 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Hop-by-hop fields, and those that frame one message.
+/// RequestStage-by-hop fields, and those that frame one message.
 const HOP_BY_HOP: [HeaderName; 10] = [
     CONNECTION,
     KEEP_ALIVE,
--- a/crates/daemon/src/gateway/relay.rs
+++ b/crates/daemon/src/gateway/relay.rs
@@ -8,7 +8,7 @@
 use hyper::{Response, StatusCode};
 use telemetry::Recorder;
 use tokio::time::Instant;
-use wire::sse::Cutter;
+use wire::sse::EventSplitter;
 
 use crate::net::AbortOnDrop;
 
@@ -171,7 +171,7 @@
 /// An endpoint's segment of a stream.
 struct Segment {
     opened: StartedResponse,
-    cutter: Cutter,
+    cutter: EventSplitter,
     /// Whether its first event has arrived.
     is_started: bool,
     /// Whether it may migrate before it has ended.
@@ -181,7 +181,7 @@
 impl Segment {
     fn new<D: Dialect>(exchange: &Exchange<D>, opened: StartedResponse) -> Self {
         let may_migrate = exchange.route.retry_policy.may_repeat();
-        Self { opened, cutter: Cutter::new(MAX_EVENT_BYTES), is_started: false, may_migrate }
+        Self { opened, cutter: EventSplitter::new(MAX_EVENT_BYTES), is_started: false, may_migrate }
     }
 }
 
--- a/crates/daemon/src/replica/driver.rs
+++ b/crates/daemon/src/replica/driver.rs
@@ -11,7 +11,7 @@
 use rand_pcg::Pcg64Mcg;
 use store::{Disk, Log};
 use wire::{
-    leader::{Follow, LeaderAnswer, LeaderRequest},
+    leader::{FollowRequest, LeaderRequest, LeaderResponse},
     peer::{quorum_from_bytes, quorum_to_bytes},
 };
 
@@ -252,12 +252,12 @@
                 | LeaderRequest::ReadPublished),
             ) => self.read(request, reply),
             Ok(LeaderRequest::FollowPublished(poll)) => self.hold_poll(poll, reply),
-            Err(e) => reply.answer(&LeaderAnswer::Refused(e.to_string())),
+            Err(e) => reply.answer(&LeaderResponse::Refused(e.to_string())),
         }
     }
 
     /// Holds a follower's poll, or rejects it if another host leads.
-    fn hold_poll(&mut self, poll: Follow, reply: ReplySender) {
+    fn hold_poll(&mut self, poll: FollowRequest, reply: ReplySender) {
         if self.node.role() != Role::Leader {
             return reply.not_written(self.node.leader().cloned());
         }
@@ -371,7 +371,7 @@
                     | quorum::Refusal::TermNotCommitted => {
                         reply.not_written(leader);
                     }
-                    _ => reply.answer(&LeaderAnswer::Refused(refusal.to_string())),
+                    _ => reply.answer(&LeaderResponse::Refused(refusal.to_string())),
                 }
             }
             Action::ReadReady { id, index } => self.pending.read_ready(id, index),
@@ -414,7 +414,7 @@
             }
             Payload::Voters(voters) => {
                 self.fleet.skip(entry.index);
-                LeaderAnswer::Voters(voters.clone())
+                LeaderResponse::Voters(voters.clone())
             }
             Payload::Command(command) => self.apply_command(entry.index, command),
         };
@@ -423,7 +423,7 @@
         }
     }
 
-    fn apply_command(&mut self, index: LogIndex, command: &[u8]) -> LeaderAnswer {
+    fn apply_command(&mut self, index: LogIndex, command: &[u8]) -> LeaderResponse {
         self.applied_bytes += command.len();
         match Command::from_bytes(command) {
             Ok(command) => {
@@ -435,11 +435,11 @@
                     self.followers.record_change();
                     self.record_named_weights();
                 }
-                LeaderAnswer::Reply(reply)
+                LeaderResponse::Reply(reply)
             }
             Err(e) => {
                 self.fleet.skip(index);
-                LeaderAnswer::Refused(e.to_string())
+                LeaderResponse::Refused(e.to_string())
             }
         }
     }
--- a/crates/daemon/src/replica/followers.rs
+++ b/crates/daemon/src/replica/followers.rs
@@ -7,7 +7,7 @@
 use member::LeavingSet;
 use prefix::SentPromptLog;
 use route::{LoadAggregator, SentLoad};
-use wire::leader::{Follow, PublishedView, Seen, ViewVersion};
+use wire::leader::{FollowCursor, FollowRequest, PublishedView, ViewVersion};
 
 use super::pending::ReplySender;
 
@@ -37,7 +37,7 @@
 
 /// A held poll.
 pub(super) struct HeldPoll {
-    pub poll: Follow,
+    pub poll: FollowRequest,
     pub reply: ReplySender,
     until: MonotonicTime,
 }
@@ -58,13 +58,13 @@
 
 impl Followers {
     /// Holds a poll, and applies what its sender reports.
-    pub(super) fn hold(&mut self, now: MonotonicTime, mut poll: Follow, reply: ReplySender) {
+    pub(super) fn hold(&mut self, now: MonotonicTime, mut poll: FollowRequest, reply: ReplySender) {
         self.loads.report(now, poll.from.clone(), std::mem::take(&mut poll.loads));
         self.sent.extend(&poll.from, std::mem::take(&mut poll.sent));
         if self.leavers.record_leaving(now, &poll.leaving) {
             self.changes += 1;
         }
-        let until = now + poll.hold.min(MAX_HOLD);
+        let until = now + poll.max_wait.min(MAX_HOLD);
         self.held.push(HeldPoll { poll, reply, until });
     }
 
@@ -129,7 +129,7 @@
         now: MonotonicTime,
         term: Term,
         published: &Published,
-        seen: &Seen,
+        seen: &FollowCursor,
         follower: Option<&HostId>,
     ) -> PublishedView {
         let publication = published.publication();
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics count by organisation, within a bound.
+//! Metrics are labelled by organisation, up to a maximum number of labels.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn each_instrument_is_rendered() {
+fn instruments_are_rendered() {
     let metrics = Metrics::new().unwrap();
     let school = organisation(0);
     metrics.label_organisations([&school]);
@@ -25,8 +25,8 @@
     recorder.prompt(TokenCount::new(100), TokenCount::new(80));
     recorder.verdict(Verdict::MayHaveRun);
     recorder.refusal(Refusal::NoQuorum);
-    metrics.revision(Revision::new(7));
-    metrics.quorum(QuorumRole::Leader, Term::new(3));
+    metrics.set_configuration_revision(Revision::new(7));
+    metrics.set_quorum_state(QuorumRole::Leader, Term::new(3));
     let cases = [
         (r#"time_to_first_token_seconds_bucket{organisation="org-0",le="0.35"}"#, 1.0),
         (r#"time_to_first_token_seconds_bucket{organisation="org-0",le="0.2"}"#, 0.0),
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn in_flight_falls_on_drop() {
+fn in_flight_decreases_on_drop() {
     let metrics = Metrics::new().unwrap();
     let series = r#"dotterelreach_in_flight{organisation="other"}"#;
     let guard = metrics.recorder(&organisation(0)).in_flight();
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn organisations_past_the_bound_share_a_label() {
+fn organisations_over_the_maximum_share_a_label() {
     let metrics = Metrics::new().unwrap();
     let all: Vec<_> = (0..MAX_LABELLED_ORGANISATIONS + 10).map(organisation).collect();
     metrics.label_organisations(&all);
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,15 +1,15 @@
-//! Wire types: what callers, endpoints, operators and routers say to each other.
+//! Wire types: HTTP bodies of callers, endpoints and operators, and messages between routers.
 //!
-//! Bodies of HTTP messages are types of their own, which convert to and from the types of the
-//! cores with `From` and `TryFrom`, so that a core never depends on a format.
+//! HTTP bodies have types of their own, which convert to and from the domain crates' types with
+//! `From` and `TryFrom`, so that no domain crate depends on a wire format.
 //!
 //! # Example
 //!
 //! ```
-//! use wire::completion::Completion;
+//! use wire::completion::CompletionRequest;
 //!
 //! let body = br#"{"model": "diary-8b", "prompt": "Dear diary", "stream": true}"#;
-//! let completion = Completion::from_slice(body)?;
+//! let completion = CompletionRequest::from_slice(body)?;
 //! assert_eq!(completion.model().as_str(), "diary-8b");
 //! assert!(completion.wants_stream());
 //! # Ok::<(), wire::BodyError>(())
