--- a/crates/daemon/src/gateway/weights.rs
+++ b/crates/daemon/src/gateway/weights.rs
@@ -5,8 +5,8 @@
 use base::{EndpointId, Incarnation, MonotonicTime, Term};
 use bytes::Bytes;
 use fleet::{
-    EngineLoad, EngineNews, EngineView, Lead, LoadOrder, Mandate, OrderOutcome, Progress, Rollout,
-    RolloutSettings, Tenure,
+    EngineLoad, EngineNews, EngineView, Leadership, LoadOrder, OrderGate, OrderOutcome,
+    OrderPermission, Progress, Rollout, RolloutSettings,
 };
 use http_body_util::{BodyExt as _, Full, Limited};
 use hyper::{Request, Response, header::HOST, http::response};
@@ -87,14 +87,14 @@
 /// Gives orders while this host leads, until the thread ends.
 pub(super) async fn run<D: Dialect>(gateway: Rc<Gateway<D>>) {
     let mut office: Option<Office> = None;
-    let mut tenure = Tenure::new(gateway.cfg.order_wait());
+    let mut tenure = OrderGate::new(gateway.cfg.order_wait());
     loop {
         tokio::time::sleep(PERIOD).await;
         let now = gateway.clock.now();
         let Some(view) = gateway.replica_state.load() else { continue };
-        let mandate = tenure.judge(now, lead(&view, now));
+        let mandate = tenure.update(now, lead(&view, now));
         follow_tenure(&gateway, &mut office, tenure.term());
-        if let Some(office) = office.as_mut().filter(|_| mandate != Mandate::None) {
+        if let Some(office) = office.as_mut().filter(|_| mandate != OrderPermission::Denied) {
             look(&gateway, office, &view, mandate, now);
         }
     }
@@ -118,9 +118,9 @@
     }
 }
 
-fn lead(view: &ReplicaView, now: MonotonicTime) -> Option<Lead> {
+fn lead(view: &ReplicaView, now: MonotonicTime) -> Option<Leadership> {
     let leads = view.node.role == Role::Leader;
-    leads.then(|| Lead { term: view.node.term, has_lease: has_lease(view, now) })
+    leads.then(|| Leadership { term: view.node.term, has_lease: has_lease(view, now) })
 }
 
 fn has_lease(view: &ReplicaView, now: MonotonicTime) -> bool {
@@ -131,7 +131,7 @@
     gateway: &Rc<Gateway<D>>,
     office: &mut Office,
     view: &ReplicaView,
-    mandate: Mandate,
+    mandate: OrderPermission,
     now: MonotonicTime,
 ) {
     while let Ok(outcome) = office.outcomes.try_recv() {
@@ -154,14 +154,14 @@
     }
     office.rollout.set_loads(|endpoint| load_of(&view.loads, endpoint));
     match mandate {
-        Mandate::Orders => {
+        OrderPermission::Granted => {
             for order in office.rollout.orders(now) {
                 give(gateway, office, &roster, order);
             }
             ask_loading(gateway, office, &roster, now);
         }
-        Mandate::Waits(left) if left <= office.drain_limit => office.rollout.drain(now),
-        Mandate::Waits(_) | Mandate::None => {}
+        OrderPermission::After(left) if left <= office.drain_limit => office.rollout.drain(now),
+        OrderPermission::After(_) | OrderPermission::Denied => {}
     }
     log_progress(office, now);
     tell_routers(gateway, office);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -77,6 +77,6 @@
     scope::Scope,
     settings::{Overrides, SettingKey, SettingValue, Settings},
     state::Fleet,
-    tenure::{Lead, Mandate, Tenure},
+    tenure::{Leadership, OrderGate, OrderPermission},
     weights_history::{WeightsAge, WeightsHistory},
 };
--- a/crates/fleet/src/tenure.rs
+++ b/crates/fleet/src/tenure.rs
@@ -4,7 +4,7 @@
 
 /// What a host knows of its own lead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Lead {
+pub struct Leadership {
     /// The term in which it leads.
     pub term: Term,
     /// Whether its lease runs, so that no other host can lead at present.
@@ -13,13 +13,13 @@
 
 /// What a host may do about orders to endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mandate {
+pub enum OrderPermission {
     /// Another host may be giving orders.
-    None,
+    Denied,
     /// Orders of an earlier leader may still arrive, for this time.
-    Waits(Duration),
+    After(Duration),
     /// It may give orders.
-    Orders,
+    Granted,
 }
 
 /// The time for which a host leads in one term, and so may give orders to endpoints.
@@ -27,12 +27,12 @@
 /// A lease that lapses and runs again in the same term proves that no other host led meanwhile, so
 /// that only a new term makes the host wait for an earlier leader's orders.
 #[derive(Clone, Copy, Debug)]
-pub struct Tenure {
+pub struct OrderGate {
     wait: Duration,
     held: Option<(Term, MonotonicTime)>,
 }
 
-impl Tenure {
+impl OrderGate {
     /// Creates one that waits for `wait` after the beginning of each term.
     pub const fn new(wait: Duration) -> Self {
         Self { wait, held: None }
@@ -44,19 +44,19 @@
     }
 
     /// Judges what the host may do at `now`; without a lead it holds nothing any more.
-    pub fn judge(&mut self, now: MonotonicTime, lead: Option<Lead>) -> Mandate {
+    pub fn update(&mut self, now: MonotonicTime, lead: Option<Leadership>) -> OrderPermission {
         let Some(lead) = lead else {
             self.held = None;
-            return Mandate::None;
+            return OrderPermission::Denied;
         };
         self.held = self.held.filter(|(term, _)| *term == lead.term);
         if !lead.has_lease {
-            return Mandate::None;
+            return OrderPermission::Denied;
         }
         let (_, since) = *self.held.get_or_insert((lead.term, now));
         match self.wait.saturating_sub(now.saturating_since(since)) {
-            Duration::ZERO => Mandate::Orders,
-            left => Mandate::Waits(left),
+            Duration::ZERO => OrderPermission::Granted,
+            left => OrderPermission::After(left),
         }
     }
 }
