--- a/crates/daemon/src/gateway/targets.rs
+++ b/crates/daemon/src/gateway/targets.rs
@@ -7,7 +7,7 @@
 };
 
 use base::{DataCentreId, EndpointId, Incarnation, ModelId, MonotonicTime, ServiceId, TokenCount};
-use fleet::EngineNews;
+use fleet::EngineUpdate;
 use member::{Announcement, EndpointKind, EndpointState, Known, Leavers, LifeKey, Roster};
 use prefix::{PartCacheModel, PartChain, SentPrompt, rank_by_name};
 use route::{EndpointKey, InFlightLoad, SentLoad};
@@ -210,7 +210,7 @@
 #[derive(Default)]
 pub(super) struct Targets {
     by_id: BTreeMap<EndpointId, Rc<Target>>,
-    news: HashMap<EndpointId, EngineNews>,
+    news: HashMap<EndpointId, EngineUpdate>,
     kv_tokens: HashMap<ServiceId, TokenCount>,
     /// When the loads of other hosts came.
     loads_at: MonotonicTime,
@@ -270,7 +270,7 @@
     }
 
     /// Takes what is known of engines beyond their announcements; it replaces what was known.
-    fn set_news(&mut self, news: &[EngineNews]) {
+    fn set_news(&mut self, news: &[EngineUpdate]) {
         self.news = news.iter().map(|news| (news.endpoint.clone(), news.clone())).collect();
         self.apply_news();
     }
--- a/crates/daemon/src/gateway/weights.rs
+++ b/crates/daemon/src/gateway/weights.rs
@@ -5,7 +5,7 @@
 use base::{EndpointId, Incarnation, MonotonicTime, Term};
 use bytes::Bytes;
 use fleet::{
-    EngineLoad, EngineNews, EngineView, Leadership, LoadOrder, OrderGate, OrderOutcome,
+    EngineLoad, EngineUpdate, EngineView, Leadership, LoadOrder, OrderGate, OrderOutcome,
     OrderPermission, Progress, Rollout, RolloutSettings,
 };
 use http_body_util::{BodyExt as _, Full, Limited};
@@ -52,7 +52,7 @@
     outcomes: flume::Receiver<Outcome>,
     report: flume::Sender<Outcome>,
     /// What the replica was told last, if anything.
-    told: Option<Vec<EngineNews>>,
+    told: Option<Vec<EngineUpdate>>,
     /// When engines were found to lack the weights named, until all have them.
     behind_since: Option<MonotonicTime>,
     /// When it was last logged how far they have come.
@@ -204,18 +204,18 @@
                 incarnation: known.announcement.incarnation,
                 model,
                 version,
-                heard: known.written,
-                is_silent: roster.stale_after <= roster.at.saturating_since(known.written),
+                announced_at: known.written,
+                is_stale: roster.stale_after <= roster.at.saturating_since(known.written),
             })
         })
         .collect()
 }
 
 fn tell_routers<D: Dialect>(gateway: &Gateway<D>, office: &mut Office) {
-    let news = office.rollout.news();
+    let news = office.rollout.engine_updates();
     let is_told = office.told.as_ref() == Some(&news);
     let Some(replica) = gateway.replica.as_ref().filter(|_| !is_told) else { return };
-    if replica.try_send(ReplicaInput::EngineNews(news.clone())).is_ok() {
+    if replica.try_send(ReplicaInput::EngineUpdate(news.clone())).is_ok() {
         office.told = Some(news);
     }
 }
--- a/crates/daemon/src/replica/driver.rs
+++ b/crates/daemon/src/replica/driver.rs
@@ -206,7 +206,7 @@
             ReplicaInput::Quorum(call) => self.take_message(call),
             ReplicaInput::Submit(call) => self.take_request(call),
             ReplicaInput::Learners(hosts) => self.step(Input::Learners(hosts)),
-            ReplicaInput::EngineNews(engines) => self.followers.set_engines(engines),
+            ReplicaInput::EngineUpdate(engines) => self.followers.set_engines(engines),
             ReplicaInput::WeightAges { at, ages } => self.followers.note_ages(at, &ages),
             ReplicaInput::HandOver(done) => {
                 self.step(Input::Transfer);
--- a/crates/daemon/src/replica/followers.rs
+++ b/crates/daemon/src/replica/followers.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use base::{HostId, ModelId, MonotonicTime, Term};
-use fleet::{EngineNews, Published, WeightsAge, WeightsHistory};
+use fleet::{EngineUpdate, Published, WeightsAge, WeightsHistory};
 use member::Leavers;
 use prefix::SentPromptLog;
 use route::{LoadAggregator, SentLoad};
@@ -25,7 +25,7 @@
 /// Questions that are held until there is news, and what is told in answer.
 pub(super) struct Followers {
     held: Vec<Held>,
-    engines: Vec<EngineNews>,
+    engines: Vec<EngineUpdate>,
     loads: LoadAggregator,
     sent: SentPromptLog,
     leavers: Leavers,
@@ -101,7 +101,7 @@
     }
 
     /// Takes what the rollout of weights knows of engines.
-    pub(super) fn set_engines(&mut self, engines: Vec<EngineNews>) {
+    pub(super) fn set_engines(&mut self, engines: Vec<EngineUpdate>) {
         if self.engines != engines {
             self.engines = engines;
             self.changes += 1;
--- a/crates/daemon/src/replica/mod.rs
+++ b/crates/daemon/src/replica/mod.rs
@@ -16,7 +16,7 @@
 
 use base::{HostId, MonotonicTime};
 use eyre::WrapErr as _;
-use fleet::{EngineNews, WeightsAge};
+use fleet::{EngineUpdate, WeightsAge};
 use quorum::HealingSettings;
 use rand::SeedableRng as _;
 use rand_pcg::Pcg64Mcg;
@@ -47,7 +47,7 @@
     /// Hosts that may become voters, and so follow the log.
     Learners(Vec<HostId>),
     /// What the rollout of weights knows of engines beyond their announcements.
-    EngineNews(Vec<EngineNews>),
+    EngineUpdate(Vec<EngineUpdate>),
     /// How long ago weights had been named at a time, as the leader tells.
     WeightAges {
         /// The time.
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -71,7 +71,7 @@
         ResolveReply,
     },
     rollout::{
-        EngineLoad, EngineNews, EngineView, LoadOrder, OrderOutcome, Progress, Rollout,
+        EngineLoad, EngineUpdate, EngineView, LoadOrder, OrderOutcome, Progress, Rollout,
         RolloutSettings,
     },
     scope::Scope,
--- a/crates/fleet/src/rollout.rs
+++ b/crates/fleet/src/rollout.rs
@@ -78,14 +78,14 @@
     /// The version of its weights.
     pub version: u32,
     /// When its newest announcement was written.
-    pub heard: MonotonicTime,
+    pub announced_at: MonotonicTime,
     /// Whether that is so long ago that it may be gone; it comes last.
-    pub is_silent: bool,
+    pub is_stale: bool,
 }
 
 /// What routers must know of an engine beyond its own announcements.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EngineNews {
+pub struct EngineUpdate {
     /// The engine.
     pub endpoint: EndpointId,
     /// The life of its process.
@@ -158,8 +158,8 @@
     /// Orders in a row that it refused or that did not reach it.
     refusals: u32,
     /// When its newest announcement was written.
-    heard: MonotonicTime,
-    is_silent: bool,
+    announced_at: MonotonicTime,
+    is_stale: bool,
     load: EngineLoad,
 }
 
@@ -206,8 +206,8 @@
             if known.incarnation != view.incarnation || known.model != view.model {
                 *known = new(view);
             }
-            known.heard = view.heard;
-            known.is_silent = view.is_silent;
+            known.announced_at = view.announced_at;
+            known.is_stale = view.is_stale;
             known.announced = view.version;
             known.raise(view.version);
         }
@@ -290,7 +290,7 @@
                 Step::Draining { since } => since,
                 _ => now,
             };
-            (engine.is_silent, drained, engine.version, spread(id))
+            (engine.is_stale, drained, engine.version, spread(id))
         });
         behind.into_iter().map(|(id, _)| id.clone()).collect()
     }
@@ -303,12 +303,12 @@
     }
 
     /// Returns what routers must know beyond the engines' own announcements.
-    pub fn news(&self) -> Vec<EngineNews> {
+    pub fn engine_updates(&self) -> Vec<EngineUpdate> {
         let told = self
             .engines
             .iter()
             .filter(|(_, engine)| engine.step != Step::Idle || engine.announced < engine.version);
-        told.map(|(id, engine)| EngineNews {
+        told.map(|(id, engine)| EngineUpdate {
             endpoint: id.clone(),
             incarnation: engine.incarnation,
             version: engine.version,
@@ -427,7 +427,7 @@
 
     fn rests(&self, now: MonotonicTime) -> bool {
         let Some(rest) = self.rest else { return false };
-        let heard_since = rest.shortest <= self.heard;
+        let heard_since = rest.shortest <= self.announced_at;
         now < rest.shortest || (!heard_since && now < rest.longest)
     }
 
@@ -462,8 +462,8 @@
         step: Step::Idle,
         rest: None,
         refusals: 0,
-        heard: view.heard,
-        is_silent: view.is_silent,
+        announced_at: view.announced_at,
+        is_stale: view.is_stale,
         load: EngineLoad::default(),
     }
 }
--- a/crates/fleet/tests/regression/slow_rollout.rs
+++ b/crates/fleet/tests/regression/slow_rollout.rs
@@ -90,7 +90,8 @@
             self.rollout.ordered(at, &order, outcome);
         }
         for engine in &mut self.engines {
-            let news = self.rollout.news().into_iter().find(|news| news.endpoint == engine.id);
+            let news =
+                self.rollout.engine_updates().into_iter().find(|news| news.endpoint == engine.id);
             let is_paused = news.is_some_and(|news| news.paused);
             engine.paused_at = if is_paused { engine.paused_at.or(Some(now)) } else { None };
         }
@@ -121,8 +122,8 @@
             incarnation: Incarnation::new(1),
             model: "m".parse().unwrap(),
             version: self.version,
-            heard: MonotonicTime::from_millis(heard),
-            is_silent: SILENCE <= now - heard,
+            announced_at: MonotonicTime::from_millis(heard),
+            is_stale: SILENCE <= now - heard,
         }
     }
 }
--- a/crates/fleet/tests/rollout.rs
+++ b/crates/fleet/tests/rollout.rs
@@ -29,8 +29,8 @@
         incarnation: Incarnation::new(1),
         model: "m".parse().unwrap(),
         version,
-        heard: MonotonicTime::ZERO,
-        is_silent: false,
+        announced_at: MonotonicTime::ZERO,
+        is_stale: false,
     }
 }
 
@@ -55,7 +55,7 @@
             rollout.ordered(at(now), &order, OrderOutcome::Accepted);
             orders.push((now, order));
         }
-        most = most.max(rollout.news().iter().filter(|news| news.paused).count());
+        most = most.max(rollout.engine_updates().iter().filter(|news| news.paused).count());
     }
     assert!(most <= 4, "{most} of {ENGINES} engines were paused at once");
     orders
@@ -67,14 +67,14 @@
     let orders = play(&mut rollout, 0, 5_000, 600);
     assert_eq!(orders.len(), ENGINES);
     assert!(rollout.is_done());
-    assert!(rollout.news().iter().all(|news| !news.paused && news.version == 2));
+    assert!(rollout.engine_updates().iter().all(|news| !news.paused && news.version == 2));
 }
 
 #[test]
 fn engine_gets_no_requests_before_its_order() {
     let mut rollout = rollout(2);
     assert_eq!(rollout.orders(at(0)), []);
-    let paused: Vec<_> = rollout.news().into_iter().filter(|news| news.paused).collect();
+    let paused: Vec<_> = rollout.engine_updates().into_iter().filter(|news| news.paused).collect();
     let orders = rollout.orders(at(300));
     assert!(!orders.is_empty());
     assert!(orders.iter().all(|order| paused.iter().any(|news| news.endpoint == order.endpoint)));
@@ -150,7 +150,9 @@
     (reborn.incarnation, reborn.version) = (Incarnation::new(2), 2);
     rollout.set_engines(&engines);
     rollout.ordered(at(300), old, OrderOutcome::Accepted);
-    assert!(!rollout.news().iter().any(|news| news.endpoint == old.endpoint && news.paused));
+    assert!(
+        !rollout.engine_updates().iter().any(|news| news.endpoint == old.endpoint && news.paused)
+    );
 }
 
 #[test]
@@ -173,9 +175,9 @@
             rollout.ordered(at(now), &order, outcome);
         }
     }
-    let behind = rollout.news().into_iter().filter(|news| news.version < 2).count();
+    let behind = rollout.engine_updates().into_iter().filter(|news| news.version < 2).count();
     assert!(behind <= 4, "{behind} engines are behind, four of which can't be reached");
-    let updated = rollout.news().into_iter().filter(|news| news.version == 2).count();
+    let updated = rollout.engine_updates().into_iter().filter(|news| news.version == 2).count();
     assert_eq!(updated, ENGINES - 4);
 }
 
@@ -183,10 +185,10 @@
 fn silent_engines_come_last() {
     let mut rollout = Rollout::new(RolloutSettings::default());
     rollout.set_named(named(2));
-    let engines = (0..ENGINES).map(|i| EngineView { is_silent: i < 4, ..engine(i, 1) });
+    let engines = (0..ENGINES).map(|i| EngineView { is_stale: i < 4, ..engine(i, 1) });
     rollout.set_engines(&engines.collect::<Vec<_>>());
     rollout.orders(at(0));
-    let paused: Vec<_> = rollout.news().into_iter().filter(|news| news.paused).collect();
+    let paused: Vec<_> = rollout.engine_updates().into_iter().filter(|news| news.paused).collect();
     assert_eq!(paused.len(), 4);
     for i in 0..4 {
         assert!(!paused.iter().any(|news| news.endpoint == engine(i, 1).endpoint));
@@ -199,7 +201,7 @@
     rollout.set_loads(|_| EngineLoad { requests: 1, prefill_tokens: 0 });
     let unused = RolloutSettings::default().unused_after.as_millis() as u64;
     rollout.orders(at(unused));
-    let paused = rollout.news().iter().filter(|news| news.paused).count();
+    let paused = rollout.engine_updates().iter().filter(|news| news.paused).count();
     assert_eq!(paused, ENGINES, "none of them serves anybody");
     let drain = RolloutSettings::default().drain_time.as_millis() as u64;
     let orders = rollout.orders(at(unused + drain));
@@ -210,7 +212,7 @@
 fn engine_that_is_heard_again_rests_no_longer() {
     let mut rollout = Rollout::new(RolloutSettings::default());
     rollout.set_named(named(2));
-    let heard_at = |millis| [EngineView { heard: at(millis), ..engine(0, 1) }, engine(1, 2)];
+    let heard_at = |millis| [EngineView { announced_at: at(millis), ..engine(0, 1) }, engine(1, 2)];
     rollout.set_engines(&heard_at(0));
     let mut now = 0;
     let mut refuse = |rollout: &mut Rollout| loop {
--- a/crates/wire/src/leader.rs
+++ b/crates/wire/src/leader.rs
@@ -4,7 +4,7 @@
 
 use base::{HostId, Revision, Term};
 use fleet::{
-    Call, CallKey, ChangeRecord, Command, ConfigurationNumber, EngineNews, Reply, WeightsAge,
+    Call, CallKey, ChangeRecord, Command, ConfigurationNumber, EngineUpdate, Reply, WeightsAge,
 };
 use member::LifeKey;
 use prefix::SentPrompt;
@@ -96,7 +96,7 @@
     /// The weights that were named, with their ages; each model's newest are those to have.
     pub weights: Vec<WeightsAge>,
     /// What is known of engines beyond their announcements.
-    pub engines: Vec<EngineNews>,
+    pub engines: Vec<EngineUpdate>,
     /// What all routers have under way at endpoints, the asker included.
     pub loads: Vec<SentLoad>,
     /// Lives of endpoints that any router has heard to leave.
