--- a/crates/daemon/src/gateway/weights.rs
+++ b/crates/daemon/src/gateway/weights.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use fleet::{
     EngineLoad, EngineUpdate, EngineView, Leadership, LoadOrder, OrderGate, OrderOutcome,
-    OrderPermission, Progress, Rollout, RolloutSettings,
+    OrderPermission, Rollout, RolloutProgress, RolloutSettings,
 };
 use http_body_util::{BodyExt as _, Full, Limited};
 use hyper::{Request, Response, header::HOST, http::response};
@@ -47,7 +47,7 @@
     term: Term,
     rollout: Rollout,
     /// Time that engines drain at most, which may pass before the first order.
-    drain_limit: Duration,
+    max_drain_time: Duration,
     asked: HashMap<EndpointId, MonotonicTime>,
     outcomes: flume::Receiver<Outcome>,
     report: flume::Sender<Outcome>,
@@ -69,11 +69,11 @@
     fn begin(term: Term, unused_after: Duration) -> Self {
         let (report, outcomes) = flume::unbounded();
         let settings = RolloutSettings { unused_after, ..RolloutSettings::default() };
-        let (rollout, drain_limit) = (Rollout::new(settings), settings.drain_limit);
+        let (rollout, max_drain_time) = (Rollout::new(settings), settings.max_drain_time);
         Self {
             term,
             rollout,
-            drain_limit,
+            max_drain_time,
             asked: HashMap::new(),
             outcomes,
             report,
@@ -136,21 +136,21 @@
 ) {
     while let Ok(outcome) = office.outcomes.try_recv() {
         match outcome {
-            Outcome::Ordered(order, outcome) => office.rollout.ordered(now, &order, outcome),
+            Outcome::Ordered(order, outcome) => office.rollout.record_outcome(now, &order, outcome),
             Outcome::Reported { order, incarnation, report } => {
                 for weights in &report.weights {
-                    office.rollout.reported(&order, incarnation, weights.version);
+                    office.rollout.record_version(&order, incarnation, weights.version);
                 }
             }
         }
     }
     let Some(roster) = gateway.latest.load() else { return };
     if let Some(in_force) = gateway.in_force() {
-        office.rollout.set_named(in_force.weights.clone());
+        office.rollout.set_desired_weights(in_force.weights.clone());
     }
     office.rollout.set_engines(&engines(&roster));
     for target in gateway.targets.borrow().iter() {
-        office.rollout.reported(&target.endpoint, target.incarnation, target.version());
+        office.rollout.record_version(&target.endpoint, target.incarnation, target.version());
     }
     office.rollout.set_loads(|endpoint| load_of(&view.loads, endpoint));
     match mandate {
@@ -160,7 +160,7 @@
             }
             ask_loading(gateway, office, &roster, now);
         }
-        OrderPermission::After(left) if left <= office.drain_limit => office.rollout.drain(now),
+        OrderPermission::After(left) if left <= office.max_drain_time => office.rollout.drain(now),
         OrderPermission::After(_) | OrderPermission::Denied => {}
     }
     log_progress(office, now);
@@ -169,7 +169,8 @@
 
 /// Logs how far the weights named have come, at the beginning, each second, and at the end.
 fn log_progress(office: &mut Office, now: MonotonicTime) {
-    let Progress { known, behind, draining, loading, resting } = office.rollout.progress(now);
+    let RolloutProgress { known, behind, draining, loading, backing_off } =
+        office.rollout.progress(now);
     if behind == 0 {
         if let Some(since) = office.behind_since.take() {
             let took_ms = now.saturating_since(since).as_millis() as u64;
@@ -183,7 +184,7 @@
     }
     office.logged = now;
     let for_ms = now.saturating_since(since).as_millis() as u64;
-    log::info!(engines = known, behind, draining, loading, resting, for_ms;
+    log::info!(engines = known, behind, draining, loading, backing_off, for_ms;
         "engines lack the weights named");
 }
 
@@ -226,7 +227,7 @@
     let (gateway, report, term) = (Rc::clone(gateway), office.report.clone(), office.term);
     tokio::task::spawn_local(async move {
         let outcome = match ask(&gateway, address).await {
-            Some(state) if holds(&state, &order) => OrderOutcome::Holds,
+            Some(state) if holds(&state, &order) => OrderOutcome::AlreadyLoaded,
             Some(state) if state.busy => OrderOutcome::Busy,
             Some(state) => send(&gateway, address, &order, term, state.orders).await,
             None => OrderOutcome::Refused,
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -71,7 +71,7 @@
         ResolveReply,
     },
     rollout::{
-        EngineLoad, EngineUpdate, EngineView, LoadOrder, OrderOutcome, Progress, Rollout,
+        EngineLoad, EngineUpdate, EngineView, LoadOrder, OrderOutcome, Rollout, RolloutProgress,
         RolloutSettings,
     },
     scope::Scope,
--- a/crates/fleet/src/rollout.rs
+++ b/crates/fleet/src/rollout.rs
@@ -31,7 +31,7 @@
     /// know.
     pub drain_time: Duration,
     /// Longest wait for the requests that an engine still has, before it is told to load.
-    pub drain_limit: Duration,
+    pub max_drain_time: Duration,
     /// Part of the engines that load at once; more would only take longer each.
     pub load_share: f64,
     /// Fewest engines that may load at once.
@@ -55,7 +55,7 @@
             always_share: 0.1,
             fewest_always: 2,
             drain_time: Duration::from_millis(250),
-            drain_limit: Duration::from_millis(1_200),
+            max_drain_time: Duration::from_millis(1_200),
             load_share: 0.2,
             fewest_loads: 3,
             load_time: Duration::from_millis(600),
@@ -107,7 +107,7 @@
 
 /// How many engines are in which state of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Progress {
+pub struct RolloutProgress {
     /// Engines that are known.
     pub known: usize,
     /// Engines without the weights named.
@@ -117,7 +117,7 @@
     /// Engines that were told to load and have not reported the weights yet.
     pub loading: usize,
     /// Engines that refused or can't be reached, and are left alone for a while.
-    pub resting: usize,
+    pub backing_off: usize,
 }
 
 /// An order to load weights.
@@ -137,7 +137,7 @@
     /// The engine loads.
     Accepted,
     /// The engine has these weights.
-    Holds,
+    AlreadyLoaded,
     /// The engine carries out another order, or has taken one that was not counted.
     Busy,
     /// The engine can't carry it out, or another process answered.
@@ -194,7 +194,7 @@
     }
 
     /// Takes the weights that operators have named.
-    pub fn set_named(&mut self, named: BTreeMap<ModelId, WeightsHistory>) {
+    pub fn set_desired_weights(&mut self, named: BTreeMap<ModelId, WeightsHistory>) {
         self.named = named;
     }
 
@@ -221,7 +221,12 @@
     }
 
     /// Takes the version that an engine itself reported when asked.
-    pub fn reported(&mut self, endpoint: &EndpointId, incarnation: Incarnation, version: u32) {
+    pub fn record_version(
+        &mut self,
+        endpoint: &EndpointId,
+        incarnation: Incarnation,
+        version: u32,
+    ) {
         let known = self.engines.get_mut(endpoint);
         if let Some(engine) = known.filter(|engine| engine.incarnation == incarnation) {
             engine.raise(version);
@@ -229,14 +234,14 @@
     }
 
     /// Takes what came of an order.
-    pub fn ordered(&mut self, now: MonotonicTime, order: &LoadOrder, outcome: OrderOutcome) {
+    pub fn record_outcome(&mut self, now: MonotonicTime, order: &LoadOrder, outcome: OrderOutcome) {
         let known = self.engines.get_mut(&order.endpoint);
         let Some(engine) = known.filter(|engine| engine.incarnation == order.incarnation) else {
             return;
         };
         let target = order.weights.version;
         match outcome {
-            OrderOutcome::Holds => engine.raise(target),
+            OrderOutcome::AlreadyLoaded => engine.raise(target),
             OrderOutcome::Accepted | OrderOutcome::Unknown | OrderOutcome::Busy => {
                 engine.step = Step::Loading { since: now, target };
                 engine.refusals = 0;
@@ -323,13 +328,13 @@
     }
 
     /// Returns how far the weights named have come.
-    pub fn progress(&self, now: MonotonicTime) -> Progress {
+    pub fn progress(&self, now: MonotonicTime) -> RolloutProgress {
         let engines = || self.engines.values();
         let draining = engines().filter(|e| matches!(e.step, Step::Draining { .. })).count();
         let loading = engines().filter(|e| matches!(e.step, Step::Loading { .. })).count();
-        let resting = engines().filter(|engine| engine.rests(now)).count();
+        let backing_off = engines().filter(|engine| engine.rests(now)).count();
         let (known, behind) = (self.engines.len(), self.behind().len());
-        Progress { known, behind, draining, loading, resting }
+        RolloutProgress { known, behind, draining, loading, backing_off }
     }
 
     fn behind(&self) -> Vec<(&EndpointId, &Engine)> {
@@ -361,7 +366,7 @@
         let Some(engine) = self.engines.get(id) else { return false };
         let Step::Draining { since } = engine.step else { return false };
         let must_wait = 0 < engine.load.requests && !self.is_unused(engine, now);
-        let wait = if must_wait { self.settings.drain_limit } else { Duration::ZERO };
+        let wait = if must_wait { self.settings.max_drain_time } else { Duration::ZERO };
         wait.max(self.settings.drain_time) <= now.saturating_since(since)
     }
 
@@ -398,8 +403,8 @@
     /// Returns how many more engines may drain; some always may, however many are out of reach.
     fn places(&self, now: MonotonicTime) -> usize {
         let busy = self.engines.values().filter(|engine| engine.step != Step::Idle).count();
-        let resting = self.engines.values().filter(|engine| engine.rests(now)).count();
-        let left = self.most_at_once().saturating_sub(busy + resting);
+        let backing_off = self.engines.values().filter(|engine| engine.rests(now)).count();
+        let left = self.most_at_once().saturating_sub(busy + backing_off);
         let always = (self.engines.len() as f64 * self.settings.always_share) as usize;
         left.max(always.max(self.settings.fewest_always).saturating_sub(busy))
     }
--- a/crates/fleet/tests/regression/slow_rollout.rs
+++ b/crates/fleet/tests/regression/slow_rollout.rs
@@ -57,7 +57,7 @@
             Rollout::new(RolloutSettings { unused_after, ..RolloutSettings::default() });
         let mut history = WeightsHistory::new();
         history.note(MonotonicTime::ZERO, 2, Duration::ZERO);
-        rollout.set_named(BTreeMap::from([("m".parse().unwrap(), history)]));
+        rollout.set_desired_weights(BTreeMap::from([("m".parse().unwrap(), history)]));
         let engine = |i: usize| Engine {
             id: format!("engine-{i}").parse().unwrap(),
             version: 1,
@@ -87,7 +87,7 @@
                 engine.loads_for = Some(LOAD as f64);
                 OrderOutcome::Accepted
             };
-            self.rollout.ordered(at, &order, outcome);
+            self.rollout.record_outcome(at, &order, outcome);
         }
         for engine in &mut self.engines {
             let news =
@@ -108,7 +108,7 @@
             engine.loads_for = (0.0 < left).then_some(left);
             if left <= 0.0 {
                 engine.version = 2;
-                self.rollout.reported(&engine.id, Incarnation::new(1), 2);
+                self.rollout.record_version(&engine.id, Incarnation::new(1), 2);
             }
         }
     }
--- a/crates/fleet/tests/rollout.rs
+++ b/crates/fleet/tests/rollout.rs
@@ -36,7 +36,7 @@
 
 fn rollout(version: u32) -> Rollout {
     let mut rollout = Rollout::new(RolloutSettings::default());
-    rollout.set_named(named(version));
+    rollout.set_desired_weights(named(version));
     rollout.set_engines(&(0..ENGINES).map(|i| engine(i, 1)).collect::<Vec<_>>());
     rollout
 }
@@ -48,11 +48,11 @@
     for now in (from..end).step_by(PERIOD as usize) {
         for (given, order) in &orders {
             if given + load <= now {
-                rollout.reported(&order.endpoint, order.incarnation, order.weights.version);
+                rollout.record_version(&order.endpoint, order.incarnation, order.weights.version);
             }
         }
         for order in rollout.orders(at(now)) {
-            rollout.ordered(at(now), &order, OrderOutcome::Accepted);
+            rollout.record_outcome(at(now), &order, OrderOutcome::Accepted);
             orders.push((now, order));
         }
         most = most.max(rollout.engine_updates().iter().filter(|news| news.paused).count());
@@ -83,7 +83,7 @@
 #[test]
 fn busy_engine_loads_once_its_requests_have_ended() {
     let mut rollout = Rollout::new(RolloutSettings::default());
-    rollout.set_named(named(2));
+    rollout.set_desired_weights(named(2));
     rollout.set_engines(&[engine(0, 1), engine(1, 2)]);
     rollout.set_loads(|_| EngineLoad { requests: 2, prefill_tokens: 0 });
     rollout.orders(at(0));
@@ -95,18 +95,18 @@
 #[test]
 fn endless_request_holds_no_load_up() {
     let mut rollout = Rollout::new(RolloutSettings::default());
-    rollout.set_named(named(2));
+    rollout.set_desired_weights(named(2));
     rollout.set_engines(&[engine(0, 1), engine(1, 2)]);
     rollout.set_loads(|_| EngineLoad { requests: 1, prefill_tokens: 0 });
     rollout.orders(at(0));
-    let limit = RolloutSettings::default().drain_limit.as_millis() as u64;
+    let limit = RolloutSettings::default().max_drain_time.as_millis() as u64;
     assert_eq!(rollout.orders(at(limit)).len(), 1);
 }
 
 #[test]
 fn oldest_weights_go_first() {
     let mut rollout = Rollout::new(RolloutSettings::default());
-    rollout.set_named(named(3));
+    rollout.set_desired_weights(named(3));
     let engines: Vec<_> = (0..ENGINES).map(|i| engine(i, if i < 7 { 2 } else { 1 })).collect();
     rollout.set_engines(&engines);
     rollout.orders(at(0));
@@ -120,7 +120,7 @@
 fn newer_version_overtakes_one_under_way() {
     let mut rollout = rollout(2);
     play(&mut rollout, 0, 500, 600);
-    rollout.set_named(named(3));
+    rollout.set_desired_weights(named(3));
     let orders = play(&mut rollout, 500, 6_000, 600);
     assert!(rollout.is_done());
     assert!(orders.iter().all(|(_, order)| order.weights.version == 3));
@@ -132,7 +132,7 @@
     rollout.set_engines(&[engine(0, 1), engine(1, 2)]);
     rollout.orders(at(0));
     let [order] = &rollout.orders(at(300))[..] else { panic!("one engine is behind") };
-    rollout.ordered(at(300), order, OrderOutcome::Unknown);
+    rollout.record_outcome(at(300), order, OrderOutcome::Unknown);
     assert_eq!(rollout.orders(at(1_000)), []);
     let retry = RolloutSettings::default().retry_after.as_millis() as u64;
     rollout.orders(at(300 + retry));
@@ -149,7 +149,7 @@
     let reborn = engines.iter_mut().find(|view| view.endpoint == old.endpoint).unwrap();
     (reborn.incarnation, reborn.version) = (Incarnation::new(2), 2);
     rollout.set_engines(&engines);
-    rollout.ordered(at(300), old, OrderOutcome::Accepted);
+    rollout.record_outcome(at(300), old, OrderOutcome::Accepted);
     assert!(
         !rollout.engine_updates().iter().any(|news| news.endpoint == old.endpoint && news.paused)
     );
@@ -158,7 +158,7 @@
 #[test]
 fn lone_engine_is_updated_too() {
     let mut rollout = Rollout::new(RolloutSettings::default());
-    rollout.set_named(named(2));
+    rollout.set_desired_weights(named(2));
     rollout.set_engines(&[engine(0, 1)]);
     rollout.orders(at(0));
     assert_eq!(rollout.orders(at(300)).len(), 1);
@@ -171,8 +171,9 @@
     let dark = |order: &LoadOrder| (0..4).any(|i| order.endpoint == engine(i, 1).endpoint);
     for now in (0..2_000).step_by(PERIOD as usize) {
         for order in rollout.orders(at(now)) {
-            let outcome = if dark(&order) { OrderOutcome::Refused } else { OrderOutcome::Holds };
-            rollout.ordered(at(now), &order, outcome);
+            let outcome =
+                if dark(&order) { OrderOutcome::Refused } else { OrderOutcome::AlreadyLoaded };
+            rollout.record_outcome(at(now), &order, outcome);
         }
     }
     let behind = rollout.engine_updates().into_iter().filter(|news| news.version < 2).count();
@@ -184,7 +185,7 @@
 #[test]
 fn silent_engines_come_last() {
     let mut rollout = Rollout::new(RolloutSettings::default());
-    rollout.set_named(named(2));
+    rollout.set_desired_weights(named(2));
     let engines = (0..ENGINES).map(|i| EngineView { is_stale: i < 4, ..engine(i, 1) });
     rollout.set_engines(&engines.collect::<Vec<_>>());
     rollout.orders(at(0));
@@ -211,14 +212,14 @@
 #[test]
 fn engine_that_is_heard_again_rests_no_longer() {
     let mut rollout = Rollout::new(RolloutSettings::default());
-    rollout.set_named(named(2));
+    rollout.set_desired_weights(named(2));
     let heard_at = |millis| [EngineView { announced_at: at(millis), ..engine(0, 1) }, engine(1, 2)];
     rollout.set_engines(&heard_at(0));
     let mut now = 0;
     let mut refuse = |rollout: &mut Rollout| loop {
         now += PERIOD;
         if let [order] = &rollout.orders(at(now))[..] {
-            rollout.ordered(at(now), order, OrderOutcome::Refused);
+            rollout.record_outcome(at(now), order, OrderOutcome::Refused);
             return now;
         }
     };
