--- a/crates/daemon/src/edge/router/transfer.rs
+++ b/crates/daemon/src/edge/router/transfer.rs
@@ -39,8 +39,8 @@
             ..TransferSettings::default()
         };
         let allowed = wanted.preferences.kv_transfer;
-        let neighbours = allowed.asks_engines().then(|| self.neighbours(wanted, asking));
-        let store = if allowed.asks_store() { self.store() } else { None };
+        let neighbours = allowed.fetches_from_engines().then(|| self.neighbours(wanted, asking));
+        let store = if allowed.fetches_from_store() { self.store() } else { None };
         let places: Vec<_> = neighbours.into_iter().flatten().chain(store).collect();
         let sources: Vec<_> =
             places.iter().map(|(_, target)| self.source(asking.target, target)).collect();
@@ -65,7 +65,7 @@
 
     /// Returns the slot of the store, if engines may ask it.
     pub(super) fn store_slot(&self, wanted: &Wanted<'_>) -> Option<Slot> {
-        if !wanted.preferences.kv_transfer.asks_store() {
+        if !wanted.preferences.kv_transfer.fetches_from_store() {
             return None;
         }
         self.store().and_then(|(_, target)| target.slot())
--- a/crates/daemon/src/gateway/control.rs
+++ b/crates/daemon/src/gateway/control.rs
@@ -66,9 +66,9 @@
             log::info!(number:%, answer:? = answer; "configuration submitted");
             answer
         }
-        ControlCall::NameWeights(named) => {
+        ControlCall::SetDesiredWeights(named) => {
             let (model, version) = (named.model.clone(), named.version);
-            let answer = command(gateway, Command::NameWeights(named)).await;
+            let answer = command(gateway, Command::SetDesiredWeights(named)).await;
             log::info!(model:%, version, answer:? = answer; "weights submitted");
             answer
         }
--- a/crates/daemon/src/gateway/dialect.rs
+++ b/crates/daemon/src/gateway/dialect.rs
@@ -2,7 +2,7 @@
 
 use base::{EndpointId, HostId, Incarnation, ModelId, RequestId, Term, TokenCount};
 use bytes::Bytes;
-use fleet::{LoadOrder, NamedWeights, OrderOutcome, Publication};
+use fleet::{DesiredWeights, LoadOrder, OrderOutcome, Publication};
 use hyper::{
     HeaderMap, Request, Response, StatusCode,
     header::HeaderValue,
@@ -181,7 +181,7 @@
     /// Reads the configuration in force.
     ReadConfiguration,
     /// Names weights.
-    NameWeights(NamedWeights),
+    SetDesiredWeights(DesiredWeights),
 }
 
 /// Why there is no [`ControlCall`].
@@ -216,7 +216,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineReport {
     /// The version of each model's weights.
-    pub weights: Vec<NamedWeights>,
+    pub weights: Vec<DesiredWeights>,
     /// Whether it carries out an order.
     pub busy: bool,
     /// The number of orders that it has accepted.
--- a/crates/daemon/src/gateway/follow.rs
+++ b/crates/daemon/src/gateway/follow.rs
@@ -161,7 +161,7 @@
                 log::info!(model:% = told.model, version = told.version,
                     age_ms = told.age.as_millis() as u64; "weights named");
             }
-            known.note(now, told.version, told.age);
+            known.record(now, told.version, told.age);
         }
         if let Some(replica) = &self.replica {
             // A full ring loses ages that the next view brings again.
--- a/crates/daemon/src/replica/driver.rs
+++ b/crates/daemon/src/replica/driver.rs
@@ -430,7 +430,7 @@
                 if matches!(command, Command::Change(_)) {
                     self.offer_configuration();
                 }
-                if matches!(command, Command::Publish(_) | Command::NameWeights(_)) {
+                if matches!(command, Command::Publish(_) | Command::SetDesiredWeights(_)) {
                     self.followers.note_change();
                     self.note_named();
                 }
@@ -511,7 +511,7 @@
         Command::Release(release) => &mut release.at,
         Command::Resolve(resolve) => &mut resolve.at,
         Command::OwnerGone(gone) => &mut gone.at,
-        Command::Publish(_) | Command::NameWeights(_) => return command,
+        Command::Publish(_) | Command::SetDesiredWeights(_) => return command,
     };
     *at = now;
     command
--- a/crates/daemon/src/replica/followers.rs
+++ b/crates/daemon/src/replica/followers.rs
@@ -88,7 +88,7 @@
     pub(super) fn note_named(&mut self, now: MonotonicTime, published: &Published) {
         for named in published.weights() {
             let history = self.weights.entry(named.model).or_default();
-            history.note(now, named.version, Duration::ZERO);
+            history.record(now, named.version, Duration::ZERO);
         }
     }
 
@@ -96,7 +96,7 @@
     pub(super) fn note_ages(&mut self, now: MonotonicTime, ages: &[WeightsAge]) {
         for told in ages {
             let history = self.weights.entry(told.model.clone()).or_default();
-            history.note(now, told.version, told.age);
+            history.record(now, told.version, told.age);
         }
     }
 
--- a/crates/fleet/src/command.rs
+++ b/crates/fleet/src/command.rs
@@ -8,7 +8,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::{NamedWeights, Publication};
+use crate::{DesiredWeights, Publication};
 
 /// The process that holds a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -207,5 +207,5 @@
     /// Puts a numbered configuration in force.
     Publish(Publication),
     /// Names the weights that engines are to have.
-    NameWeights(NamedWeights),
+    SetDesiredWeights(DesiredWeights),
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -65,7 +65,7 @@
     diff::{Difference, diff},
     explanation::{Explanation, Source},
     ledger::{KEPT_BODY_BYTES, KEPT_CALLS, Ledger, RESOLVE_MARGIN},
-    published::{ConfigurationNumber, NamedWeights, Publication, PublishReply, Published},
+    published::{ConfigurationNumber, DesiredWeights, Publication, PublishReply, Published},
     reply::{
         ChangeRecord, ChangeReply, ClaimReply, Doubt, FinishReply, ReleaseReply, Reply,
         ResolveReply,
--- a/crates/fleet/src/published.rs
+++ b/crates/fleet/src/published.rs
@@ -48,7 +48,7 @@
 
 /// The version of a model's weights that operators want on all engines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NamedWeights {
+pub struct DesiredWeights {
     /// The model.
     pub model: ModelId,
     /// The version, from 1.
@@ -78,9 +78,9 @@
     }
 
     /// Returns the weights named.
-    pub fn weights(&self) -> Vec<NamedWeights> {
+    pub fn weights(&self) -> Vec<DesiredWeights> {
         let named = self.weights.iter();
-        named.map(|(model, &version)| NamedWeights { model: model.clone(), version }).collect()
+        named.map(|(model, &version)| DesiredWeights { model: model.clone(), version }).collect()
     }
 
     pub(crate) fn publish(&mut self, publication: &Publication) -> PublishReply {
@@ -93,7 +93,7 @@
     }
 
     /// Raises a model's version; returns the one in force.
-    pub(crate) fn name_weights(&mut self, named: &NamedWeights) -> u32 {
+    pub(crate) fn name_weights(&mut self, named: &DesiredWeights) -> u32 {
         let held = self.weights.entry(named.model.clone()).or_default();
         *held = named.version.max(*held);
         *held
--- a/crates/fleet/src/rollout.rs
+++ b/crates/fleet/src/rollout.rs
@@ -9,7 +9,7 @@
 use base::{Digest, EndpointId, Hasher, Incarnation, ModelId, MonotonicTime};
 use serde::{Deserialize, Serialize};
 
-use crate::{NamedWeights, WeightsHistory};
+use crate::{DesiredWeights, WeightsHistory};
 
 /// Most times that an engine's pause after a refusal doubles.
 const MAX_DOUBLINGS: u32 = 3;
@@ -128,7 +128,7 @@
     /// The life of its process.
     pub incarnation: Incarnation,
     /// What to load.
-    pub weights: NamedWeights,
+    pub weights: DesiredWeights,
 }
 
 /// What came of an order.
@@ -278,7 +278,7 @@
             let Some(engine) = self.engines.get_mut(id) else { continue };
             let version = newest(&self.named, &engine.model);
             engine.step = Step::Loading { since: now, target: version };
-            let weights = NamedWeights { model: engine.model.clone(), version };
+            let weights = DesiredWeights { model: engine.model.clone(), version };
             let (endpoint, incarnation) = (id.clone(), engine.incarnation);
             orders.push(LoadOrder { endpoint, incarnation, weights });
         }
--- a/crates/fleet/src/setting/choice.rs
+++ b/crates/fleet/src/setting/choice.rs
@@ -83,12 +83,12 @@
     }
 
     /// Returns whether another engine may be asked.
-    pub fn asks_engines(self) -> bool {
+    pub fn fetches_from_engines(self) -> bool {
         matches!(self, Self::Neighbour | Self::Both)
     }
 
     /// Returns whether the store may be asked.
-    pub fn asks_store(self) -> bool {
+    pub fn fetches_from_store(self) -> bool {
         matches!(self, Self::Store | Self::Both)
     }
 }
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -52,7 +52,7 @@
             Command::Publish(publication) => {
                 Reply::Publish(Arc::make_mut(&mut self.published).publish(publication))
             }
-            Command::NameWeights(named) => {
+            Command::SetDesiredWeights(named) => {
                 Reply::Weights(Arc::make_mut(&mut self.published).name_weights(named))
             }
         }
--- a/crates/fleet/src/weights_history.rs
+++ b/crates/fleet/src/weights_history.rs
@@ -50,7 +50,7 @@
     }
 
     /// Notes that a version had been named for `age` at `now`; the highest age that is told counts.
-    pub fn note(&mut self, now: MonotonicTime, version: u32, age: Duration) {
+    pub fn record(&mut self, now: MonotonicTime, version: u32, age: Duration) {
         let told = NamedVersion { version, noted: now, age };
         match self.named.binary_search_by_key(&version, |named| named.version) {
             Ok(i) if self.named[i].age_at(now) < age => self.named[i] = told,
--- a/crates/fleet/tests/regression/slow_rollout.rs
+++ b/crates/fleet/tests/regression/slow_rollout.rs
@@ -56,7 +56,7 @@
         let mut rollout =
             Rollout::new(RolloutSettings { unused_after, ..RolloutSettings::default() });
         let mut history = WeightsHistory::new();
-        history.note(MonotonicTime::ZERO, 2, Duration::ZERO);
+        history.record(MonotonicTime::ZERO, 2, Duration::ZERO);
         rollout.set_desired_weights(BTreeMap::from([("m".parse().unwrap(), history)]));
         let engine = |i: usize| Engine {
             id: format!("engine-{i}").parse().unwrap(),
--- a/crates/fleet/tests/rollout.rs
+++ b/crates/fleet/tests/rollout.rs
@@ -19,7 +19,7 @@
 /// Returns the history of a version that was named at the origin of time.
 fn named(version: u32) -> BTreeMap<ModelId, WeightsHistory> {
     let mut history = WeightsHistory::new();
-    history.note(MonotonicTime::ZERO, version, Duration::ZERO);
+    history.record(MonotonicTime::ZERO, version, Duration::ZERO);
     BTreeMap::from([("m".parse().unwrap(), history)])
 }
 
--- a/crates/fleet/tests/weights_history.rs
+++ b/crates/fleet/tests/weights_history.rs
@@ -17,15 +17,15 @@
 fn newest_version_is_not_outdated() {
     let mut history = WeightsHistory::new();
     assert_eq!(history.outdated_for(1, at(5)), Duration::ZERO);
-    history.note(at(10), 2, Duration::ZERO);
+    history.record(at(10), 2, Duration::ZERO);
     assert_eq!((history.version(), history.outdated_for(2, at(99))), (2, Duration::ZERO));
 }
 
 #[test]
 fn version_is_outdated_from_the_naming_of_the_next_one() {
     let mut history = WeightsHistory::new();
-    history.note(at(10), 2, Duration::ZERO);
-    history.note(at(50), 3, Duration::ZERO);
+    history.record(at(10), 2, Duration::ZERO);
+    history.record(at(50), 3, Duration::ZERO);
     assert_eq!(history.outdated_for(1, at(100)), millis(90));
     assert_eq!(history.outdated_for(2, at(100)), millis(50));
 }
@@ -33,8 +33,8 @@
 #[test]
 fn naming_before_the_start_of_the_process_counts() {
     let mut history = WeightsHistory::new();
-    history.note(at(10), 3, millis(4_000));
-    history.note(at(10), 2, millis(9_000));
+    history.record(at(10), 3, millis(4_000));
+    history.record(at(10), 2, millis(9_000));
     assert_eq!(history.outdated_for(2, at(20)), millis(4_010));
     assert_eq!(history.outdated_for(1, at(20)), millis(9_010));
 }
@@ -42,21 +42,21 @@
 #[test]
 fn age_never_falls() {
     let mut history = WeightsHistory::new();
-    history.note(at(0), 2, Duration::ZERO);
-    history.note(at(500), 2, millis(100));
+    history.record(at(0), 2, Duration::ZERO);
+    history.record(at(500), 2, millis(100));
     assert_eq!(history.outdated_for(1, at(500)), millis(500));
-    history.note(at(500), 2, millis(900));
+    history.record(at(500), 2, millis(900));
     assert_eq!(history.outdated_for(1, at(600)), millis(1_000));
 }
 
 #[test]
 fn ages_told_are_ages_noted() {
     let (mut teller, mut hearer) = (WeightsHistory::new(), WeightsHistory::new());
-    teller.note(at(1_000), 2, Duration::ZERO);
-    teller.note(at(3_000), 4, Duration::ZERO);
+    teller.record(at(1_000), 2, Duration::ZERO);
+    teller.record(at(3_000), 4, Duration::ZERO);
     let model = "m".parse().unwrap();
     for told in teller.ages(&model, at(5_000)) {
-        hearer.note(at(7), told.version, told.age);
+        hearer.record(at(7), told.version, told.age);
     }
     assert_eq!(hearer.outdated_for(1, at(7)), millis(4_000));
     assert_eq!(hearer.outdated_for(2, at(7)), millis(2_000));
