--- a/crates/bench/src/slopes/claims.rs
+++ b/crates/bench/src/slopes/claims.rs
@@ -8,8 +8,8 @@
 
 use base::{Digest, Incarnation, LogIndex, UnixMillis};
 use fleet::{
-    Answer, CallKey, Claim, ClaimId, ClaimReply, Command, Finish, FinishReply, Fleet, Outcome,
-    Owner, Reply,
+    CallKey, Claim, ClaimId, ClaimReply, Command, Finish, FinishReply, Fleet, Outcome, Owner,
+    Reply, StoredResponse,
 };
 use wire::leader::{LeaderAnswer, LeaderRequest};
 
@@ -172,7 +172,7 @@
 
 /// Returns the outcome of a claimed call.
 pub(super) fn finish(n: u64) -> Command {
-    let answer = Answer {
+    let answer = StoredResponse {
         status: 201,
         content_type: Some("application/json".into()),
         body: Some(vec![b'a'; ANSWER_BYTES].into()),
--- a/crates/daemon/src/admin/calls.rs
+++ b/crates/daemon/src/admin/calls.rs
@@ -1,5 +1,5 @@
 use base::{UnixMillis, Verdict};
-use fleet::{CallKey, CallState as State, Command, Held, Reply, Resolve, ResolveReply};
+use fleet::{CallKey, CallState as State, Command, GrantedClaim, Reply, Resolve, ResolveReply};
 use rouille::Request;
 use wire::{
     leader::{LeaderAnswer, LeaderRequest},
@@ -85,7 +85,7 @@
 
 fn to_wire(key: CallKey, call: fleet::Call) -> Call {
     let late_status = call.conflict.map(|conflict| conflict.status);
-    let shown = |state, verdict, held: Option<Held>| {
+    let shown = |state, verdict, held: Option<GrantedClaim>| {
         let owner = held.as_ref().map(|held| held.owner.clone());
         Call {
             organisation: key.organisation.clone(),
--- a/crates/daemon/src/edge/claims.rs
+++ b/crates/daemon/src/edge/claims.rs
@@ -3,8 +3,8 @@
 use base::{Digest, Incarnation, MonotonicTime, UnixMillis, Verdict};
 use bytes::Bytes;
 use fleet::{
-    Answer, CallKey, Claim, ClaimId, ClaimReply, Command, Doubt, Finish, Outcome, Owner, OwnerGone,
-    Release, Reply,
+    CallKey, Claim, ClaimId, ClaimReply, Command, Finish, MayHaveRunReason, Outcome, Owner,
+    OwnerGone, Release, Reply, StoredResponse,
 };
 use hyper::{Response, StatusCode, header::CONTENT_TYPE};
 use tokio::task::JoinHandle;
@@ -182,7 +182,7 @@
     /// Reports the answer, and waits a while until the ledger has it.
     ///
     /// The report goes on after the wait, and if the wait is cancelled.
-    pub(super) async fn answered(mut self, answer: Answer) {
+    pub(super) async fn answered(mut self, answer: StoredResponse) {
         self.told = true;
         let report = self.report(Outcome::Answered(answer));
         let _ = tokio::time::timeout(RECORD_TIMEOUT, report).await;
@@ -252,10 +252,12 @@
     match settled {
         ClaimReply::Finished(answer) => kept_answer(answer).map(Claimed::Answered),
         ClaimReply::Ran => Err(ran("the call ran by an operator's word; no answer is known")),
-        ClaimReply::MayHaveRun { why, .. } => {
+        ClaimReply::MayHaveRun { reason: why, .. } => {
             let why = match why {
-                Doubt::OutcomeLost => "the endpoint was lost after the call had been sent",
-                Doubt::OwnerGone => "the host that sent the call has ended",
+                MayHaveRunReason::OutcomeLost => {
+                    "the endpoint was lost after the call had been sent"
+                }
+                MayHaveRunReason::OwnerGone => "the host that sent the call has ended",
             };
             Err(Failure::broken(why, Verdict::MayHaveRun))
         }
@@ -279,7 +281,7 @@
     Failure::new(StatusCode::CONFLICT, "already run", detail, Verdict::Ran)
 }
 
-fn kept_answer(answer: Answer) -> Result<Response<Body>, Failure> {
+fn kept_answer(answer: StoredResponse) -> Result<Response<Body>, Failure> {
     let Some(body) = answer.body else {
         return Err(ran("the call ran; its answer was too large to keep"));
     };
--- a/crates/daemon/src/edge/services.rs
+++ b/crates/daemon/src/edge/services.rs
@@ -2,7 +2,7 @@
 
 use base::{Hasher, IdempotencyKey, OrganisationId, ParseError, ServiceId, Verdict};
 use bytes::Bytes;
-use fleet::{Answer, CallKey, Scope};
+use fleet::{CallKey, Scope, StoredResponse};
 use http_body_util::{BodyExt as _, Full, Limited};
 use hyper::{
     HeaderMap, Request, Response, StatusCode,
@@ -285,10 +285,14 @@
 
 impl ServiceAnswer {
     /// Returns what the ledger keeps; a body over `max_bytes` is left out.
-    fn kept(&self, max_bytes: usize) -> Answer {
+    fn kept(&self, max_bytes: usize) -> StoredResponse {
         let content_type = self.content_type.as_ref().and_then(|text| text.to_str().ok());
         let body = (self.body.len() <= max_bytes).then(|| self.body.as_ref().into());
-        Answer { status: self.status.as_u16(), content_type: content_type.map(Into::into), body }
+        StoredResponse {
+            status: self.status.as_u16(),
+            content_type: content_type.map(Into::into),
+            body,
+        }
     }
 
     pub(super) fn into_response(self) -> Response<Body> {
--- a/crates/fleet/src/call.rs
+++ b/crates/fleet/src/call.rs
@@ -6,9 +6,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    command::{Answer, ClaimId, Owner, Resolution},
+    command::{ClaimId, Owner, Resolution, StoredResponse},
     ledger::RESOLVE_MARGIN,
-    reply::Doubt,
+    reply::MayHaveRunReason,
 };
 
 /// A call that may not be repeated.
@@ -34,20 +34,20 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallState {
     /// An owner may send it.
-    Claimed(Held),
+    Claimed(GrantedClaim),
     /// It ran, and this came back.
-    Finished(Held, Answer),
+    Finished(GrantedClaim, StoredResponse),
     /// It may have run.
-    MayHaveRun(Held, Doubt),
+    MayHaveRun(GrantedClaim, MayHaveRunReason),
     /// Its owner sent nothing; it may be claimed again.
     Released,
     /// An operator has settled it for good.
-    Resolved(Held, Resolved),
+    Resolved(GrantedClaim, Resolved),
 }
 
 /// A claim that was given to an owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct GrantedClaim {
     /// The attempt.
     pub id: ClaimId,
     /// Who may send the call.
@@ -99,7 +99,7 @@
     }
 }
 
-impl Held {
+impl GrantedClaim {
     pub(crate) fn is_by(&self, id: ClaimId, owner: &Owner) -> bool {
         self.id == id && self.owner == *owner
     }
--- a/crates/fleet/src/calls.rs
+++ b/crates/fleet/src/calls.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    call::{Call, CallState, Held},
+    call::{Call, CallState, GrantedClaim},
     command::{Claim, ClaimId, Resolution},
     reply::ClaimReply,
     settings::Settings,
@@ -61,7 +61,7 @@
         self.open.len()
     }
 
-    pub(crate) fn open_claims(&self) -> impl Iterator<Item = (&IdempotencyKey, &Held)> {
+    pub(crate) fn open_claims(&self) -> impl Iterator<Item = (&IdempotencyKey, &GrantedClaim)> {
         self.open.iter().filter_map(|key| match &self.by_key.get(key)?.call.state {
             CallState::Claimed(held) => Some((key, held)),
             _ => None,
@@ -210,7 +210,7 @@
             CallState::Released => None,
             CallState::Finished(_, answer) => Some(ClaimReply::Finished(answer.clone())),
             CallState::MayHaveRun(_, why) => {
-                Some(ClaimReply::MayHaveRun { since: self.call.since, why: *why })
+                Some(ClaimReply::MayHaveRun { since: self.call.since, reason: *why })
             }
             CallState::Resolved(_, resolved) => Some(match resolved.resolution {
                 Resolution::Ran => ClaimReply::Ran,
--- a/crates/fleet/src/command.rs
+++ b/crates/fleet/src/command.rs
@@ -89,7 +89,7 @@
 
 /// What an endpoint answered to a call that may not be repeated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type, if any.
@@ -102,7 +102,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// The endpoint answered.
-    Answered(Answer),
+    Answered(StoredResponse),
     /// The call was sent, and its outcome is unknown.
     Unknown,
 }
--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -20,13 +20,14 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    call::{Call, CallState, Conflict, Held, Resolved},
+    call::{Call, CallState, Conflict, GrantedClaim, Resolved},
     calls::{Calls, Entry, Forgotten},
     command::{
-        Answer, CallKey, Claim, Finish, Outcome, Owner, OwnerGone, Release, Resolution, Resolve,
+        CallKey, Claim, Finish, Outcome, Owner, OwnerGone, Release, Resolution, Resolve,
+        StoredResponse,
     },
     contents::Reason,
-    reply::{ClaimReply, Doubt, FinishReply, ReleaseReply, ResolveReply},
+    reply::{ClaimReply, FinishReply, MayHaveRunReason, ReleaseReply, ResolveReply},
     settings::Settings,
 };
 
@@ -119,7 +120,7 @@
 
     pub(crate) fn claim(&mut self, claim: &Claim, settings: &Settings) -> ClaimReply {
         if let Some(held) = self.ended_holder(claim) {
-            self.settle(&claim.call, CallState::MayHaveRun(held, Doubt::OwnerGone));
+            self.settle(&claim.call, CallState::MayHaveRun(held, MayHaveRunReason::OwnerGone));
         }
         let send_within = settings.claim_send_deadline.as_duration();
         let known = self.entry_mut(&claim.call).and_then(|entry| entry.answer(claim));
@@ -174,7 +175,10 @@
                 FinishReply::Recorded
             }
             Outcome::Unknown => {
-                self.settle(&finish.call, CallState::MayHaveRun(held, Doubt::OutcomeLost));
+                self.settle(
+                    &finish.call,
+                    CallState::MayHaveRun(held, MayHaveRunReason::OutcomeLost),
+                );
                 FinishReply::Recorded
             }
         }
@@ -205,8 +209,10 @@
             }
             CallState::Finished(..)
             | CallState::Resolved(..)
-            | CallState::MayHaveRun(_, Doubt::OutcomeLost) => ReleaseReply::AlreadySettled,
-            CallState::Claimed(_) | CallState::MayHaveRun(_, Doubt::OwnerGone) => {
+            | CallState::MayHaveRun(_, MayHaveRunReason::OutcomeLost) => {
+                ReleaseReply::AlreadySettled
+            }
+            CallState::Claimed(_) | CallState::MayHaveRun(_, MayHaveRunReason::OwnerGone) => {
                 entry.remember_released(release.id);
                 self.settle(&release.call, CallState::Released);
                 ReleaseReply::Released
@@ -260,7 +266,7 @@
             .collect();
         let count = held_by_ended.len() as u32;
         for (call, held) in held_by_ended {
-            self.settle(&call, CallState::MayHaveRun(held, Doubt::OwnerGone));
+            self.settle(&call, CallState::MayHaveRun(held, MayHaveRunReason::OwnerGone));
         }
         count
     }
@@ -300,7 +306,7 @@
     }
 
     /// Returns the claim of an earlier life of the claimant's host.
-    fn ended_holder(&self, claim: &Claim) -> Option<Held> {
+    fn ended_holder(&self, claim: &Claim) -> Option<GrantedClaim> {
         let CallState::Claimed(held) = &self.call(&claim.call)?.state else {
             return None;
         };
@@ -313,8 +319,12 @@
 
     fn open(&mut self, claim: &Claim, send_within: Duration) {
         let calls = self.organisations.entry(claim.call.organisation.clone()).or_default();
-        let held =
-            Held { id: claim.id, owner: claim.owner.clone(), claimed_at: self.clock, send_within };
+        let held = GrantedClaim {
+            id: claim.id,
+            owner: claim.owner.clone(),
+            claimed_at: self.clock,
+            send_within,
+        };
         let call = Call::new(claim.request, CallState::Claimed(held), self.clock);
         self.kept_calls += usize::from(calls.call(&claim.call.key).is_none());
         calls.open(&claim.call.key, call);
@@ -330,7 +340,7 @@
     }
 
     /// Drops the body of an answer that is too large to keep.
-    fn bounded(&self, answer: &Answer, settings: &Settings) -> Answer {
+    fn bounded(&self, answer: &StoredResponse, settings: &Settings) -> StoredResponse {
         let mut answer = answer.clone();
         let room = KEPT_BODY_BYTES.saturating_sub(self.kept_body_bytes);
         let limit = room.min(settings.max_answer_bytes.as_u32() as usize);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -52,11 +52,11 @@
 mod weights_history;
 
 pub use crate::{
-    call::{Call, CallState, Conflict, Held, Resolved},
+    call::{Call, CallState, Conflict, GrantedClaim, Resolved},
     codec::CodecError,
     command::{
-        Answer, CallKey, Claim, ClaimId, Command, ConfigChange, Finish, Outcome, Owner, OwnerGone,
-        Release, Resolution, Resolve,
+        CallKey, Claim, ClaimId, Command, ConfigChange, Finish, Outcome, Owner, OwnerGone, Release,
+        Resolution, Resolve, StoredResponse,
     },
     configuration::{Configuration, HISTORY_COUNT, REMEMBERED_COUNT, REMEMBERED_TIME},
     contents::{Contents, DesiredModel, Exception, Organisation, Reason},
@@ -67,7 +67,7 @@
     ledger::{KEPT_BODY_BYTES, KEPT_CALLS, Ledger, RESOLVE_MARGIN},
     published::{ConfigurationNumber, DesiredWeights, Publication, PublishReply, Published},
     reply::{
-        ChangeRecord, ChangeReply, ClaimReply, Doubt, FinishReply, ReleaseReply, Reply,
+        ChangeRecord, ChangeReply, ClaimReply, FinishReply, MayHaveRunReason, ReleaseReply, Reply,
         ResolveReply,
     },
     rollout::{
--- a/crates/fleet/src/reply.rs
+++ b/crates/fleet/src/reply.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     PublishReply,
-    command::{Answer, Owner},
+    command::{Owner, StoredResponse},
     declaration_error::DeclarationError,
 };
 
@@ -59,7 +59,7 @@
     /// Another attempt holds the claim.
     InProgress(Owner),
     /// The call ran and this came back.
-    Finished(Answer),
+    Finished(StoredResponse),
     /// The call ran by an operator's word; no answer is known.
     Ran,
     /// The call may have run.
@@ -67,7 +67,7 @@
         /// Since when its outcome is unknown.
         since: UnixMillis,
         /// Why.
-        why: Doubt,
+        reason: MayHaveRunReason,
     },
     /// The call did not run and never will under this key.
     NotRun,
@@ -81,7 +81,7 @@
 
 /// Why a call's outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Doubt {
+pub enum MayHaveRunReason {
     /// Its owner lost the endpoint after it had begun to send.
     OutcomeLost,
     /// Its owner ended.
--- a/crates/fleet/tests/ledger.rs
+++ b/crates/fleet/tests/ledger.rs
@@ -7,8 +7,8 @@
 use base::{Digest, Incarnation, UnixMillis};
 use fixture::{Log, answer, at, call, claim, claimed, finish, owner, release, resolve};
 use fleet::{
-    CallState, Claim, ClaimId, ClaimReply, Command, Doubt, FinishReply, Outcome, OwnerGone,
-    ReleaseReply, Reply, Resolution, ResolveReply,
+    CallState, Claim, ClaimId, ClaimReply, Command, FinishReply, MayHaveRunReason, Outcome,
+    OwnerGone, ReleaseReply, Reply, Resolution, ResolveReply,
 };
 
 fn claim_by(id: u128, host: &str) -> Command {
@@ -27,8 +27,8 @@
     Command::OwnerGone(OwnerGone { owner: owner("a", incarnation), at: at(2_000) })
 }
 
-fn in_doubt(why: Doubt) -> Reply {
-    Reply::Claim(ClaimReply::MayHaveRun { since: at(2_000), why })
+fn in_doubt(why: MayHaveRunReason) -> Reply {
+    Reply::Claim(ClaimReply::MayHaveRun { since: at(2_000), reason: why })
 }
 
 fn finished() -> Reply {
@@ -72,7 +72,7 @@
         owner: owner("a", 2),
         at: at(2_000),
         ..claim("k", 2, "a")
-    }) => in_doubt(Doubt::OwnerGone);
+    }) => in_doubt(MayHaveRunReason::OwnerGone);
 
     owner_finishes: [claim_by(1, "a")] then answered() => Reply::Finish(FinishReply::Recorded);
     doubled_finish_is_harmless: [claim_by(1, "a"), answered()] then answered()
@@ -92,17 +92,17 @@
         then answered() => Reply::Finish(FinishReply::NotOwner);
 
     owner_loses_the_outcome: [claim_by(1, "a"), lost()] then claim_by(2, "b")
-        => in_doubt(Doubt::OutcomeLost);
+        => in_doubt(MayHaveRunReason::OutcomeLost);
     late_answer_settles_the_doubt: [claim_by(1, "a"), lost(), answered()] then claim_by(2, "b")
         => finished();
     doubt_does_not_undo_an_answer: [claim_by(1, "a"), answered(), lost()] then claim_by(2, "b")
         => finished();
     ended_owner_leaves_a_doubt: [claim_by(1, "a"), gone(1)] then claim_by(2, "b")
-        => in_doubt(Doubt::OwnerGone);
+        => in_doubt(MayHaveRunReason::OwnerGone);
     woken_owner_still_finishes: [claim_by(1, "a"), gone(1), answered()] then claim_by(2, "b")
         => finished();
     woken_owner_does_not_hold_the_claim: [claim_by(1, "a"), gone(1)] then claim_by(1, "a")
-        => in_doubt(Doubt::OwnerGone);
+        => in_doubt(MayHaveRunReason::OwnerGone);
     end_of_an_earlier_life_is_no_doubt: [claim_by(1, "a")] then gone(0) => Reply::OwnerGone(0);
     end_of_the_owner_counts_its_claims: [claim_by(1, "a"), claim_by(2, "b")]
         then gone(1) => Reply::OwnerGone(1);
