--- a/crates/fleet/src/call.rs
+++ b/crates/fleet/src/call.rs
@@ -100,22 +100,22 @@
 }
 
 impl GrantedClaim {
-    pub(crate) fn is_by(&self, id: ClaimId, owner: &Owner) -> bool {
+    pub(crate) fn matches(&self, id: ClaimId, owner: &Owner) -> bool {
         self.id == id && self.owner == *owner
     }
 
     /// Returns whether `owner` is a later life of the same host, so that the holder has ended.
-    pub(crate) fn is_before(&self, owner: &Owner) -> bool {
+    pub(crate) fn is_superseded_by(&self, owner: &Owner) -> bool {
         self.owner.host == owner.host && self.owner.incarnation < owner.incarnation
     }
 
     /// Returns whether the holder ended when `ended`, or a later life of its host, did.
-    pub(crate) fn ended_with(&self, ended: &Owner) -> bool {
+    pub(crate) fn has_ended_with(&self, ended: &Owner) -> bool {
         self.owner.host == ended.host && self.owner.incarnation <= ended.incarnation
     }
 
     /// Returns how long the owner might still send the call, with a margin.
-    pub(crate) fn time_to_safety(&self, now: UnixMillis) -> Duration {
+    pub(crate) fn time_until_resolvable(&self, now: UnixMillis) -> Duration {
         let needed = self.send_within.saturating_add(RESOLVE_MARGIN);
         needed.saturating_sub(now.saturating_since(self.claimed_at))
     }
--- a/crates/fleet/src/calls.rs
+++ b/crates/fleet/src/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of one organisation, and the order in which they are forgotten.
+//! The calls of one organisation, and the order in which they are evicted.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -13,7 +13,7 @@
 };
 
 /// Most ids of released attempts that a key remembers.
-const RELEASED_IDS: usize = 16;
+const MAX_RELEASED_IDS: usize = 16;
 
 /// Keys by the number of their settlement, the oldest first.
 type Settlements = BTreeMap<u64, IdempotencyKey>;
@@ -24,9 +24,9 @@
     by_key: BTreeMap<IdempotencyKey, Entry>,
     open: BTreeSet<IdempotencyKey>,
     /// Keys whose outcome is known.
-    known: Settlements,
+    known_outcome: Settlements,
     /// Keys whose call may have run.
-    doubted: Settlements,
+    in_doubt: Settlements,
 }
 
 /// A call and the attempts to send it.
@@ -37,9 +37,9 @@
     settlement: Option<u64>,
 }
 
-/// How much was forgotten.
+/// How much was evicted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Forgotten {
+pub(crate) struct Evicted {
     pub(crate) calls: usize,
     pub(crate) body_bytes: usize,
 }
@@ -63,7 +63,7 @@
 
     pub(crate) fn open_claims(&self) -> impl Iterator<Item = (&IdempotencyKey, &GrantedClaim)> {
         self.open.iter().filter_map(|key| match &self.by_key.get(key)?.call.state {
-            CallState::Claimed(held) => Some((key, held)),
+            CallState::Claimed(granted) => Some((key, granted)),
             _ => None,
         })
     }
@@ -78,11 +78,11 @@
         };
         entry.call = call;
         if let Some(number) = entry.settlement.take() {
-            self.unlist(number);
+            self.remove_settlement(number);
         }
     }
 
-    /// Moves a call to a state that is not open; returns the bytes of the body that it held.
+    /// Moves a call to a state that is not open; returns the bytes of the stored body that this frees.
     pub(crate) fn settle(
         &mut self,
         key: &IdempotencyKey,
@@ -95,32 +95,32 @@
         };
         let freed = entry.call.state.body_bytes();
         let earlier = entry.settlement.replace(number);
-        let list = if state.is_in_doubt() { &mut self.doubted } else { &mut self.known };
+        let list = if state.is_in_doubt() { &mut self.in_doubt } else { &mut self.known_outcome };
         list.insert(number, key.clone());
         entry.call.state = state;
         entry.call.since = now;
         self.open.remove(key);
         if let Some(earlier) = earlier {
-            self.unlist(earlier);
+            self.remove_settlement(earlier);
         }
         freed
     }
 
     /// Returns how many calls are not open.
     pub(crate) fn settled_count(&self) -> usize {
-        self.known.len() + self.doubted.len()
+        self.known_outcome.len() + self.in_doubt.len()
     }
 
     /// Forgets settled calls past their bounds.
-    pub(crate) fn forget(&mut self, now: UnixMillis, settings: &Settings) -> Forgotten {
-        let mut due = self.due(&self.known, now, settings);
-        due.extend(self.due(&self.doubted, now, settings));
+    pub(crate) fn evict_due(&mut self, now: UnixMillis, settings: &Settings) -> Evicted {
+        let mut due = self.due_keys(&self.known_outcome, now, settings);
+        due.extend(self.due_keys(&self.in_doubt, now, settings));
         self.remove_all(&due)
     }
 
     /// Forgets the oldest call whose outcome is known, or else the oldest one in doubt.
-    pub(crate) fn forget_oldest(&mut self) -> Forgotten {
-        let oldest = self.known.first_key_value().or(self.doubted.first_key_value());
+    pub(crate) fn evict_oldest(&mut self) -> Evicted {
+        let oldest = self.known_outcome.first_key_value().or(self.in_doubt.first_key_value());
         let due: Vec<_> = oldest.map(|(_, key)| key.clone()).into_iter().collect();
         self.remove_all(&due)
     }
@@ -130,13 +130,13 @@
     }
 
     pub(crate) fn last_settlement(&self) -> Option<u64> {
-        let known = self.known.last_key_value();
-        known.max(self.doubted.last_key_value()).map(|(number, _)| *number)
+        let known = self.known_outcome.last_key_value();
+        known.max(self.in_doubt.last_key_value()).map(|(number, _)| *number)
     }
 
     /// Returns whether the lists name each call exactly once and in the right place.
     pub(crate) fn is_consistent(&self) -> bool {
-        let listed = self.open.len() + self.known.len() + self.doubted.len();
+        let listed = self.open.len() + self.known_outcome.len() + self.in_doubt.len();
         listed == self.by_key.len()
             && self.by_key.iter().all(|(key, entry)| self.is_listed(key, entry))
     }
@@ -145,12 +145,18 @@
         let Some(number) = entry.settlement else {
             return entry.call.state.is_open() && self.open.contains(key);
         };
-        let list = if entry.call.state.is_in_doubt() { &self.doubted } else { &self.known };
+        let list =
+            if entry.call.state.is_in_doubt() { &self.in_doubt } else { &self.known_outcome };
         !entry.call.state.is_open() && list.get(&number) == Some(key)
     }
 
     /// Lists the keys at the front of `list` that are past a bound.
-    fn due(&self, list: &Settlements, now: UnixMillis, settings: &Settings) -> Vec<IdempotencyKey> {
+    fn due_keys(
+        &self,
+        list: &Settlements,
+        now: UnixMillis,
+        settings: &Settings,
+    ) -> Vec<IdempotencyKey> {
         let retention = settings.claim_retention.as_duration();
         let count = settings.claim_retention_count.as_u32() as usize;
         let excess = list.len().saturating_sub(count);
@@ -165,37 +171,37 @@
             .collect()
     }
 
-    fn remove_all(&mut self, due: &[IdempotencyKey]) -> Forgotten {
-        let mut forgotten = Forgotten::default();
+    fn remove_all(&mut self, due: &[IdempotencyKey]) -> Evicted {
+        let mut evicted = Evicted::default();
         for key in due {
             let Some(entry) = self.by_key.remove(key) else {
                 continue;
             };
             if let Some(number) = entry.settlement {
-                self.unlist(number);
+                self.remove_settlement(number);
             }
-            forgotten.calls += 1;
-            forgotten.body_bytes += entry.call.state.body_bytes();
+            evicted.calls += 1;
+            evicted.body_bytes += entry.call.state.body_bytes();
         }
-        forgotten
+        evicted
     }
 
-    fn unlist(&mut self, number: u64) {
-        self.known.remove(&number);
-        self.doubted.remove(&number);
+    fn remove_settlement(&mut self, number: u64) {
+        self.known_outcome.remove(&number);
+        self.in_doubt.remove(&number);
     }
 }
 
 impl Entry {
-    pub(crate) fn remember_released(&mut self, id: ClaimId) {
+    pub(crate) fn record_released(&mut self, id: ClaimId) {
         self.released.push_back(id);
-        if RELEASED_IDS < self.released.len() {
+        if MAX_RELEASED_IDS < self.released.len() {
             self.released.pop_front();
         }
     }
 
     /// Answers a claim from what is known, `None` if the key is free.
-    pub(crate) fn answer(&self, claim: &Claim) -> Option<ClaimReply> {
+    pub(crate) fn reply_to(&self, claim: &Claim) -> Option<ClaimReply> {
         if self.call.request != claim.request {
             return Some(ClaimReply::KeyReused);
         }
@@ -203,10 +209,10 @@
             return Some(ClaimReply::AttemptReleased);
         }
         match &self.call.state {
-            CallState::Claimed(held) if held.is_by(claim.id, &claim.owner) => {
-                Some(ClaimReply::Claimed { send_within: held.send_within })
+            CallState::Claimed(granted) if granted.matches(claim.id, &claim.owner) => {
+                Some(ClaimReply::Claimed { send_within: granted.send_within })
             }
-            CallState::Claimed(held) => Some(ClaimReply::InProgress(held.owner.clone())),
+            CallState::Claimed(granted) => Some(ClaimReply::InProgress(granted.owner.clone())),
             CallState::Released => None,
             CallState::Finished(_, answer) => Some(ClaimReply::Finished(answer.clone())),
             CallState::MayHaveRun(_, why) => {
--- a/crates/fleet/src/codec.rs
+++ b/crates/fleet/src/codec.rs
@@ -7,14 +7,14 @@
 use crate::{Command, declaration_error::DeclarationError};
 
 /// The format that this program writes and reads.
-const FORMAT: u8 = 1;
+const FORMAT_VERSION: u8 = 1;
 
 /// Bytes that are no command or snapshot of this program.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CodecError(Problem);
+pub struct CodecError(CodecErrorKind);
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Problem {
+enum CodecErrorKind {
     Empty,
     Format(u8),
     Damaged(postcard::Error),
@@ -26,33 +26,38 @@
 impl CodecError {
     /// Returns whether the bytes come from a program with another format.
     pub fn is_other_format(&self) -> bool {
-        matches!(self.0, Problem::Format(_))
+        matches!(self.0, CodecErrorKind::Format(_))
     }
 
     pub(crate) fn inconsistent() -> Self {
-        Self(Problem::Inconsistent)
+        Self(CodecErrorKind::Inconsistent)
     }
 }
 
 impl From<DeclarationError> for CodecError {
     fn from(e: DeclarationError) -> Self {
-        Self(Problem::Declaration(e))
+        Self(CodecErrorKind::Declaration(e))
     }
 }
 
 impl fmt::Display for CodecError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.0 {
-            Problem::Empty => f.write_str("no bytes; expected a format version"),
-            Problem::Format(found) => {
-                write!(f, "format version {found} is unknown; this program reads version {FORMAT}")
+            CodecErrorKind::Empty => f.write_str("no bytes; expected a format version"),
+            CodecErrorKind::Format(found) => {
+                write!(
+                    f,
+                    "format version {found} is unknown; this program reads version {FORMAT_VERSION}"
+                )
             }
-            Problem::Damaged(e) => write!(f, "damaged bytes: {e}"),
-            Problem::TrailingBytes(count) => {
+            CodecErrorKind::Damaged(e) => write!(f, "damaged bytes: {e}"),
+            CodecErrorKind::TrailingBytes(count) => {
                 write!(f, "damaged bytes: {count} left over after the value")
             }
-            Problem::Inconsistent => f.write_str("damaged bytes: the parts contradict each other"),
-            Problem::Declaration(e) => write!(f, "invalid declaration: {e}"),
+            CodecErrorKind::Inconsistent => {
+                f.write_str("damaged bytes: the parts contradict each other")
+            }
+            CodecErrorKind::Declaration(e) => write!(f, "invalid declaration: {e}"),
         }
     }
 }
@@ -76,13 +81,13 @@
 }
 
 pub(crate) fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    postcard::to_extend(value, vec![FORMAT]).expect("each type here has a postcard form")
+    postcard::to_extend(value, vec![FORMAT_VERSION]).expect("each type here has a postcard form")
 }
 
 pub(crate) fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
     let (value, left) = decode_first(bytes)?;
     if !left.is_empty() {
-        return Err(CodecError(Problem::TrailingBytes(left.len())));
+        return Err(CodecError(CodecErrorKind::TrailingBytes(left.len())));
     }
     Ok(value)
 }
@@ -90,10 +95,10 @@
 /// Reads a value and returns the bytes after it, which programs before a later part didn't write.
 pub(crate) fn decode_first<T: DeserializeOwned>(bytes: &[u8]) -> Result<(T, &[u8]), CodecError> {
     let Some((format, rest)) = bytes.split_first() else {
-        return Err(CodecError(Problem::Empty));
+        return Err(CodecError(CodecErrorKind::Empty));
     };
-    if *format != FORMAT {
-        return Err(CodecError(Problem::Format(*format)));
+    if *format != FORMAT_VERSION {
+        return Err(CodecError(CodecErrorKind::Format(*format)));
     }
-    postcard::take_from_bytes(rest).map_err(|e| CodecError(Problem::Damaged(e)))
+    postcard::take_from_bytes(rest).map_err(|e| CodecError(CodecErrorKind::Damaged(e)))
 }
--- a/crates/fleet/src/configuration.rs
+++ b/crates/fleet/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Defaults and exceptions in force, their history, and the answers to past changes.
+//! Defaults and exceptions in force, their history, and the replies to past changes.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -19,13 +19,13 @@
 };
 
 /// Most changes that the history keeps.
-pub const HISTORY_COUNT: usize = 1_000;
+pub const MAX_HISTORY_ENTRIES: usize = 1_000;
 
-/// Most change ids whose first answer is remembered.
-pub const REMEMBERED_COUNT: usize = 20_000;
+/// Most change ids whose first answer is stored.
+pub const MAX_STORED_REPLIES: usize = 20_000;
 
 /// How long a change id's first answer is remembered, by the commands' times.
-pub const REMEMBERED_TIME: Duration = Duration::from_secs(48 * 3600);
+pub const REPLY_RETENTION: Duration = Duration::from_secs(48 * 3600);
 
 /// The configuration in force and what led to it.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -40,13 +40,13 @@
     revision: Revision,
     text: Arc<str>,
     history: VecDeque<ChangeRecord>,
-    answers: BTreeMap<ChangeId, Remembered>,
-    answer_order: VecDeque<ChangeId>,
+    replies: BTreeMap<ChangeId, StoredReply>,
+    reply_order: VecDeque<ChangeId>,
     clock: UnixMillis,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Remembered {
+struct StoredReply {
     content: Digest,
     reply: ChangeReply,
     at: UnixMillis,
@@ -76,15 +76,15 @@
     /// Applies a change if it was made on the revision in force.
     pub(crate) fn apply(&mut self, change: &ConfigChange) -> ChangeReply {
         self.record.advance(change.at);
-        let content = content(change);
-        if let Some(remembered) = self.record.answers.get(&change.id) {
-            if remembered.content != content {
+        let content = digest_content(change);
+        if let Some(stored) = self.record.replies.get(&change.id) {
+            if stored.content != content {
                 return ChangeReply::IdReused;
             }
-            return remembered.reply.clone();
+            return stored.reply.clone();
         }
         let reply = self.decide(change);
-        self.record.remember(change.id.clone(), content, reply.clone());
+        self.record.store_reply(change.id.clone(), content, reply.clone());
         reply
     }
 
@@ -129,7 +129,7 @@
             reason: change.reason.clone(),
             at: change.at,
         });
-        if HISTORY_COUNT < self.history.len() {
+        if MAX_HISTORY_ENTRIES < self.history.len() {
             self.history.pop_front();
         }
         self.revision
@@ -142,37 +142,37 @@
         ChangeReply::Conflict { winner, current: self.revision }
     }
 
-    fn remember(&mut self, id: ChangeId, content: Digest, reply: ChangeReply) {
-        let remembered = Remembered { content, reply, at: self.clock };
-        self.answers.insert(id.clone(), remembered);
-        self.answer_order.push_back(id);
-        if REMEMBERED_COUNT < self.answer_order.len() {
-            self.forget_oldest();
+    fn store_reply(&mut self, id: ChangeId, content: Digest, reply: ChangeReply) {
+        let stored = StoredReply { content, reply, at: self.clock };
+        self.replies.insert(id.clone(), stored);
+        self.reply_order.push_back(id);
+        if MAX_STORED_REPLIES < self.reply_order.len() {
+            self.remove_oldest();
         }
     }
 
-    /// Moves time forward, never back, and forgets the answers that are too old.
+    /// Moves time forward, never back, and forgets the replies that are too old.
     fn advance(&mut self, at: UnixMillis) {
         self.clock = self.clock.max(at);
-        while self.oldest_is_old() {
-            self.forget_oldest();
+        while self.oldest_has_expired() {
+            self.remove_oldest();
         }
     }
 
-    fn oldest_is_old(&self) -> bool {
-        let oldest = self.answer_order.front().and_then(|id| self.answers.get(id));
-        oldest.is_some_and(|answer| REMEMBERED_TIME <= self.clock.saturating_since(answer.at))
+    fn oldest_has_expired(&self) -> bool {
+        let oldest = self.reply_order.front().and_then(|id| self.replies.get(id));
+        oldest.is_some_and(|reply| REPLY_RETENTION <= self.clock.saturating_since(reply.at))
     }
 
-    fn forget_oldest(&mut self) {
-        if let Some(id) = self.answer_order.pop_front() {
-            self.answers.remove(&id);
+    fn remove_oldest(&mut self) {
+        if let Some(id) = self.reply_order.pop_front() {
+            self.replies.remove(&id);
         }
     }
 }
 
 /// Digests what a resend repeats: all but its time.
-fn content(change: &ConfigChange) -> Digest {
+fn digest_content(change: &ConfigChange) -> Digest {
     Hasher::default()
         .field(&change.expected.as_u64().to_le_bytes())
         .field(change.author.as_str().as_bytes())
--- a/crates/fleet/src/declaration.rs
+++ b/crates/fleet/src/declaration.rs
@@ -14,7 +14,7 @@
 };
 
 /// Longest text of a declaration, in bytes.
-const MAX_BYTES: usize = 2 << 20;
+const MAX_DECLARATION_BYTES: usize = 2 << 20;
 
 /// A checked declaration.
 #[derive(Clone, Debug, Default)]
@@ -63,8 +63,8 @@
     /// # Ok::<(), Box<dyn std::error::Error>>(())
     /// ```
     pub fn from_toml(text: &str) -> Result<Self, DeclarationError> {
-        if MAX_BYTES < text.len() {
-            return Err(DeclarationError::too_long(text.len(), MAX_BYTES));
+        if MAX_DECLARATION_BYTES < text.len() {
+            return Err(DeclarationError::too_long(text.len(), MAX_DECLARATION_BYTES));
         }
         let contents: Contents = DeclarationFile::read(text)?.into();
         let index = Index::new(&contents);
@@ -135,7 +135,7 @@
         }
         let own = organisation.and_then(|id| self.index.by_organisation.get(id));
         let mut positions: Vec<_> =
-            own.into_iter().flatten().chain(&self.index.for_any).copied().collect();
+            own.into_iter().flatten().chain(&self.index.without_organisation).copied().collect();
         positions.retain(|position| {
             let exception = &self.contents.exceptions[*position];
             exception.scope.covers(scope) && exception.is_live(now)
@@ -181,7 +181,7 @@
     organisations: HashMap<OrganisationId, usize>,
     keys: HashMap<Digest, usize>,
     by_organisation: HashMap<OrganisationId, Vec<usize>>,
-    for_any: Vec<usize>,
+    without_organisation: Vec<usize>,
 }
 
 impl Index {
@@ -194,7 +194,7 @@
         for (position, exception) in contents.exceptions.iter().enumerate() {
             match &exception.scope.organisation {
                 Some(id) => index.by_organisation.entry(id.clone()).or_default().push(position),
-                None => index.for_any.push(position),
+                None => index.without_organisation.push(position),
             }
         }
         index
--- a/crates/fleet/src/declaration_error.rs
+++ b/crates/fleet/src/declaration_error.rs
@@ -13,7 +13,7 @@
 }
 
 /// Most of a value that a message shows, in characters.
-const SHOWN_CHARS: usize = 80;
+const MAX_SHOWN_CHARS: usize = 80;
 
 impl DeclarationError {
     /// Returns the line, from 1.
@@ -47,9 +47,9 @@
         Self::new(text, start, key, &value, &format!("expected {allowed}"))
     }
 
-    /// Describes a text of `found` bytes where `most` are allowed.
-    pub(crate) fn too_long(found: usize, most: usize) -> Self {
-        let message = format!("the text has {found} bytes; expected at most {most}").into();
+    /// Describes a text of `found` bytes where `max` are allowed.
+    pub(crate) fn too_long(found: usize, max: usize) -> Self {
+        let message = format!("the text has {found} bytes; expected at most {max}").into();
         Self { line: 1, column: 1, message }
     }
 
@@ -78,7 +78,7 @@
 impl error::Error for DeclarationError {}
 
 fn one_line(text: &str) -> String {
-    text.trim().lines().next().unwrap_or_default().chars().take(SHOWN_CHARS).collect()
+    text.trim().lines().next().unwrap_or_default().chars().take(MAX_SHOWN_CHARS).collect()
 }
 
 /// Finds the key and the value that `span` belongs to, in the line where it starts.
--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -9,9 +9,9 @@
 //! as a conflict.
 //!
 //! A key is open while an owner holds the claim to send its call, then settled. A settled key is
-//! forgotten after the organisation's retention time or when too many later ones are settled; calls
+//! evicted after the organisation's retention time or when too many later ones are settled; calls
 //! in doubt are counted apart, so that no flood of answered ones drives them out. An open key is
-//! never forgotten. A last bound holds over all organisations. Time is the highest time of any command, so it never moves back. Each
+//! never evicted. A last bound holds over all organisations. Time is the highest time of any command, so it never moves back. Each
 //! command forgets for its own organisation and for one other in turn.
 
 use std::{collections::BTreeMap, ops::Bound, time::Duration};
@@ -21,7 +21,7 @@
 
 use crate::{
     call::{Call, CallState, Conflict, GrantedClaim, Resolved},
-    calls::{Calls, Entry, Forgotten},
+    calls::{Calls, Entry, Evicted},
     command::{
         CallKey, Claim, Finish, Outcome, Owner, OwnerGone, Release, Resolution, Resolve,
         StoredResponse,
@@ -35,11 +35,11 @@
 pub const RESOLVE_MARGIN: Duration = Duration::from_secs(5);
 
 /// Most bytes of answers kept over all organisations; past it an answer is kept without its body.
-pub const KEPT_BODY_BYTES: usize = 32 << 20;
+pub const MAX_STORED_BODY_BYTES: usize = 32 << 20;
 
 /// Most calls kept over all organisations, open or settled; past it the organisation with the most
 /// settled calls loses its oldest one.
-pub const KEPT_CALLS: usize = 1 << 16;
+pub const MAX_STORED_CALLS: usize = 1 << 16;
 
 /// More settlements than any ledger reaches; a snapshot that claims more is damaged.
 const MAX_SETTLEMENTS: u64 = u64::MAX / 2;
@@ -50,18 +50,18 @@
     organisations: BTreeMap<OrganisationId, Calls>,
     clock: UnixMillis,
     next_settlement: u64,
-    kept_calls: usize,
-    kept_body_bytes: usize,
+    stored_calls: usize,
+    stored_body_bytes: usize,
     /// The organisation that the last command swept in turn.
-    swept: Option<OrganisationId>,
+    last_swept: Option<OrganisationId>,
     /// The last process of each host that is known to have ended.
-    ended: BTreeMap<HostId, Incarnation>,
+    ended_incarnations: BTreeMap<HostId, Incarnation>,
 }
 
 /// A view of the effective settings of each organisation.
-pub(crate) trait SettingsOf {
+pub(crate) trait SettingsSource {
     /// Returns the settings of `organisation` at `now`.
-    fn settings_of(&self, organisation: &OrganisationId, now: UnixMillis) -> Settings;
+    fn settings_for(&self, organisation: &OrganisationId, now: UnixMillis) -> Settings;
 }
 
 impl Ledger {
@@ -88,7 +88,7 @@
 
     /// Returns how many calls are remembered.
     pub fn len(&self) -> usize {
-        self.kept_calls
+        self.stored_calls
     }
 
     /// Returns whether no call is remembered.
@@ -102,7 +102,7 @@
     }
 
     /// Moves time forward, never back, and forgets what is too old.
-    pub(crate) fn advance<S: SettingsOf>(
+    pub(crate) fn advance<S: SettingsSource>(
         &mut self,
         at: UnixMillis,
         organisation: Option<&OrganisationId>,
@@ -112,18 +112,18 @@
         if let Some(organisation) = organisation {
             self.sweep(organisation, settings);
         }
-        if let Some(next) = self.next_in_turn() {
+        if let Some(next) = self.next_to_sweep() {
             self.sweep(&next, settings);
-            self.swept = Some(next);
+            self.last_swept = Some(next);
         }
     }
 
     pub(crate) fn claim(&mut self, claim: &Claim, settings: &Settings) -> ClaimReply {
-        if let Some(held) = self.ended_holder(claim) {
-            self.settle(&claim.call, CallState::MayHaveRun(held, MayHaveRunReason::OwnerGone));
+        if let Some(granted) = self.claim_of_ended_process(claim) {
+            self.settle(&claim.call, CallState::MayHaveRun(granted, MayHaveRunReason::OwnerGone));
         }
         let send_within = settings.claim_send_deadline.as_duration();
-        let known = self.entry_mut(&claim.call).and_then(|entry| entry.answer(claim));
+        let known = self.entry_mut(&claim.call).and_then(|entry| entry.reply_to(claim));
         if let Some(reply) = known {
             return reply;
         }
@@ -134,7 +134,7 @@
         if max_open <= self.open_claims(&claim.call.organisation) {
             return ClaimReply::TooMany;
         }
-        if self.call(&claim.call).is_none() && !self.make_room() {
+        if self.call(&claim.call).is_none() && !self.ensure_capacity() {
             return ClaimReply::TooMany;
         }
         self.open(claim, send_within);
@@ -145,13 +145,13 @@
         let Some(entry) = self.entry_mut(&finish.call) else {
             return FinishReply::Unknown;
         };
-        let held = match &entry.call.state {
+        let granted = match &entry.call.state {
             CallState::Released => return FinishReply::NotOwner,
-            CallState::Claimed(held)
-            | CallState::MayHaveRun(held, _)
-            | CallState::Finished(held, _)
-            | CallState::Resolved(held, _)
-                if !held.is_by(finish.id, &finish.owner) =>
+            CallState::Claimed(granted)
+            | CallState::MayHaveRun(granted, _)
+            | CallState::Finished(granted, _)
+            | CallState::Resolved(granted, _)
+                if !granted.matches(finish.id, &finish.owner) =>
             {
                 return FinishReply::NotOwner;
             }
@@ -166,18 +166,18 @@
                 entry.call.conflict = Some(Conflict { status: answer.status, at: finish.at });
                 return FinishReply::Conflict;
             }
-            CallState::Claimed(held) | CallState::MayHaveRun(held, _) => held.clone(),
+            CallState::Claimed(granted) | CallState::MayHaveRun(granted, _) => granted.clone(),
         };
         match &finish.outcome {
             Outcome::Answered(answer) => {
-                let answer = self.bounded(answer, settings);
-                self.settle(&finish.call, CallState::Finished(held, answer));
+                let answer = self.limit_body(answer, settings);
+                self.settle(&finish.call, CallState::Finished(granted, answer));
                 FinishReply::Recorded
             }
             Outcome::Unknown => {
                 self.settle(
                     &finish.call,
-                    CallState::MayHaveRun(held, MayHaveRunReason::OutcomeLost),
+                    CallState::MayHaveRun(granted, MayHaveRunReason::OutcomeLost),
                 );
                 FinishReply::Recorded
             }
@@ -186,24 +186,24 @@
 
     pub(crate) fn release(&mut self, release: &Release) -> ReleaseReply {
         let Some(entry) = self.entry_mut(&release.call) else {
-            return self.release_ahead(release);
+            return self.release_before_claim(release);
         };
         if entry.released.contains(&release.id) {
             return ReleaseReply::Released;
         }
         match &entry.call.state {
             CallState::Released => {
-                entry.remember_released(release.id);
+                entry.record_released(release.id);
                 ReleaseReply::Released
             }
-            CallState::Claimed(held)
-            | CallState::MayHaveRun(held, _)
-            | CallState::Finished(held, _)
-            | CallState::Resolved(held, _)
-                if !held.is_by(release.id, &release.owner) =>
+            CallState::Claimed(granted)
+            | CallState::MayHaveRun(granted, _)
+            | CallState::Finished(granted, _)
+            | CallState::Resolved(granted, _)
+                if !granted.matches(release.id, &release.owner) =>
             {
-                if held.id != release.id {
-                    entry.remember_released(release.id);
+                if granted.id != release.id {
+                    entry.record_released(release.id);
                 }
                 ReleaseReply::NotOwner
             }
@@ -213,7 +213,7 @@
                 ReleaseReply::AlreadySettled
             }
             CallState::Claimed(_) | CallState::MayHaveRun(_, MayHaveRunReason::OwnerGone) => {
-                entry.remember_released(release.id);
+                entry.record_released(release.id);
                 self.settle(&release.call, CallState::Released);
                 ReleaseReply::Released
             }
@@ -228,13 +228,13 @@
         let Some(entry) = self.entry_mut(&resolve.call) else {
             return ResolveReply::Unknown;
         };
-        let held = match &entry.call.state {
-            CallState::Claimed(held) | CallState::MayHaveRun(held, _) => held.clone(),
+        let granted = match &entry.call.state {
+            CallState::Claimed(granted) | CallState::MayHaveRun(granted, _) => granted.clone(),
             CallState::Finished(..) | CallState::Resolved(..) | CallState::Released => {
                 return ResolveReply::AlreadySettled;
             }
         };
-        let wait = held.time_to_safety(clock);
+        let wait = granted.time_until_resolvable(clock);
         if resolve.resolution == Resolution::NotRun && !wait.is_zero() {
             return ResolveReply::TooEarly { wait };
         }
@@ -244,29 +244,29 @@
             reason: resolve.reason.clone(),
             at: resolve.at,
         };
-        self.settle(&resolve.call, CallState::Resolved(held, resolved));
+        self.settle(&resolve.call, CallState::Resolved(granted, resolved));
         ResolveReply::Resolved
     }
 
     /// Marks every open claim of the ended processes; returns how many there were.
     pub(crate) fn owner_gone(&mut self, gone: &OwnerGone) -> u32 {
-        let ended = self.ended.entry(gone.owner.host.clone()).or_default();
+        let ended = self.ended_incarnations.entry(gone.owner.host.clone()).or_default();
         *ended = gone.owner.incarnation.max(*ended);
-        let held_by_ended: Vec<_> = self
+        let claims_of_ended: Vec<_> = self
             .organisations
             .iter()
             .flat_map(|(organisation, calls)| {
-                calls.open_claims().map(move |(key, held)| (organisation, key, held))
+                calls.open_claims().map(move |(key, granted)| (organisation, key, granted))
             })
-            .filter(|(_, _, held)| held.ended_with(&gone.owner))
-            .map(|(organisation, key, held)| {
+            .filter(|(_, _, granted)| granted.has_ended_with(&gone.owner))
+            .map(|(organisation, key, granted)| {
                 let call = CallKey { organisation: organisation.clone(), key: key.clone() };
-                (call, held.clone())
+                (call, granted.clone())
             })
             .collect();
-        let count = held_by_ended.len() as u32;
-        for (call, held) in held_by_ended {
-            self.settle(&call, CallState::MayHaveRun(held, MayHaveRunReason::OwnerGone));
+        let count = claims_of_ended.len() as u32;
+        for (call, granted) in claims_of_ended {
+            self.settle(&call, CallState::MayHaveRun(granted, MayHaveRunReason::OwnerGone));
         }
         count
     }
@@ -278,23 +278,23 @@
         let numbers = self.organisations.values().filter_map(Calls::last_settlement);
         let next = numbers.max().map_or(0, |last| last.saturating_add(1));
         self.organisations.values().all(Calls::is_consistent)
-            && calls == self.kept_calls
-            && bytes == self.kept_body_bytes
+            && calls == self.stored_calls
+            && bytes == self.stored_body_bytes
             && next <= self.next_settlement
             && self.next_settlement < MAX_SETTLEMENTS
     }
 
     /// Remembers a release whose claim may still arrive, so that nobody holds the key then.
-    fn release_ahead(&mut self, release: &Release) -> ReleaseReply {
-        if !self.make_room() {
+    fn release_before_claim(&mut self, release: &Release) -> ReleaseReply {
+        if !self.ensure_capacity() {
             return ReleaseReply::Unknown;
         }
         let calls = self.organisations.entry(release.call.organisation.clone()).or_default();
         let call = Call::new(release.request, CallState::Released, self.clock);
         calls.open(&release.call.key, call);
-        self.kept_calls += 1;
+        self.stored_calls += 1;
         if let Some(entry) = self.entry_mut(&release.call) {
-            entry.remember_released(release.id);
+            entry.record_released(release.id);
         }
         self.settle(&release.call, CallState::Released);
         ReleaseReply::Released
@@ -302,15 +302,15 @@
 
     /// Returns whether a process is known to have ended, so that its late claims open nothing.
     fn has_ended(&self, owner: &Owner) -> bool {
-        self.ended.get(&owner.host).is_some_and(|ended| owner.incarnation <= *ended)
+        self.ended_incarnations.get(&owner.host).is_some_and(|ended| owner.incarnation <= *ended)
     }
 
     /// Returns the claim of an earlier life of the claimant's host.
-    fn ended_holder(&self, claim: &Claim) -> Option<GrantedClaim> {
-        let CallState::Claimed(held) = &self.call(&claim.call)?.state else {
+    fn claim_of_ended_process(&self, claim: &Claim) -> Option<GrantedClaim> {
+        let CallState::Claimed(granted) = &self.call(&claim.call)?.state else {
             return None;
         };
-        held.is_before(&claim.owner).then(|| held.clone())
+        granted.is_superseded_by(&claim.owner).then(|| granted.clone())
     }
 
     fn entry_mut(&mut self, call: &CallKey) -> Option<&mut Entry> {
@@ -319,14 +319,14 @@
 
     fn open(&mut self, claim: &Claim, send_within: Duration) {
         let calls = self.organisations.entry(claim.call.organisation.clone()).or_default();
-        let held = GrantedClaim {
+        let granted = GrantedClaim {
             id: claim.id,
             owner: claim.owner.clone(),
             claimed_at: self.clock,
             send_within,
         };
-        let call = Call::new(claim.request, CallState::Claimed(held), self.clock);
-        self.kept_calls += usize::from(calls.call(&claim.call.key).is_none());
+        let call = Call::new(claim.request, CallState::Claimed(granted), self.clock);
+        self.stored_calls += usize::from(calls.call(&claim.call.key).is_none());
         calls.open(&claim.call.key, call);
     }
 
@@ -334,56 +334,56 @@
         let Some(calls) = self.organisations.get_mut(&call.organisation) else {
             return;
         };
-        self.kept_body_bytes += state.body_bytes();
-        self.kept_body_bytes -= calls.settle(&call.key, state, self.clock, self.next_settlement);
+        self.stored_body_bytes += state.body_bytes();
+        self.stored_body_bytes -= calls.settle(&call.key, state, self.clock, self.next_settlement);
         self.next_settlement += 1;
     }
 
     /// Drops the body of an answer that is too large to keep.
-    fn bounded(&self, answer: &StoredResponse, settings: &Settings) -> StoredResponse {
+    fn limit_body(&self, answer: &StoredResponse, settings: &Settings) -> StoredResponse {
         let mut answer = answer.clone();
-        let room = KEPT_BODY_BYTES.saturating_sub(self.kept_body_bytes);
-        let limit = room.min(settings.max_answer_bytes.as_u32() as usize);
+        let remaining = MAX_STORED_BODY_BYTES.saturating_sub(self.stored_body_bytes);
+        let limit = remaining.min(settings.max_answer_bytes.as_u32() as usize);
         answer.body = answer.body.filter(|body| body.len() <= limit);
         answer
     }
 
-    fn next_in_turn(&self) -> Option<OrganisationId> {
-        let after = self.swept.as_ref().map_or(Bound::Unbounded, Bound::Excluded);
+    fn next_to_sweep(&self) -> Option<OrganisationId> {
+        let after = self.last_swept.as_ref().map_or(Bound::Unbounded, Bound::Excluded);
         let mut later = self.organisations.range::<OrganisationId, _>((after, Bound::Unbounded));
         later.next().or_else(|| self.organisations.first_key_value()).map(|(id, _)| id.clone())
     }
 
-    fn sweep<S: SettingsOf>(&mut self, organisation: &OrganisationId, settings: &S) {
+    fn sweep<S: SettingsSource>(&mut self, organisation: &OrganisationId, settings: &S) {
         let Some(calls) = self.organisations.get_mut(organisation) else {
             return;
         };
-        let settings = settings.settings_of(organisation, self.clock);
-        let forgotten = calls.forget(self.clock, &settings);
-        self.account(organisation, forgotten);
+        let settings = settings.settings_for(organisation, self.clock);
+        let evicted = calls.evict_due(self.clock, &settings);
+        self.subtract_evicted(organisation, evicted);
     }
 
-    /// Keeps within [`KEPT_CALLS`]; returns whether there is room for one more call.
-    fn make_room(&mut self) -> bool {
-        if self.kept_calls < KEPT_CALLS {
+    /// Keeps within [`MAX_STORED_CALLS`]; returns whether there is room for one more call.
+    fn ensure_capacity(&mut self) -> bool {
+        if self.stored_calls < MAX_STORED_CALLS {
             return true;
         }
         let largest = self.organisations.iter_mut().max_by_key(|(_, calls)| calls.settled_count());
         let Some((organisation, calls)) = largest else {
             return false;
         };
-        let (organisation, forgotten) = (organisation.clone(), calls.forget_oldest());
-        self.account(&organisation, forgotten);
-        forgotten != Forgotten::default()
+        let (organisation, evicted) = (organisation.clone(), calls.evict_oldest());
+        self.subtract_evicted(&organisation, evicted);
+        evicted != Evicted::default()
     }
 
-    fn account(&mut self, organisation: &OrganisationId, forgotten: Forgotten) {
-        self.kept_calls -= forgotten.calls;
-        self.kept_body_bytes -= forgotten.body_bytes;
-        self.forget_if_empty(organisation);
+    fn subtract_evicted(&mut self, organisation: &OrganisationId, evicted: Evicted) {
+        self.stored_calls -= evicted.calls;
+        self.stored_body_bytes -= evicted.body_bytes;
+        self.remove_if_empty(organisation);
     }
 
-    fn forget_if_empty(&mut self, organisation: &OrganisationId) {
+    fn remove_if_empty(&mut self, organisation: &OrganisationId) {
         if self.organisations.get(organisation).is_some_and(|calls| calls.iter().len() == 0) {
             self.organisations.remove(organisation);
         }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -40,6 +40,7 @@
 mod diff;
 mod explanation;
 mod ledger;
+mod order_gate;
 pub mod orders;
 mod published;
 mod reply;
@@ -48,7 +49,6 @@
 pub mod setting;
 mod settings;
 mod state;
-mod tenure;
 mod weights_history;
 
 pub use crate::{
@@ -58,13 +58,14 @@
         CallKey, Claim, ClaimId, Command, ConfigChange, Finish, Outcome, Owner, OwnerGone, Release,
         Resolution, Resolve, StoredResponse,
     },
-    configuration::{Configuration, HISTORY_COUNT, REMEMBERED_COUNT, REMEMBERED_TIME},
+    configuration::{Configuration, MAX_HISTORY_ENTRIES, MAX_STORED_REPLIES, REPLY_RETENTION},
     contents::{Contents, DesiredModel, Exception, Organisation, Reason},
     declaration::Declaration,
     declaration_error::DeclarationError,
     diff::{Difference, diff},
     explanation::{Explanation, Source},
-    ledger::{KEPT_BODY_BYTES, KEPT_CALLS, Ledger, RESOLVE_MARGIN},
+    ledger::{Ledger, MAX_STORED_BODY_BYTES, MAX_STORED_CALLS, RESOLVE_MARGIN},
+    order_gate::{Leadership, OrderGate, OrderPermission},
     published::{ConfigurationNumber, DesiredWeights, Publication, PublishReply, Published},
     reply::{
         ChangeRecord, ChangeReply, ClaimReply, FinishReply, MayHaveRunReason, ReleaseReply, Reply,
@@ -77,6 +78,5 @@
     scope::Scope,
     settings::{Overrides, SettingKey, SettingValue, Settings},
     state::Fleet,
-    tenure::{Leadership, OrderGate, OrderPermission},
     weights_history::{WeightsAge, WeightsHistory},
 };
--- a/crates/fleet/src/tenure.rs
+++ b/crates/fleet/src/order_gate.rs
@@ -29,31 +29,35 @@
 #[derive(Clone, Copy, Debug)]
 pub struct OrderGate {
     wait: Duration,
-    held: Option<(Term, MonotonicTime)>,
+    first_lease: Option<(Term, MonotonicTime)>,
 }
 
 impl OrderGate {
     /// Creates one that waits for `wait` after the beginning of each term.
     pub const fn new(wait: Duration) -> Self {
-        Self { wait, held: None }
+        Self { wait, first_lease: None }
     }
 
     /// Returns the term in which orders may be given, once the lease has run in it.
     pub fn term(&self) -> Option<Term> {
-        self.held.map(|(term, _)| term)
+        self.first_lease.map(|(term, _)| term)
     }
 
     /// Judges what the host may do at `now`; without a lead it holds nothing any more.
-    pub fn update(&mut self, now: MonotonicTime, lead: Option<Leadership>) -> OrderPermission {
-        let Some(lead) = lead else {
-            self.held = None;
+    pub fn update(
+        &mut self,
+        now: MonotonicTime,
+        leadership: Option<Leadership>,
+    ) -> OrderPermission {
+        let Some(leadership) = leadership else {
+            self.first_lease = None;
             return OrderPermission::Denied;
         };
-        self.held = self.held.filter(|(term, _)| *term == lead.term);
-        if !lead.has_lease {
+        self.first_lease = self.first_lease.filter(|(term, _)| *term == leadership.term);
+        if !leadership.has_lease {
             return OrderPermission::Denied;
         }
-        let (_, since) = *self.held.get_or_insert((lead.term, now));
+        let (_, since) = *self.first_lease.get_or_insert((leadership.term, now));
         match self.wait.saturating_sub(now.saturating_since(since)) {
             Duration::ZERO => OrderPermission::Granted,
             left => OrderPermission::After(left),
--- a/crates/fleet/src/orders.rs
+++ b/crates/fleet/src/orders.rs
@@ -51,7 +51,7 @@
     pub endpoint: EndpointId,
     /// The life of its process.
     pub incarnation: Incarnation,
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether it refuses an order with an outdated fencing token.
     pub checks_fencing: bool,
     /// Whether it takes new work.
     pub is_ready: bool,
@@ -86,8 +86,8 @@
     pub endpoint: EndpointId,
     /// The life of its process that the order is for.
     pub incarnation: Incarnation,
-    /// The fencing number: the term of the leader that decided it.
-    pub fencing: Term,
+    /// The fencing token: the term of the leader that decided it.
+    pub fencing_token: Term,
     /// What to do.
     pub action: Action,
 }
@@ -135,11 +135,11 @@
     /// Servers that may load weights at once over the site.
     pub weight_loads: WeightLoads,
     /// The leader's term.
-    pub fencing: Term,
-    /// Proof of the leader's lease; without it only endpoints that check fencing get orders.
+    pub fencing_token: Term,
+    /// Proof of the leader's lease; without it only endpoints that check fencing tokens get orders.
     pub lease: Option<LeaseProof>,
     /// How long an order may take to arrive at its endpoint.
-    pub delivery: Duration,
+    pub max_delivery_time: Duration,
     /// How long an effect may take to show; after it the order counts as lost.
     pub effect_timeout: Duration,
     /// Whether earlier orders are waited for.
@@ -149,7 +149,7 @@
 /// Decides the orders that bring the reported state closer to the desired one.
 ///
 /// At most [`Limits::weight_loads`] loads of weights run at once, with those in progress. The last
-/// ready server of a model that is desired or busy keeps it. An endpoint that ignores fencing gets
+/// ready server of a model that is desired or busy keeps it. An endpoint that ignores fencing tokens gets
 /// an order only under [`Limits::lease`], and only one such endpoint has an order at a time.
 pub fn plan(
     desired: &[DesiredModel],
@@ -160,8 +160,8 @@
 ) -> Vec<Order> {
     let mut round = Round::new(desired, reported, in_progress, now, limits);
     for model in desired {
-        round.mend_servers(model);
-        round.mend_roles(model);
+        round.plan_servers(model);
+        round.plan_roles(model);
     }
     round.orders
 }
@@ -179,7 +179,7 @@
         return effect_timeout <= now.saturating_since(entry.sent);
     };
     order.incarnation < engine.incarnation
-        || order.action.shows_on(engine)
+        || order.action.is_visible_on(engine)
         || effect_timeout <= now.saturating_since(entry.sent)
 }
 
@@ -190,9 +190,9 @@
 }
 
 impl Action {
-    fn shows_on(&self, engine: &ReportedEngine) -> bool {
+    fn is_visible_on(&self, engine: &ReportedEngine) -> bool {
         match self {
-            Self::LoadModel(wanted) => engine.models.iter().any(|loaded| loaded.has(wanted)),
+            Self::LoadModel(wanted) => engine.models.iter().any(|loaded| loaded.satisfies(wanted)),
             Self::LoadAdapter { model, adapter } => engine
                 .models
                 .iter()
@@ -208,7 +208,7 @@
 
 impl LoadedModel {
     /// Returns whether this is `wanted` with at least its adapters.
-    fn has(&self, wanted: &Self) -> bool {
+    fn satisfies(&self, wanted: &Self) -> bool {
         self.is_version_of(wanted) && wanted.adapters.iter().all(|id| self.adapters.contains(id))
     }
 
@@ -229,7 +229,7 @@
 
 impl ReportedEngine {
     fn serves(&self, wanted: &LoadedModel) -> bool {
-        self.is_ready && self.models.iter().any(|loaded| loaded.has(wanted))
+        self.is_ready && self.models.iter().any(|loaded| loaded.satisfies(wanted))
     }
 
     fn missing_adapter<'a>(&self, wanted: &'a LoadedModel) -> Option<&'a AdapterId> {
--- a/crates/fleet/src/orders/round.rs
+++ b/crates/fleet/src/orders/round.rs
@@ -18,7 +18,7 @@
     /// Orders whose effect is awaited.
     awaited: Vec<&'a Order>,
     /// Endpoints that may not get another order in this round.
-    taken: BTreeSet<&'a EndpointId>,
+    excluded: BTreeSet<&'a EndpointId>,
     loads_left: usize,
     unfenced_left: usize,
     now: MonotonicTime,
@@ -52,7 +52,7 @@
         Self {
             desired,
             reported,
-            taken: awaited.iter().filter(|_| is_aware).map(|order| &order.endpoint).collect(),
+            excluded: awaited.iter().filter(|_| is_aware).map(|order| &order.endpoint).collect(),
             loads_left: (limits.weight_loads.as_u32() as usize).saturating_sub(loads.len()),
             unfenced_left: usize::from(!is_unfenced_busy),
             awaited,
@@ -62,23 +62,24 @@
         }
     }
 
-    pub(super) fn mend_servers(&mut self, desired: &DesiredModel) {
+    pub(super) fn plan_servers(&mut self, desired: &DesiredModel) {
         let wanted = LoadedModel::from(desired);
         let minimum = desired.minimum_servers.as_u32() as usize;
-        let mut missing = minimum.saturating_sub(self.servers(&wanted) + self.coming(&wanted));
-        while 0 < missing && self.order_for(&wanted) {
+        let mut missing =
+            minimum.saturating_sub(self.servers(&wanted) + self.pending_servers(&wanted));
+        while 0 < missing && self.order_server(&wanted) {
             missing -= 1;
         }
     }
 
-    pub(super) fn mend_roles(&mut self, desired: &DesiredModel) {
+    pub(super) fn plan_roles(&mut self, desired: &DesiredModel) {
         let wanted = LoadedModel::from(desired);
         let target = desired.prefill_servers.map_or(0, |count| count.as_u32() as usize);
         let serving = |engine: &&ReportedEngine| engine.serves(&wanted);
         let servers: Vec<_> = self.reported.iter().filter(serving).collect();
         let in_role = |role| servers.iter().filter(move |engine| engine.role == role);
         let (prefill, mixed) = (in_role(Role::Prefill).count(), in_role(Role::Mixed).count());
-        let awaited = servers.iter().filter(|engine| self.awaits_role(engine)).count();
+        let awaited = servers.iter().filter(|engine| self.has_pending_role_change(engine)).count();
         let (from, to, wrong) = if prefill < target {
             (Role::Mixed, Role::Prefill, (target - prefill).min(mixed.saturating_sub(1)))
         } else {
@@ -88,14 +89,14 @@
         let mut left = wrong.saturating_sub(awaited);
         for engine in candidates {
             if 0 < left && self.may_order(engine) {
-                self.give(engine, Action::ChangeRole(to));
+                self.push_order(engine, Action::ChangeRole(to));
                 left -= 1;
             }
         }
     }
 
     /// Orders one more server for `wanted`; returns whether there was one.
-    fn order_for(&mut self, wanted: &LoadedModel) -> bool {
+    fn order_server(&mut self, wanted: &LoadedModel) -> bool {
         let reported = self.reported;
         let lacks_adapter = reported.iter().find(|engine| {
             self.may_order(engine) && engine.is_ready && engine.missing_adapter(wanted).is_some()
@@ -105,7 +106,7 @@
         {
             let action =
                 Action::LoadAdapter { model: wanted.model.clone(), adapter: adapter.clone() };
-            self.give(engine, action);
+            self.push_order(engine, action);
             return true;
         }
         if self.loads_left == 0 {
@@ -120,17 +121,19 @@
             return false;
         };
         self.loads_left -= 1;
-        self.give(engine, Action::LoadModel(wanted.clone()));
+        self.push_order(engine, Action::LoadModel(wanted.clone()));
         true
     }
 
     fn may_order(&self, engine: &ReportedEngine) -> bool {
         let has_order = self.orders.iter().any(|order| order.endpoint == engine.endpoint);
-        if has_order || self.taken.contains(&engine.endpoint) {
+        if has_order || self.excluded.contains(&engine.endpoint) {
             return false;
         }
-        let Limits { lease, fencing, delivery, .. } = self.limits;
-        let has_lease = || lease.is_some_and(|lease| lease.covers(*fencing, self.now, *delivery));
+        let Limits { lease, fencing_token, max_delivery_time, .. } = self.limits;
+        let has_lease = || {
+            lease.is_some_and(|lease| lease.covers(*fencing_token, self.now, *max_delivery_time))
+        };
         engine.checks_fencing || (0 < self.unfenced_left && has_lease())
     }
 
@@ -180,40 +183,40 @@
 
     fn servers(&self, wanted: &LoadedModel) -> usize {
         let serving = self.reported.iter().filter(|engine| engine.serves(wanted));
-        serving.filter(|engine| !self.known_orders().any(|order| order.reloads(engine))).count()
+        serving.filter(|engine| !self.pending_orders().any(|order| order.reloads(engine))).count()
     }
 
     /// Lists the orders that the planner minds.
-    fn known_orders(&self) -> impl Iterator<Item = &Order> {
+    fn pending_orders(&self) -> impl Iterator<Item = &Order> {
         let is_aware = self.limits.awareness == StateAwareness::On;
         let awaited = self.awaited.iter().copied().filter(move |_| is_aware);
         awaited.chain(&self.orders)
     }
 
     /// Counts the servers that earlier orders will bring.
-    fn coming(&self, wanted: &LoadedModel) -> usize {
-        let orders = self.known_orders().filter(|order| match &order.action {
-            Action::LoadModel(loading) => loading.has(wanted),
+    fn pending_servers(&self, wanted: &LoadedModel) -> usize {
+        let orders = self.pending_orders().filter(|order| match &order.action {
+            Action::LoadModel(loading) => loading.satisfies(wanted),
             Action::LoadAdapter { model, .. } => *model == wanted.model,
             Action::ChangeRole(_) => false,
         });
         orders.count()
     }
 
-    fn awaits_role(&self, engine: &ReportedEngine) -> bool {
-        self.known_orders().any(|order| {
+    fn has_pending_role_change(&self, engine: &ReportedEngine) -> bool {
+        self.pending_orders().any(|order| {
             order.endpoint == engine.endpoint && matches!(order.action, Action::ChangeRole(_))
         })
     }
 
-    fn give(&mut self, engine: &'a ReportedEngine, action: Action) {
+    fn push_order(&mut self, engine: &'a ReportedEngine, action: Action) {
         if !engine.checks_fencing {
             self.unfenced_left = self.unfenced_left.saturating_sub(1);
         }
         self.orders.push(Order {
             endpoint: engine.endpoint.clone(),
             incarnation: engine.incarnation,
-            fencing: self.limits.fencing,
+            fencing_token: self.limits.fencing_token,
             action,
         });
     }
--- a/crates/fleet/src/published.rs
+++ b/crates/fleet/src/published.rs
@@ -32,8 +32,8 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let wrong = || ParseError::new("configuration number", text, "a whole number from 0");
-        text.parse().map(Self).map_err(|_| wrong())
+        let invalid = || ParseError::new("configuration number", text, "a whole number from 0");
+        text.parse().map(Self).map_err(|_| invalid())
     }
 }
 
@@ -79,23 +79,23 @@
 
     /// Returns the weights named.
     pub fn weights(&self) -> Vec<DesiredWeights> {
-        let named = self.weights.iter();
-        named.map(|(model, &version)| DesiredWeights { model: model.clone(), version }).collect()
+        let weights = self.weights.iter();
+        weights.map(|(model, &version)| DesiredWeights { model: model.clone(), version }).collect()
     }
 
     pub(crate) fn publish(&mut self, publication: &Publication) -> PublishReply {
-        let held = self.publication.number;
-        if publication.number <= held {
-            return PublishReply::NotNewer(held);
+        let current = self.publication.number;
+        if publication.number <= current {
+            return PublishReply::NotNewer(current);
         }
         self.publication = publication.clone();
         PublishReply::InForce
     }
 
     /// Raises a model's version; returns the one in force.
-    pub(crate) fn name_weights(&mut self, named: &DesiredWeights) -> u32 {
-        let held = self.weights.entry(named.model.clone()).or_default();
-        *held = named.version.max(*held);
-        *held
+    pub(crate) fn set_desired_weights(&mut self, desired: &DesiredWeights) -> u32 {
+        let current = self.weights.entry(desired.model.clone()).or_default();
+        *current = desired.version.max(*current);
+        *current
     }
 }
--- a/crates/fleet/src/rollout.rs
+++ b/crates/fleet/src/rollout.rs
@@ -12,56 +12,56 @@
 use crate::{DesiredWeights, WeightsHistory};
 
 /// Most times that an engine's pause after a refusal doubles.
-const MAX_DOUBLINGS: u32 = 3;
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
 /// Bounds of a [`Rollout`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutSettings {
     /// Part of the engines that may drain, load or be out of reach at once; the others carry their
     /// requests.
-    pub share: f64,
+    pub unavailable_share: f64,
     /// Fewest engines that may drain or load at once, if there are more than that.
-    pub fewest: usize,
+    pub min_unavailable: usize,
     /// Part of the engines that may drain or load at once even if as many as may be are out of
     /// reach.
-    pub always_share: f64,
+    pub guaranteed_share: f64,
     /// Fewest engines of that part.
-    pub fewest_always: usize,
+    pub min_guaranteed: usize,
     /// Shortest time without new requests before an engine is told to load, so that all routers
     /// know.
-    pub drain_time: Duration,
+    pub min_drain_time: Duration,
     /// Longest wait for the requests that an engine still has, before it is told to load.
     pub max_drain_time: Duration,
     /// Part of the engines that load at once; more would only take longer each.
     pub load_share: f64,
     /// Fewest engines that may load at once.
-    pub fewest_loads: usize,
+    pub min_concurrent_loads: usize,
     /// Time that a load takes, after which the next one may begin.
-    pub load_time: Duration,
+    pub load_duration: Duration,
     /// Time after which an order without visible effect is given again.
-    pub retry_after: Duration,
+    pub order_timeout: Duration,
     /// Time after the naming of newer weights from which routers send nothing to older ones.
     pub unused_after: Duration,
     /// Time for which an engine that can't be reached, or refuses, is left alone; it doubles each
     /// time, unless the engine is heard again.
-    pub refusal_pause: Duration,
+    pub refusal_backoff: Duration,
 }
 
 impl Default for RolloutSettings {
     fn default() -> Self {
         Self {
-            share: 0.4,
-            fewest: 4,
-            always_share: 0.1,
-            fewest_always: 2,
-            drain_time: Duration::from_millis(250),
+            unavailable_share: 0.4,
+            min_unavailable: 4,
+            guaranteed_share: 0.1,
+            min_guaranteed: 2,
+            min_drain_time: Duration::from_millis(250),
             max_drain_time: Duration::from_millis(1_200),
             load_share: 0.2,
-            fewest_loads: 3,
-            load_time: Duration::from_millis(600),
-            retry_after: Duration::from_millis(2_500),
+            min_concurrent_loads: 3,
+            load_duration: Duration::from_millis(600),
+            order_timeout: Duration::from_millis(2_500),
             unused_after: Duration::from_millis(5_000),
-            refusal_pause: Duration::from_millis(1_000),
+            refusal_backoff: Duration::from_millis(1_000),
         }
     }
 }
@@ -154,7 +154,7 @@
     announced: u32,
     step: Step,
     /// The time for which it is left alone.
-    rest: Option<Rest>,
+    backoff: Option<Backoff>,
     /// Orders in a row that it refused or that did not reach it.
     refusals: u32,
     /// When its newest announcement was written.
@@ -165,11 +165,11 @@
 
 /// A time in which an engine that refused an order gets none.
 #[derive(Clone, Copy, Debug)]
-struct Rest {
+struct Backoff {
     /// Until when it lasts at least.
-    shortest: MonotonicTime,
+    earliest_end: MonotonicTime,
     /// Until when it lasts if the engine is not heard again.
-    longest: MonotonicTime,
+    latest_end: MonotonicTime,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -183,33 +183,34 @@
 #[derive(Clone, Debug)]
 pub struct Rollout {
     settings: RolloutSettings,
-    named: BTreeMap<ModelId, WeightsHistory>,
+    desired: BTreeMap<ModelId, WeightsHistory>,
     engines: BTreeMap<EndpointId, Engine>,
 }
 
 impl Rollout {
     /// Creates a rollout that knows no engine.
     pub fn new(settings: RolloutSettings) -> Self {
-        Self { settings, named: BTreeMap::new(), engines: BTreeMap::new() }
+        Self { settings, desired: BTreeMap::new(), engines: BTreeMap::new() }
     }
 
     /// Takes the weights that operators have named.
-    pub fn set_desired_weights(&mut self, named: BTreeMap<ModelId, WeightsHistory>) {
-        self.named = named;
+    pub fn set_desired_weights(&mut self, desired: BTreeMap<ModelId, WeightsHistory>) {
+        self.desired = desired;
     }
 
     /// Takes the engines that take requests, as announced; those missing are forgotten.
     pub fn set_engines(&mut self, engines: &[EngineView]) {
         self.engines.retain(|id, _| engines.iter().any(|view| view.endpoint == *id));
         for view in engines {
-            let known = self.engines.entry(view.endpoint.clone()).or_insert_with(|| new(view));
-            if known.incarnation != view.incarnation || known.model != view.model {
-                *known = new(view);
+            let engine =
+                self.engines.entry(view.endpoint.clone()).or_insert_with(|| new_engine(view));
+            if engine.incarnation != view.incarnation || engine.model != view.model {
+                *engine = new_engine(view);
             }
-            known.announced_at = view.announced_at;
-            known.is_stale = view.is_stale;
-            known.announced = view.version;
-            known.raise(view.version);
+            engine.announced_at = view.announced_at;
+            engine.is_stale = view.is_stale;
+            engine.announced = view.version;
+            engine.update_version(view.version);
         }
     }
 
@@ -227,21 +228,21 @@
         incarnation: Incarnation,
         version: u32,
     ) {
-        let known = self.engines.get_mut(endpoint);
-        if let Some(engine) = known.filter(|engine| engine.incarnation == incarnation) {
-            engine.raise(version);
+        let found = self.engines.get_mut(endpoint);
+        if let Some(engine) = found.filter(|engine| engine.incarnation == incarnation) {
+            engine.update_version(version);
         }
     }
 
     /// Takes what came of an order.
     pub fn record_outcome(&mut self, now: MonotonicTime, order: &LoadOrder, outcome: OrderOutcome) {
-        let known = self.engines.get_mut(&order.endpoint);
-        let Some(engine) = known.filter(|engine| engine.incarnation == order.incarnation) else {
+        let found = self.engines.get_mut(&order.endpoint);
+        let Some(engine) = found.filter(|engine| engine.incarnation == order.incarnation) else {
             return;
         };
         let target = order.weights.version;
         match outcome {
-            OrderOutcome::AlreadyLoaded => engine.raise(target),
+            OrderOutcome::AlreadyLoaded => engine.update_version(target),
             OrderOutcome::Accepted | OrderOutcome::Unknown | OrderOutcome::Busy => {
                 engine.step = Step::Loading { since: now, target };
                 engine.refusals = 0;
@@ -249,11 +250,11 @@
             OrderOutcome::Refused => {
                 engine.step = Step::Idle;
                 let factor = 2_u32.saturating_pow(engine.refusals);
-                engine.refusals = engine.refusals.saturating_add(1).min(MAX_DOUBLINGS);
-                let pause = self.settings.refusal_pause;
-                engine.rest = Some(Rest {
-                    shortest: now + pause,
-                    longest: now + pause.saturating_mul(factor),
+                engine.refusals = engine.refusals.saturating_add(1).min(MAX_BACKOFF_DOUBLINGS);
+                let backoff = self.settings.refusal_backoff;
+                engine.backoff = Some(Backoff {
+                    earliest_end: now + backoff,
+                    latest_end: now + backoff.saturating_mul(factor),
                 });
             }
         }
@@ -261,41 +262,41 @@
 
     /// Stops new requests at the engines that load next, as when no order may be given yet.
     pub fn drain(&mut self, now: MonotonicTime) {
-        self.forget_lost_orders(now);
-        let ids = self.by_turn(now);
-        self.drain_next(&ids, now);
+        self.reset_lost_orders(now);
+        let ids = self.rollout_order(now);
+        self.start_draining(&ids, now);
     }
 
     /// Returns the orders to give now, the engines with the oldest weights first.
     pub fn orders(&mut self, now: MonotonicTime) -> Vec<LoadOrder> {
-        self.forget_lost_orders(now);
+        self.reset_lost_orders(now);
         let mut orders = Vec::new();
-        let ids = self.by_turn(now);
-        let free = self.loads_at_once().saturating_sub(self.loading_now(now));
+        let ids = self.rollout_order(now);
+        let free = self.max_concurrent_loads().saturating_sub(self.active_loads(now));
         let drained = ids.iter().filter(|id| self.is_drained(id, now));
         let ready: Vec<&EndpointId> = drained.take(free).collect();
         for id in ready {
             let Some(engine) = self.engines.get_mut(id) else { continue };
-            let version = newest(&self.named, &engine.model);
+            let version = desired_version(&self.desired, &engine.model);
             engine.step = Step::Loading { since: now, target: version };
             let weights = DesiredWeights { model: engine.model.clone(), version };
             let (endpoint, incarnation) = (id.clone(), engine.incarnation);
             orders.push(LoadOrder { endpoint, incarnation, weights });
         }
-        self.drain_next(&ids, now);
+        self.start_draining(&ids, now);
         orders
     }
 
     /// Returns the engines that are behind: those that have drained longest first, then those with
     /// the oldest weights.
-    fn by_turn(&self, now: MonotonicTime) -> Vec<EndpointId> {
+    fn rollout_order(&self, now: MonotonicTime) -> Vec<EndpointId> {
         let mut behind = self.behind();
         behind.sort_by_key(|(id, engine)| {
             let drained = match engine.step {
                 Step::Draining { since } => since,
                 _ => now,
             };
-            (engine.is_stale, drained, engine.version, spread(id))
+            (engine.is_stale, drained, engine.version, shuffle_key(id))
         });
         behind.into_iter().map(|(id, _)| id.clone()).collect()
     }
@@ -309,17 +310,18 @@
 
     /// Returns what routers must know beyond the engines' own announcements.
     pub fn engine_updates(&self) -> Vec<EngineUpdate> {
-        let told = self
+        let changed = self
             .engines
             .iter()
             .filter(|(_, engine)| engine.step != Step::Idle || engine.announced < engine.version);
-        told.map(|(id, engine)| EngineUpdate {
-            endpoint: id.clone(),
-            incarnation: engine.incarnation,
-            version: engine.version,
-            paused: engine.step != Step::Idle,
-        })
-        .collect()
+        changed
+            .map(|(id, engine)| EngineUpdate {
+                endpoint: id.clone(),
+                incarnation: engine.incarnation,
+                version: engine.version,
+                paused: engine.step != Step::Idle,
+            })
+            .collect()
     }
 
     /// Returns whether every known engine has the weights named.
@@ -332,34 +334,34 @@
         let engines = || self.engines.values();
         let draining = engines().filter(|e| matches!(e.step, Step::Draining { .. })).count();
         let loading = engines().filter(|e| matches!(e.step, Step::Loading { .. })).count();
-        let backing_off = engines().filter(|engine| engine.rests(now)).count();
+        let backing_off = engines().filter(|engine| engine.is_backing_off(now)).count();
         let (known, behind) = (self.engines.len(), self.behind().len());
         RolloutProgress { known, behind, draining, loading, backing_off }
     }
 
     fn behind(&self) -> Vec<(&EndpointId, &Engine)> {
         let engines = self.engines.iter();
-        engines.filter(|(_, e)| e.version < newest(&self.named, &e.model)).collect()
+        engines.filter(|(_, e)| e.version < desired_version(&self.desired, &e.model)).collect()
     }
 
     /// Returns whether an engine's weights are so old that routers send it nothing.
     fn is_unused(&self, engine: &Engine, now: MonotonicTime) -> bool {
-        let history = self.named.get(&engine.model);
+        let history = self.desired.get(&engine.model);
         let outdated = history.map(|history| history.outdated_for(engine.version, now));
         outdated.is_some_and(|outdated| self.settings.unused_after <= outdated)
     }
 
     /// Returns how many engines may drain or load at once; one always goes on serving, if it can.
-    fn most_at_once(&self) -> usize {
+    fn max_unavailable(&self) -> usize {
         let engines = self.engines.len();
-        let share = (engines as f64 * self.settings.share).ceil() as usize;
-        share.max(self.settings.fewest).min(engines.saturating_sub(1)).max(1)
+        let share = (engines as f64 * self.settings.unavailable_share).ceil() as usize;
+        share.max(self.settings.min_unavailable).min(engines.saturating_sub(1)).max(1)
     }
 
     /// Returns how many engines may load at once, so that a rollout takes as long on any site.
-    fn loads_at_once(&self) -> usize {
+    fn max_concurrent_loads(&self) -> usize {
         let share = (self.engines.len() as f64 * self.settings.load_share) as usize;
-        share.max(self.settings.fewest_loads)
+        share.max(self.settings.min_concurrent_loads)
     }
 
     fn is_drained(&self, id: &EndpointId, now: MonotonicTime) -> bool {
@@ -367,21 +369,21 @@
         let Step::Draining { since } = engine.step else { return false };
         let must_wait = 0 < engine.load.requests && !self.is_unused(engine, now);
         let wait = if must_wait { self.settings.max_drain_time } else { Duration::ZERO };
-        wait.max(self.settings.drain_time) <= now.saturating_since(since)
+        wait.max(self.settings.min_drain_time) <= now.saturating_since(since)
     }
 
     /// Stops new requests at the engines that load next, and at all that get none anyway.
-    fn drain_next(&mut self, behind: &[EndpointId], now: MonotonicTime) {
-        let mut places = self.places(now);
+    fn start_draining(&mut self, behind: &[EndpointId], now: MonotonicTime) {
+        let mut slots = self.free_drain_slots(now);
         let mut next = Vec::new();
         for id in behind {
             let Some(engine) = self.engines.get(id).filter(|engine| engine.may_drain(now)) else {
                 continue;
             };
-            if places == 0 && !self.is_unused(engine, now) {
+            if slots == 0 && !self.is_unused(engine, now) {
                 continue;
             }
-            places = places.saturating_sub(1);
+            slots = slots.saturating_sub(1);
             next.push(id.clone());
         }
         for id in next {
@@ -392,30 +394,32 @@
     }
 
     /// Returns how many engines load at `now`, as far as the time since their orders tells.
-    fn loading_now(&self, now: MonotonicTime) -> usize {
+    fn active_loads(&self, now: MonotonicTime) -> usize {
         let loads = |engine: &&Engine| match engine.step {
-            Step::Loading { since, .. } => now.saturating_since(since) < self.settings.load_time,
+            Step::Loading { since, .. } => {
+                now.saturating_since(since) < self.settings.load_duration
+            }
             _ => false,
         };
         self.engines.values().filter(loads).count()
     }
 
     /// Returns how many more engines may drain; some always may, however many are out of reach.
-    fn places(&self, now: MonotonicTime) -> usize {
+    fn free_drain_slots(&self, now: MonotonicTime) -> usize {
         let busy = self.engines.values().filter(|engine| engine.step != Step::Idle).count();
-        let backing_off = self.engines.values().filter(|engine| engine.rests(now)).count();
-        let left = self.most_at_once().saturating_sub(busy + backing_off);
-        let always = (self.engines.len() as f64 * self.settings.always_share) as usize;
-        left.max(always.max(self.settings.fewest_always).saturating_sub(busy))
+        let backing_off = self.engines.values().filter(|engine| engine.is_backing_off(now)).count();
+        let left = self.max_unavailable().saturating_sub(busy + backing_off);
+        let always = (self.engines.len() as f64 * self.settings.guaranteed_share) as usize;
+        left.max(always.max(self.settings.min_guaranteed).saturating_sub(busy))
     }
 
     /// Lets engines whose order showed no effect, or that are no longer behind, be chosen anew.
-    fn forget_lost_orders(&mut self, now: MonotonicTime) {
-        let retry_after = self.settings.retry_after;
+    fn reset_lost_orders(&mut self, now: MonotonicTime) {
+        let order_timeout = self.settings.order_timeout;
         for engine in self.engines.values_mut() {
-            let wanted = newest(&self.named, &engine.model);
+            let wanted = desired_version(&self.desired, &engine.model);
             engine.step = match engine.step {
-                Step::Loading { since, .. } if retry_after <= now.saturating_since(since) => {
+                Step::Loading { since, .. } if order_timeout <= now.saturating_since(since) => {
                     Step::Idle
                 }
                 Step::Draining { .. } if wanted <= engine.version => Step::Idle,
@@ -427,17 +431,17 @@
 
 impl Engine {
     fn may_drain(&self, now: MonotonicTime) -> bool {
-        self.step == Step::Idle && !self.rests(now)
+        self.step == Step::Idle && !self.is_backing_off(now)
     }
 
-    fn rests(&self, now: MonotonicTime) -> bool {
-        let Some(rest) = self.rest else { return false };
-        let heard_since = rest.shortest <= self.announced_at;
-        now < rest.shortest || (!heard_since && now < rest.longest)
+    fn is_backing_off(&self, now: MonotonicTime) -> bool {
+        let Some(backoff) = self.backoff else { return false };
+        let announced_since = backoff.earliest_end <= self.announced_at;
+        now < backoff.earliest_end || (!announced_since && now < backoff.latest_end)
     }
 
     /// Notes a version that the engine has; a load that aimed at it has ended.
-    fn raise(&mut self, version: u32) {
+    fn update_version(&mut self, version: u32) {
         self.version = version.max(self.version);
         if let Step::Loading { target, .. } = self.step
             && target <= self.version
@@ -448,24 +452,24 @@
 }
 
 /// Returns the newest version of a model's weights, 0 if none was named.
-fn newest(named: &BTreeMap<ModelId, WeightsHistory>, model: &ModelId) -> u32 {
-    named.get(model).map_or(0, WeightsHistory::version)
+fn desired_version(desired: &BTreeMap<ModelId, WeightsHistory>, model: &ModelId) -> u32 {
+    desired.get(model).map_or(0, WeightsHistory::version)
 }
 
 /// Orders engines at random, but the same way each time, so that those that load together have
 /// nothing in common.
-fn spread(id: &EndpointId) -> Digest {
+fn shuffle_key(id: &EndpointId) -> Digest {
     Hasher::default().field(b"rollout").field(id.as_str().as_bytes()).finish()
 }
 
-fn new(view: &EngineView) -> Engine {
+fn new_engine(view: &EngineView) -> Engine {
     Engine {
         incarnation: view.incarnation,
         model: view.model.clone(),
         version: view.version,
         announced: view.version,
         step: Step::Idle,
-        rest: None,
+        backoff: None,
         refusals: 0,
         announced_at: view.announced_at,
         is_stale: view.is_stale,
--- a/crates/fleet/src/scope.rs
+++ b/crates/fleet/src/scope.rs
@@ -12,7 +12,7 @@
     /// The organisation that calls.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub organisation: Option<OrganisationId>,
-    /// The model asked for.
+    /// The requested model.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub model: Option<ModelId>,
     /// The plain service called.
@@ -37,16 +37,16 @@
         Self { endpoint: Some(id), ..Self::default() }
     }
 
-    /// Returns whether every dimension that this scope names has the same value in `asked`.
-    pub fn covers(&self, asked: &Self) -> bool {
-        fn fits<T: PartialEq>(own: &Option<T>, asked: &Option<T>) -> bool {
-            own.is_none() || own == asked
+    /// Returns whether every dimension that this scope names has the same value in `other`.
+    pub fn covers(&self, other: &Self) -> bool {
+        fn matches<T: PartialEq>(own: &Option<T>, other: &Option<T>) -> bool {
+            own.is_none() || own == other
         }
-        fits(&self.organisation, &asked.organisation)
-            && fits(&self.model, &asked.model)
-            && fits(&self.service, &asked.service)
-            && fits(&self.data_centre, &asked.data_centre)
-            && fits(&self.endpoint, &asked.endpoint)
+        matches(&self.organisation, &other.organisation)
+            && matches(&self.model, &other.model)
+            && matches(&self.service, &other.service)
+            && matches(&self.data_centre, &other.data_centre)
+            && matches(&self.endpoint, &other.endpoint)
     }
 
     pub(crate) fn dimensions(&self) -> Dimensions {
--- a/crates/fleet/src/setting/time.rs
+++ b/crates/fleet/src/setting/time.rs
@@ -7,7 +7,7 @@
 
 use super::TextVisitor;
 
-macro_rules! spans {
+macro_rules! durations {
     ($($(#[$doc:meta])* $name:ident: $what:literal, $min:literal..=$max:literal, $allowed:literal;)*) => {$(
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -41,8 +41,8 @@
             type Err = ParseError;
 
             fn from_str(text: &str) -> Result<Self, ParseError> {
-                let span = humantime::parse_duration(text).ok();
-                span.filter(|span| ($min..=$max).contains(&span.as_millis()))
+                let duration = humantime::parse_duration(text).ok();
+                duration.filter(|duration| ($min..=$max).contains(&duration.as_millis()))
                     .map(Self)
                     .ok_or_else(|| ParseError::new($what, text, $allowed))
             }
@@ -62,7 +62,7 @@
     )*};
 }
 
-spans! {
+durations! {
     /// How long one step of a request may take.
     Timeout: "timeout", 1..=3_600_000, "a duration from 1ms to 1h, such as 800ms or 5s";
     /// How long a settled call is remembered.
@@ -96,9 +96,9 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let refused = || ParseError::new("end time", text, END_TIME_RULE);
-        let time = humantime::parse_rfc3339(text).map_err(|_| refused())?;
-        let since = time.duration_since(std::time::UNIX_EPOCH).map_err(|_| refused())?;
+        let invalid = || ParseError::new("end time", text, END_TIME_RULE);
+        let time = humantime::parse_rfc3339(text).map_err(|_| invalid())?;
+        let since = time.duration_since(std::time::UNIX_EPOCH).map_err(|_| invalid())?;
         Ok(Self(since.as_secs()))
     }
 }
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -96,8 +96,8 @@
 }
 
 const ANY: Dimensions = Dimensions::ALL;
-const CALLER: Dimensions = Dimensions::ORGANISATION;
-const PLACE: Dimensions = Dimensions::ENDPOINT.or(Dimensions::DATA_CENTRE);
+const ORGANISATION: Dimensions = Dimensions::ORGANISATION;
+const LOCATION: Dimensions = Dimensions::ENDPOINT.or(Dimensions::DATA_CENTRE);
 const REQUEST: Dimensions = Dimensions::ORGANISATION.or(Dimensions::MODEL).or(Dimensions::SERVICE);
 const NONE: Dimensions = Dimensions::NONE;
 
@@ -125,11 +125,11 @@
     /// When a second endpoint is asked for a late answer.
     hedge_delay: HedgeDelay = HedgeDelay::Off, "hedge-delay", REQUEST, true;
     /// The organisation's weight when requests compete.
-    share: Share = Share::clamped(1), "share", CALLER, true;
+    share: Share = Share::clamped(1), "share", ORGANISATION, true;
     /// Requests that an organisation may have in flight.
-    max_concurrent_requests: Count = Count::clamped(256), "max-concurrent-requests", CALLER, true;
+    max_concurrent_requests: Count = Count::clamped(256), "max-concurrent-requests", ORGANISATION, true;
     /// Connections that an organisation may have open.
-    max_connections: Count = Count::clamped(1024), "max-connections", CALLER, true;
+    max_connections: Count = Count::clamped(1024), "max-connections", ORGANISATION, true;
     /// Longest prompt, in bytes.
     max_prompt_bytes: ByteLimit = ByteLimit::clamped(4_194_304), "max-prompt-bytes", REQUEST, true;
     /// Order in which engines serve waiting requests.
@@ -139,19 +139,19 @@
     /// Methods of plain services whose calls may be repeated.
     idempotent_methods: Methods = Methods::READS, "idempotent-methods", REQUEST, true;
     /// How long a settled call is remembered.
-    claim_retention: Retention = Retention::from_millis(86_400_000), "claim-retention", CALLER, true;
+    claim_retention: Retention = Retention::from_millis(86_400_000), "claim-retention", ORGANISATION, true;
     /// How many settled calls of an organisation are remembered.
-    claim_retention_count: Count = Count::clamped(10_000), "claim-retention-count", CALLER, true;
+    claim_retention_count: Count = Count::clamped(10_000), "claim-retention-count", ORGANISATION, true;
     /// How many claims an organisation may have open.
-    max_open_claims: Count = Count::clamped(256), "max-open-claims", CALLER, true;
+    max_open_claims: Count = Count::clamped(256), "max-open-claims", ORGANISATION, true;
     /// How long a second arrival waits for the first's answer.
     claim_wait: Timeout = Timeout::from_millis(10_000), "claim-wait", REQUEST, true;
     /// How long after its proposal a claim's owner may still send the call.
-    claim_send_deadline: Timeout = Timeout::from_millis(2_000), "claim-send-deadline", CALLER, true;
+    claim_send_deadline: Timeout = Timeout::from_millis(2_000), "claim-send-deadline", ORGANISATION, true;
     /// Longest answer that is kept for later arrivals, in bytes.
-    max_answer_bytes: ByteLimit = ByteLimit::clamped(65_536), "max-answer-bytes", CALLER, true;
+    max_answer_bytes: ByteLimit = ByteLimit::clamped(65_536), "max-answer-bytes", ORGANISATION, true;
     /// Servers that may load weights at once over the site.
     max_weight_loads: WeightLoads = WeightLoads::MAX, "max-weight-loads", NONE, true;
     /// Whether an endpoint gets no new work.
-    drain: bool = false, "drain", PLACE, false;
+    drain: bool = false, "drain", LOCATION, false;
 }
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -9,7 +9,7 @@
     CallKey, Claim, Command, Published, Reply, Scope, Settings,
     codec::{self, CodecError},
     configuration::{Configuration, ConfigurationRecord},
-    ledger::{Ledger, SettingsOf},
+    ledger::{Ledger, SettingsSource},
 };
 
 /// The replicated state.
@@ -52,8 +52,8 @@
             Command::Publish(publication) => {
                 Reply::Publish(Arc::make_mut(&mut self.published).publish(publication))
             }
-            Command::SetDesiredWeights(named) => {
-                Reply::Weights(Arc::make_mut(&mut self.published).name_weights(named))
+            Command::SetDesiredWeights(desired) => {
+                Reply::Weights(Arc::make_mut(&mut self.published).set_desired_weights(desired))
             }
         }
     }
@@ -126,12 +126,12 @@
 
     fn advance(&mut self, at: UnixMillis, call: &CallKey) -> Settings {
         self.ledger.advance(at, Some(&call.organisation), &self.configuration);
-        self.configuration.settings_of(&call.organisation, self.ledger.clock())
+        self.configuration.settings_for(&call.organisation, self.ledger.clock())
     }
 }
 
-impl SettingsOf for Configuration {
-    fn settings_of(&self, organisation: &OrganisationId, now: UnixMillis) -> Settings {
+impl SettingsSource for Configuration {
+    fn settings_for(&self, organisation: &OrganisationId, now: UnixMillis) -> Settings {
         self.declaration().effective(&Scope::organisation(organisation.clone()), now)
     }
 }
--- a/crates/fleet/src/weights_history.rs
+++ b/crates/fleet/src/weights_history.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Versions that are remembered; older ones have long been out of bounds.
-const MAX_NAMED: usize = 16;
+const MAX_VERSIONS: usize = 16;
 
 /// A version of a model's weights with the time since it was named, as one host tells another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -21,50 +21,50 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WeightsHistory {
     /// By version.
-    named: Vec<NamedVersion>,
+    versions: Vec<VersionAge>,
 }
 
-/// A version that was `age` old at `noted`; it may be older than the process and so its clock.
+/// A version that was `age` old at `recorded_at`; it may be older than the process and so its clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct NamedVersion {
+struct VersionAge {
     version: u32,
-    noted: MonotonicTime,
+    recorded_at: MonotonicTime,
     age: Duration,
 }
 
-impl NamedVersion {
+impl VersionAge {
     fn age_at(&self, now: MonotonicTime) -> Duration {
-        self.age + now.saturating_since(self.noted)
+        self.age + now.saturating_since(self.recorded_at)
     }
 }
 
 impl WeightsHistory {
     /// Creates a history without versions.
     pub const fn new() -> Self {
-        Self { named: Vec::new() }
+        Self { versions: Vec::new() }
     }
 
     /// Returns the newest version, 0 if none was named.
     pub fn version(&self) -> u32 {
-        self.named.last().map_or(0, |named| named.version)
+        self.versions.last().map_or(0, |known| known.version)
     }
 
-    /// Notes that a version had been named for `age` at `now`; the highest age that is told counts.
+    /// Notes that a version had been named for `age` at `now`; the highest age that is recorded counts.
     pub fn record(&mut self, now: MonotonicTime, version: u32, age: Duration) {
-        let told = NamedVersion { version, noted: now, age };
-        match self.named.binary_search_by_key(&version, |named| named.version) {
-            Ok(i) if self.named[i].age_at(now) < age => self.named[i] = told,
+        let recorded = VersionAge { version, recorded_at: now, age };
+        match self.versions.binary_search_by_key(&version, |known| known.version) {
+            Ok(i) if self.versions[i].age_at(now) < age => self.versions[i] = recorded,
             Ok(_) => {}
-            Err(i) => self.named.insert(i, told),
+            Err(i) => self.versions.insert(i, recorded),
         }
-        let excess = self.named.len().saturating_sub(MAX_NAMED);
-        self.named.drain(..excess);
+        let excess = self.versions.len().saturating_sub(MAX_VERSIONS);
+        self.versions.drain(..excess);
     }
 
     /// Returns for how long `version` has not been the newest.
     pub fn outdated_for(&self, version: u32, now: MonotonicTime) -> Duration {
-        let newer = self.named.iter().filter(|named| version < named.version);
-        newer.map(|named| named.age_at(now)).max().unwrap_or_default()
+        let newer = self.versions.iter().filter(|known| version < known.version);
+        newer.map(|known| known.age_at(now)).max().unwrap_or_default()
     }
 
     /// Returns the versions with their ages at `now`, the oldest version first.
@@ -73,10 +73,10 @@
         model: &'a ModelId,
         now: MonotonicTime,
     ) -> impl Iterator<Item = WeightsAge> + 'a {
-        self.named.iter().map(move |named| WeightsAge {
+        self.versions.iter().map(move |known| WeightsAge {
             model: model.clone(),
-            version: named.version,
-            age: named.age_at(now),
+            version: known.version,
+            age: known.age_at(now),
         })
     }
 }
--- a/crates/fleet/tests/configuration.rs
+++ b/crates/fleet/tests/configuration.rs
@@ -5,8 +5,8 @@
 use base::Revision;
 use fixture::{Log, at, change};
 use fleet::{
-    ChangeRecord, ChangeReply, Command, ConfigChange, HISTORY_COUNT, REMEMBERED_COUNT,
-    REMEMBERED_TIME, Reply,
+    ChangeRecord, ChangeReply, Command, ConfigChange, MAX_HISTORY_ENTRIES, MAX_STORED_REPLIES,
+    REPLY_RETENTION, Reply,
 };
 
 const EMPTY: &str = "";
@@ -123,11 +123,11 @@
 #[test]
 fn history_and_answers_stay_bounded() {
     let mut log = Log::default();
-    let count = REMEMBERED_COUNT as u64 + 1;
+    let count = MAX_STORED_REPLIES as u64 + 1;
     for revision in 0..count {
         apply(&mut log, change(&format!("change-{revision}"), revision, EMPTY));
     }
-    assert_eq!(log.fleet.configuration().history().count(), HISTORY_COUNT);
+    assert_eq!(log.fleet.configuration().history().count(), MAX_HISTORY_ENTRIES);
     let forgotten = apply(&mut log, change("change-0", 0, EMPTY));
     assert!(matches!(forgotten, ChangeReply::Conflict { .. }), "{forgotten:?}");
     let remembered = apply(&mut log, change("change-2", 2, EMPTY));
@@ -138,7 +138,7 @@
 fn answer_is_forgotten_after_its_time() {
     let mut log = Log::default();
     let first = ConfigChange { at: at(0), ..change("first", 0, EMPTY) };
-    let end = REMEMBERED_TIME.as_millis() as u64;
+    let end = REPLY_RETENTION.as_millis() as u64;
     apply(&mut log, first.clone());
     let late = ConfigChange { at: at(end - 1), ..change("late", 1, EMPTY) };
     apply(&mut log, late);
--- a/crates/fleet/tests/orders.rs
+++ b/crates/fleet/tests/orders.rs
@@ -17,9 +17,9 @@
 fn limits() -> Limits {
     Limits {
         weight_loads: WeightLoads::MAX,
-        fencing: Term::new(7),
+        fencing_token: Term::new(7),
         lease: None,
-        delivery: Duration::from_secs(1),
+        max_delivery_time: Duration::from_secs(1),
         effect_timeout: Duration::from_secs(30),
         awareness: StateAwareness::On,
     }
@@ -59,7 +59,7 @@
     }
 }
 
-/// Reads `engine=model:weights,…` with `!` for no fencing, `-` for leaving, `^` for busy and
+/// Reads `engine=model:weights,…` with `!` for no fencing_token, `-` for leaving, `^` for busy and
 /// `>` for prefill after the engine's name.
 fn reported(text: &str) -> Vec<ReportedEngine> {
     text.split_whitespace().map(engine).collect()
@@ -80,7 +80,7 @@
 
 fn order(endpoint: &str, action: Action) -> Order {
     let endpoint = endpoint.parse().expect("endpoint");
-    Order { endpoint, incarnation: Incarnation::new(1), fencing: Term::new(7), action }
+    Order { endpoint, incarnation: Incarnation::new(1), fencing_token: Term::new(7), action }
 }
 
 fn loading(text: &str) -> Vec<InProgress> {
@@ -109,7 +109,7 @@
             let orders =
                 plan(&desired($desired), &reported($reported), &loading($loading), NOW, &$limits);
             assert_eq!(show(&orders), $orders);
-            assert!(orders.iter().all(|order| order.fencing == Term::new(7)));
+            assert!(orders.iter().all(|order| order.fencing_token == Term::new(7)));
         }
     )*};
 }
--- a/crates/fleet/tests/retention.rs
+++ b/crates/fleet/tests/retention.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fixture::{Log, answer, at, call, claim, claimed, finish};
-use fleet::{Claim, Command, Finish, KEPT_BODY_BYTES, KEPT_CALLS, Outcome, Reply};
+use fleet::{Claim, Command, Finish, MAX_STORED_BODY_BYTES, MAX_STORED_CALLS, Outcome, Reply};
 
 const BOUNDS: &str = "[defaults]\nclaim-retention = '10s'\nclaim-retention-count = 3";
 
@@ -120,14 +120,14 @@
     let mut log = Log::default();
     log.declare("[defaults]\nmax-answer-bytes = 1048576");
     let body = vec![7; BODY_BYTES];
-    let count = (KEPT_BODY_BYTES / BODY_BYTES + 2) as u128;
+    let count = (MAX_STORED_BODY_BYTES / BODY_BYTES + 2) as u128;
     for id in 0..count {
         let key = format!("k-{id}");
         log.apply(&Command::Claim(claim(&key, id, "a")));
         log.apply(&finish(&key, id, "a", Outcome::Answered(answer(&body))));
     }
     assert_eq!(log.fleet.ledger().len() as u128, count);
-    assert!(log.fleet.to_snapshot().len() < KEPT_BODY_BYTES + BODY_BYTES);
+    assert!(log.fleet.to_snapshot().len() < MAX_STORED_BODY_BYTES + BODY_BYTES);
     assert_eq!(log.round_trip().fleet, log.fleet);
     assert_eq!(pass(&mut log, 86_402_000), claimed());
     assert!(log.fleet.to_snapshot().len() < 1_000, "bodies are gone with their calls");
@@ -154,12 +154,12 @@
         at,
         outcome: Outcome::Unknown,
     }));
-    for id in 2..KEPT_CALLS as u128 {
+    for id in 2..MAX_STORED_CALLS as u128 {
         run(&mut log, &format!("k-{id}"), id, 1_000);
     }
-    assert_eq!(log.fleet.ledger().len(), KEPT_CALLS);
+    assert_eq!(log.fleet.ledger().len(), MAX_STORED_CALLS);
     assert_eq!(pass(&mut log, 2_000), claimed());
-    assert_eq!(log.fleet.ledger().len(), KEPT_CALLS);
+    assert_eq!(log.fleet.ledger().len(), MAX_STORED_CALLS);
     assert!(knows(&log, "open") && !knows(&log, "k-2") && knows(&log, "k-3"));
     assert!(log.fleet.ledger().call(&call).is_some(), "the small organisation loses nothing");
     assert_eq!(log.round_trip().fleet, log.fleet);
--- a/crates/fleet/tests/rollout.rs
+++ b/crates/fleet/tests/rollout.rs
@@ -134,7 +134,7 @@
     let [order] = &rollout.orders(at(300))[..] else { panic!("one engine is behind") };
     rollout.record_outcome(at(300), order, OrderOutcome::Unknown);
     assert_eq!(rollout.orders(at(1_000)), []);
-    let retry = RolloutSettings::default().retry_after.as_millis() as u64;
+    let retry = RolloutSettings::default().order_timeout.as_millis() as u64;
     rollout.orders(at(300 + retry));
     assert_eq!(rollout.orders(at(600 + retry)).len(), 1);
 }
@@ -162,7 +162,7 @@
     rollout.set_engines(&[engine(0, 1)]);
     rollout.orders(at(0));
     assert_eq!(rollout.orders(at(300)).len(), 1);
-    assert!(Duration::ZERO < RolloutSettings::default().drain_time);
+    assert!(Duration::ZERO < RolloutSettings::default().min_drain_time);
 }
 
 #[test]
@@ -204,9 +204,9 @@
     rollout.orders(at(unused));
     let paused = rollout.engine_updates().iter().filter(|news| news.paused).count();
     assert_eq!(paused, ENGINES, "none of them serves anybody");
-    let drain = RolloutSettings::default().drain_time.as_millis() as u64;
+    let drain = RolloutSettings::default().min_drain_time.as_millis() as u64;
     let orders = rollout.orders(at(unused + drain));
-    assert_eq!(orders.len(), RolloutSettings::default().fewest_loads);
+    assert_eq!(orders.len(), RolloutSettings::default().min_concurrent_loads);
 }
 
 #[test]
@@ -234,6 +234,6 @@
     let mut rollout = rollout(2);
     rollout.drain(at(0));
     rollout.drain(at(200));
-    let drain = RolloutSettings::default().drain_time.as_millis() as u64;
-    assert_eq!(rollout.orders(at(drain)).len(), RolloutSettings::default().fewest_loads);
+    let drain = RolloutSettings::default().min_drain_time.as_millis() as u64;
+    assert_eq!(rollout.orders(at(drain)).len(), RolloutSettings::default().min_concurrent_loads);
 }
