--- a/crates/fleet/src/call.rs
+++ b/crates/fleet/src/call.rs
@@ -1,4 +1,4 @@
-//! What is known of one call that may not be repeated.
+//! The state of one non-idempotent call.
 
 use std::time::Duration;
 
@@ -11,16 +11,16 @@
     reply::MayHaveRunReason,
 };
 
-/// A call that may not be repeated.
+/// A non-idempotent call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Call {
     /// Digest of method, path and body.
     pub request: Digest,
-    /// How far the call got.
+    /// Its state.
     pub state: CallState,
-    /// Since when it stands so, by the ledger's time.
+    /// When it entered this state, by the ledger's clock.
     pub since: UnixMillis,
-    /// An answer that came after an operator had settled the call.
+    /// A response that arrived after an operator had settled the call.
     pub conflict: Option<Conflict>,
 }
 
@@ -30,70 +30,70 @@
     }
 }
 
-/// How far a call got.
+/// The state of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallState {
-    /// An owner may send it.
+    /// An owner holds the claim and may send the call.
     Claimed(GrantedClaim),
-    /// It ran, and this came back.
+    /// It ran and this response was recorded.
     Finished(GrantedClaim, StoredResponse),
-    /// It may have run.
+    /// Its outcome is unknown.
     MayHaveRun(GrantedClaim, MayHaveRunReason),
-    /// Its owner sent nothing; it may be claimed again.
+    /// Its owner released the claim without sending; it may be claimed again.
     Released,
-    /// An operator has settled it for good.
+    /// An operator has settled it; this is final.
     Resolved(GrantedClaim, Resolved),
 }
 
-/// A claim that was given to an owner.
+/// A claim that was granted to an owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantedClaim {
     /// The attempt.
     pub id: ClaimId,
-    /// Who may send the call.
+    /// The process that may send the call.
     pub owner: Owner,
-    /// When the claim was given, by the ledger's time.
+    /// When the claim was granted, by the ledger's clock.
     pub claimed_at: UnixMillis,
-    /// How long the owner may still send.
+    /// How long after its proposal of the claim the owner may begin to send.
     pub send_within: Duration,
 }
 
 /// An operator's settlement.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resolved {
-    /// What the operator found.
+    /// Whether the call ran.
     pub resolution: Resolution,
-    /// Who found it.
+    /// The operator.
     pub author: Author,
-    /// How.
+    /// The reason given.
     pub reason: std::sync::Arc<str>,
     /// When.
     pub at: UnixMillis,
 }
 
-/// An answer that came after an operator had settled the call.
+/// A response that arrived after an operator had settled the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Conflict {
-    /// The answer's HTTP status.
+    /// The response's HTTP status.
     pub status: u16,
     /// When it was reported.
     pub at: UnixMillis,
 }
 
 impl CallState {
-    /// Returns whether an owner may still send the call.
+    /// Returns whether an owner holds the claim.
     pub fn is_open(&self) -> bool {
         matches!(self, Self::Claimed(_))
     }
 
-    /// Returns whether the call's outcome is not known yet.
+    /// Returns whether the call's outcome is unknown so far.
     pub fn is_in_doubt(&self) -> bool {
         matches!(self, Self::Claimed(_) | Self::MayHaveRun(..))
     }
 
     pub(crate) fn body_bytes(&self) -> usize {
         match self {
-            Self::Finished(_, answer) => answer.body.as_ref().map_or(0, |body| body.len()),
+            Self::Finished(_, response) => response.body.as_ref().map_or(0, |body| body.len()),
             _ => 0,
         }
     }
@@ -104,17 +104,18 @@
         self.id == id && self.owner == *owner
     }
 
-    /// Returns whether `owner` is a later life of the same host, so that the holder has ended.
+    /// Returns whether `owner` is a later incarnation on the same host, so the holder has ended.
     pub(crate) fn is_superseded_by(&self, owner: &Owner) -> bool {
         self.owner.host == owner.host && self.owner.incarnation < owner.incarnation
     }
 
-    /// Returns whether the holder ended when `ended`, or a later life of its host, did.
+    /// Returns whether the end of `ended` implies that the holder has ended: it is that process or
+    /// an earlier incarnation on the same host.
     pub(crate) fn has_ended_with(&self, ended: &Owner) -> bool {
         self.owner.host == ended.host && self.owner.incarnation <= ended.incarnation
     }
 
-    /// Returns how long the owner might still send the call, with a margin.
+    /// Returns how long the owner might still send the call, plus [`RESOLVE_MARGIN`].
     pub(crate) fn time_until_resolvable(&self, now: UnixMillis) -> Duration {
         let needed = self.send_within.saturating_add(RESOLVE_MARGIN);
         needed.saturating_sub(now.saturating_since(self.claimed_at))
--- a/crates/fleet/src/calls.rs
+++ b/crates/fleet/src/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of one organisation, and the order in which they are evicted.
+//! One organisation's calls and the order in which they are evicted.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -12,10 +12,10 @@
     settings::Settings,
 };
 
-/// Most ids of released attempts that a key remembers.
+/// Maximum number of released attempts stored per key.
 const MAX_RELEASED_IDS: usize = 16;
 
-/// Keys by the number of their settlement, the oldest first.
+/// Keys by settlement number, oldest first.
 type Settlements = BTreeMap<u64, IdempotencyKey>;
 
 /// The calls of one organisation.
@@ -23,9 +23,9 @@
 pub(crate) struct Calls {
     by_key: BTreeMap<IdempotencyKey, Entry>,
     open: BTreeSet<IdempotencyKey>,
-    /// Keys whose outcome is known.
+    /// Settled keys whose outcome is known.
     known_outcome: Settlements,
-    /// Keys whose call may have run.
+    /// Settled keys whose call may have run.
     in_doubt: Settlements,
 }
 
@@ -37,7 +37,7 @@
     settlement: Option<u64>,
 }
 
-/// How much was evicted.
+/// Number and size of evicted calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Evicted {
     pub(crate) calls: usize,
@@ -68,7 +68,7 @@
         })
     }
 
-    /// Takes up a call that is claimed.
+    /// Adds a claimed call, or reopens a released one.
     pub(crate) fn open(&mut self, key: &IdempotencyKey, call: Call) {
         self.open.insert(key.clone());
         let Some(entry) = self.by_key.get_mut(key) else {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Moves a call to a state that is not open; returns the bytes of the stored body that this frees.
+    /// Moves a call to a state that is not open; returns the size of the body that this drops.
     pub(crate) fn settle(
         &mut self,
         key: &IdempotencyKey,
@@ -111,14 +111,14 @@
         self.known_outcome.len() + self.in_doubt.len()
     }
 
-    /// Forgets settled calls past their bounds.
+    /// Evicts settled calls past the organisation's retention time or count.
     pub(crate) fn evict_due(&mut self, now: UnixMillis, settings: &Settings) -> Evicted {
         let mut due = self.due_keys(&self.known_outcome, now, settings);
         due.extend(self.due_keys(&self.in_doubt, now, settings));
         self.remove_all(&due)
     }
 
-    /// Forgets the oldest call whose outcome is known, or else the oldest one in doubt.
+    /// Evicts the oldest call whose outcome is known, or else the oldest one in doubt.
     pub(crate) fn evict_oldest(&mut self) -> Evicted {
         let oldest = self.known_outcome.first_key_value().or(self.in_doubt.first_key_value());
         let due: Vec<_> = oldest.map(|(_, key)| key.clone()).into_iter().collect();
@@ -134,7 +134,7 @@
         known.max(self.in_doubt.last_key_value()).map(|(number, _)| *number)
     }
 
-    /// Returns whether the lists name each call exactly once and in the right place.
+    /// Returns whether each call is in exactly one index, the one for its state.
     pub(crate) fn is_consistent(&self) -> bool {
         let listed = self.open.len() + self.known_outcome.len() + self.in_doubt.len();
         listed == self.by_key.len()
@@ -150,7 +150,7 @@
         !entry.call.state.is_open() && list.get(&number) == Some(key)
     }
 
-    /// Lists the keys at the front of `list` that are past a bound.
+    /// Returns the keys at the front of `list` that are past the retention time or count.
     fn due_keys(
         &self,
         list: &Settlements,
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Answers a claim from what is known, `None` if the key is free.
+    /// Returns the reply to a claim, or `None` if the key is free.
     pub(crate) fn reply_to(&self, claim: &Claim) -> Option<ClaimReply> {
         if self.call.request != claim.request {
             return Some(ClaimReply::KeyReused);
@@ -214,7 +214,7 @@
             }
             CallState::Claimed(granted) => Some(ClaimReply::InProgress(granted.owner.clone())),
             CallState::Released => None,
-            CallState::Finished(_, answer) => Some(ClaimReply::Finished(answer.clone())),
+            CallState::Finished(_, response) => Some(ClaimReply::Finished(response.clone())),
             CallState::MayHaveRun(_, why) => {
                 Some(ClaimReply::MayHaveRun { since: self.call.since, reason: *why })
             }
--- a/crates/fleet/src/codec.rs
+++ b/crates/fleet/src/codec.rs
@@ -1,4 +1,4 @@
-//! Bytes of commands and snapshots: a format version, then the value in postcard's form.
+//! Encoding of commands and snapshots: a format version byte, then the value as postcard.
 
 use std::{error, fmt};
 
@@ -6,10 +6,10 @@
 
 use crate::{Command, declaration_error::DeclarationError};
 
-/// The format that this program writes and reads.
+/// The format version that this program writes and reads.
 const FORMAT_VERSION: u8 = 1;
 
-/// Bytes that are no command or snapshot of this program.
+/// An error from decoding a command or snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CodecError(CodecErrorKind);
 
@@ -24,7 +24,7 @@
 }
 
 impl CodecError {
-    /// Returns whether the bytes come from a program with another format.
+    /// Returns whether the bytes have a format version that this program does not support.
     pub fn is_other_format(&self) -> bool {
         matches!(self.0, CodecErrorKind::Format(_))
     }
@@ -43,7 +43,7 @@
 impl fmt::Display for CodecError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.0 {
-            CodecErrorKind::Empty => f.write_str("no bytes; expected a format version"),
+            CodecErrorKind::Empty => f.write_str("empty input; expected a format version"),
             CodecErrorKind::Format(found) => {
                 write!(
                     f,
@@ -65,12 +65,12 @@
 impl error::Error for CodecError {}
 
 impl Command {
-    /// Writes the command for the log.
+    /// Encodes the command for the log.
     pub fn to_bytes(&self) -> Vec<u8> {
         encode(self)
     }
 
-    /// Reads a command from the log.
+    /// Decodes a command from the log.
     ///
     /// # Errors
     ///
@@ -92,7 +92,7 @@
     Ok(value)
 }
 
-/// Reads a value and returns the bytes after it, which programs before a later part didn't write.
+/// Decodes a value and returns the bytes after it, which are empty in older snapshots.
 pub(crate) fn decode_first<T: DeserializeOwned>(bytes: &[u8]) -> Result<(T, &[u8]), CodecError> {
     let Some((format, rest)) = bytes.split_first() else {
         return Err(CodecError(CodecErrorKind::Empty));
--- a/crates/fleet/src/command.rs
+++ b/crates/fleet/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands of the replicated log.
+//! Commands in the replicated log.
 
 use std::{fmt, str::FromStr, sync::Arc};
 
@@ -15,7 +15,7 @@
 pub struct Owner {
     /// Its host.
     pub host: HostId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
 }
 
@@ -25,9 +25,9 @@
     }
 }
 
-/// The identity of one attempt to claim a call, the same on every resend of that attempt.
+/// The id of one attempt to claim a call, the same each time the attempt is resent.
 ///
-/// Its owner makes it, unique over all its incarnations.
+/// Chosen by the owner; unique across all its incarnations.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -57,12 +57,12 @@
     }
 }
 
-/// An organisation's name for one call that may not be repeated.
+/// An organisation's idempotency key for one call.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallKey {
-    /// The organisation that calls.
+    /// The calling organisation.
     pub organisation: OrganisationId,
-    /// Its name for the call.
+    /// Its idempotency key.
     pub key: IdempotencyKey,
 }
 
@@ -72,7 +72,7 @@
     }
 }
 
-/// A claim to send a call that may not be repeated.
+/// A claim to send a non-idempotent call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// The call.
@@ -81,48 +81,48 @@
     pub request: Digest,
     /// The attempt.
     pub id: ClaimId,
-    /// Who will send it.
+    /// The process that will send the call.
     pub owner: Owner,
-    /// When it was claimed.
+    /// When the claim was made.
     pub at: UnixMillis,
 }
 
-/// What an endpoint answered to a call that may not be repeated.
+/// An endpoint's response to a non-idempotent call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type, if any.
     pub content_type: Option<Arc<str>>,
-    /// Body, unless it was too large to keep.
+    /// Body, unless it was too large to store.
     pub body: Option<Arc<[u8]>>,
 }
 
-/// How a call that was sent ended.
+/// The outcome of a call that was sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The endpoint answered.
+    /// The endpoint responded.
     Answered(StoredResponse),
-    /// The call was sent, and its outcome is unknown.
+    /// The endpoint was lost before it responded.
     Unknown,
 }
 
-/// A report of a claim's owner.
+/// The owner's report of a claimed call's outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finish {
     /// The call.
     pub call: CallKey,
     /// The attempt.
     pub id: ClaimId,
-    /// Who sent it.
+    /// The process that sent it.
     pub owner: Owner,
-    /// What came back.
+    /// The outcome.
     pub outcome: Outcome,
     /// When.
     pub at: UnixMillis,
 }
 
-/// The word of a claim's owner that it sent nothing and never will under this claim.
+/// The owner's release of a claim under which it sent nothing and never will.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Release {
     /// The call.
@@ -131,13 +131,13 @@
     pub request: Digest,
     /// The attempt.
     pub id: ClaimId,
-    /// Who held it.
+    /// The process that held the claim.
     pub owner: Owner,
     /// When.
     pub at: UnixMillis,
 }
 
-/// What an operator found out about a call.
+/// An operator's verdict on a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Resolution {
     /// It ran.
@@ -146,22 +146,22 @@
     NotRun,
 }
 
-/// An operator's settlement of a call that stayed open.
+/// An operator's settlement of a call whose outcome is unknown.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resolve {
     /// The call.
     pub call: CallKey,
-    /// What the operator found.
+    /// Whether the call ran.
     pub resolution: Resolution,
-    /// Who found it.
+    /// The operator.
     pub author: Author,
-    /// How.
+    /// The reason given.
     pub reason: Arc<str>,
     /// When.
     pub at: UnixMillis,
 }
 
-/// The notice that processes of a host have ended.
+/// A notice that processes of a host have ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnerGone {
     /// The last incarnation that ended; earlier ones have ended too.
@@ -170,16 +170,16 @@
     pub at: UnixMillis,
 }
 
-/// A change of defaults and exceptions.
+/// A change of the declared settings.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigChange {
-    /// The same on every resend.
+    /// The change id, the same each time the change is resent.
     pub id: ChangeId,
-    /// The revision that the author changed.
+    /// The revision that the change is based on.
     pub expected: Revision,
-    /// Who made it.
+    /// The author.
     pub author: Author,
-    /// Why.
+    /// The reason given.
     pub reason: Arc<str>,
     /// When.
     pub at: UnixMillis,
@@ -187,25 +187,25 @@
     pub declaration: Arc<str>,
 }
 
-/// An entry of the log, decoded.
+/// A decoded log entry.
 ///
-/// The leader stamps each command with its own clock when it appends it.
+/// The leader sets the timestamp of each command from its own clock when it appends the entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Changes defaults and exceptions.
+    /// Changes the declared settings.
     Change(ConfigChange),
     /// Claims a call.
     Claim(Claim),
     /// Records the outcome of a claimed call.
     Finish(Finish),
-    /// Gives a claim back unused.
+    /// Releases an unused claim.
     Release(Release),
-    /// Settles a call by an operator's word.
+    /// Settles a call on an operator's behalf.
     Resolve(Resolve),
-    /// Marks the open claims of processes that ended.
+    /// Marks the outcome of ended processes' open claims as unknown.
     OwnerGone(OwnerGone),
-    /// Puts a numbered configuration in force.
+    /// Publishes a numbered configuration.
     Publish(Publication),
-    /// Names the weights that engines are to have.
+    /// Sets the version of a model's weights that engines should load.
     SetDesiredWeights(DesiredWeights),
 }
--- a/crates/fleet/src/configuration.rs
+++ b/crates/fleet/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Defaults and exceptions in force, their history, and the replies to past changes.
+//! The current declaration, its history, and the stored replies to past changes.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -18,23 +18,23 @@
     reply::{ChangeRecord, ChangeReply},
 };
 
-/// Most changes that the history keeps.
+/// Maximum number of changes in the history.
 pub const MAX_HISTORY_ENTRIES: usize = 1_000;
 
-/// Most change ids whose first answer is stored.
+/// Maximum number of change ids whose reply is stored.
 pub const MAX_STORED_REPLIES: usize = 20_000;
 
-/// How long a change id's first answer is remembered, by the commands' times.
+/// How long the reply to a change id is stored, by the commands' timestamps.
 pub const REPLY_RETENTION: Duration = Duration::from_secs(48 * 3600);
 
-/// The configuration in force and what led to it.
+/// The current configuration and its history.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
     record: ConfigurationRecord,
     declaration: Arc<Declaration>,
 }
 
-/// The part of the configuration that a snapshot holds.
+/// The part of the configuration that is stored in snapshots.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ConfigurationRecord {
     revision: Revision,
@@ -53,27 +53,27 @@
 }
 
 impl Configuration {
-    /// Returns the revision in force.
+    /// Returns the current revision.
     pub fn revision(&self) -> Revision {
         self.record.revision
     }
 
-    /// Returns the declaration in force.
+    /// Returns the current declaration.
     pub fn declaration(&self) -> &Arc<Declaration> {
         &self.declaration
     }
 
-    /// Returns the text of the declaration in force, as its author wrote it.
+    /// Returns the text of the current declaration, as its author wrote it.
     pub fn text(&self) -> &Arc<str> {
         &self.record.text
     }
 
-    /// Lists the latest changes, the oldest first.
+    /// Returns the latest changes, oldest first.
     pub fn history(&self) -> impl DoubleEndedIterator<Item = &ChangeRecord> {
         self.record.history.iter()
     }
 
-    /// Applies a change if it was made on the revision in force.
+    /// Applies a change if it is based on the current revision; a resent one gets its first reply.
     pub(crate) fn apply(&mut self, change: &ConfigChange) -> ChangeReply {
         self.record.advance(change.at);
         let content = digest_content(change);
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Moves time forward, never back, and forgets the replies that are too old.
+    /// Advances the clock, never backwards, and removes expired replies.
     fn advance(&mut self, at: UnixMillis) {
         self.clock = self.clock.max(at);
         while self.oldest_has_expired() {
@@ -171,7 +171,7 @@
     }
 }
 
-/// Digests what a resend repeats: all but its time.
+/// Returns a digest of everything that is the same in a resent change: all but its time.
 fn digest_content(change: &ConfigChange) -> Digest {
     Hasher::default()
         .field(&change.expected.as_u64().to_le_bytes())
--- a/crates/fleet/src/contents.rs
+++ b/crates/fleet/src/contents.rs
@@ -1,4 +1,4 @@
-//! What a declaration says.
+//! The contents of a declaration.
 
 use std::{fmt, str::FromStr, sync::Arc};
 
@@ -14,19 +14,19 @@
     settings::Overrides,
 };
 
-/// What a declaration says.
+/// The contents of a declaration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Contents {
     /// Values for all traffic.
     #[serde(skip_serializing_if = "is_empty")]
     pub defaults: Overrides,
-    /// The models to keep in service.
+    /// The models to serve.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub models: Vec<DesiredModel>,
     /// The customers of the site.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub organisations: Vec<Organisation>,
-    /// Departures from the defaults.
+    /// Overrides of the defaults for part of the traffic.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub exceptions: Vec<Exception>,
 }
@@ -35,7 +35,7 @@
     *overrides == Overrides::default()
 }
 
-/// A model to keep in service.
+/// A model to serve.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct DesiredModel {
@@ -46,9 +46,9 @@
     /// The adapters loaded on top.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub adapters: Vec<AdapterId>,
-    /// How many servers should have it.
+    /// Minimum number of servers that load it.
     pub minimum_servers: Count,
-    /// How many of them should only prefill.
+    /// Number of them that only prefill.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub prefill_servers: Option<Count>,
 }
@@ -62,12 +62,12 @@
     /// Digests of its bearer keys.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub keys: Vec<Digest>,
-    /// Its weight when requests compete.
+    /// Its weight in fair scheduling.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub share: Option<Share>,
 }
 
-/// A departure from the defaults.
+/// An override of the defaults for part of the traffic.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Exception {
     /// Its name.
@@ -80,9 +80,9 @@
     /// When it ends, if it does.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub until: Option<EndTime>,
-    /// The traffic it holds for.
+    /// The traffic it applies to.
     pub scope: Scope,
-    /// The settings it changes.
+    /// The settings it overrides.
     pub set: Overrides,
 }
 
--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -157,21 +157,21 @@
             }
             CallState::Finished(..) => return FinishReply::AlreadySettled,
             CallState::Resolved(_, resolved) => {
-                let Outcome::Answered(answer) = &finish.outcome else {
+                let Outcome::Answered(response) = &finish.outcome else {
                     return FinishReply::AlreadySettled;
                 };
                 if resolved.resolution == Resolution::Ran {
                     return FinishReply::AlreadySettled;
                 }
-                entry.call.conflict = Some(Conflict { status: answer.status, at: finish.at });
+                entry.call.conflict = Some(Conflict { status: response.status, at: finish.at });
                 return FinishReply::Conflict;
             }
             CallState::Claimed(granted) | CallState::MayHaveRun(granted, _) => granted.clone(),
         };
         match &finish.outcome {
-            Outcome::Answered(answer) => {
-                let answer = self.limit_body(answer, settings);
-                self.settle(&finish.call, CallState::Finished(granted, answer));
+            Outcome::Answered(response) => {
+                let response = self.limit_body(response, settings);
+                self.settle(&finish.call, CallState::Finished(granted, response));
                 FinishReply::Recorded
             }
             Outcome::Unknown => {
@@ -340,12 +340,12 @@
     }
 
     /// Drops the body of an answer that is too large to keep.
-    fn limit_body(&self, answer: &StoredResponse, settings: &Settings) -> StoredResponse {
-        let mut answer = answer.clone();
+    fn limit_body(&self, response: &StoredResponse, settings: &Settings) -> StoredResponse {
+        let mut response = response.clone();
         let remaining = MAX_STORED_BODY_BYTES.saturating_sub(self.stored_body_bytes);
         let limit = remaining.min(settings.max_answer_bytes.as_u32() as usize);
-        answer.body = answer.body.filter(|body| body.len() <= limit);
-        answer
+        response.body = response.body.filter(|body| body.len() <= limit);
+        response
     }
 
     fn next_to_sweep(&self) -> Option<OrganisationId> {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,8 +1,8 @@
-//! The replicated state of the fleet: defaults, exceptions and the ledger of calls that may not be
-//! repeated; and the planner of orders to endpoints.
+//! The replicated state of the fleet: settings and the ledger of non-idempotent calls; and the
+//! planners of orders to endpoints.
 //!
-//! [`Fleet::apply`] takes the log's commands in order; every replica that applied the same
-//! commands holds the same state. Nothing in it reads a clock: a command carries its time.
+//! [`Fleet::apply`] is a deterministic state machine: replicas that applied the same log entries in
+//! order hold the same state. It reads no clock; each command carries its timestamp.
 //!
 //! # Example
 //!
--- a/crates/fleet/src/order_gate.rs
+++ b/crates/fleet/src/order_gate.rs
@@ -2,30 +2,31 @@
 
 use base::{MonotonicTime, Term};
 
-/// What a host knows of its own lead.
+/// A host's own leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Leadership {
-    /// The term in which it leads.
+    /// The term in which the host leads.
     pub term: Term,
-    /// Whether its lease runs, so that no other host can lead at present.
+    /// Whether the leader lease is valid, so that no other host can lead at present.
     pub has_lease: bool,
 }
 
-/// What a host may do about orders to endpoints.
+/// Whether a host may send orders to endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderPermission {
-    /// Another host may be giving orders.
+    /// No: another host may be sending orders.
     Denied,
-    /// Orders of an earlier leader may still arrive, for this time.
+    /// Not yet: an earlier leader's orders may still arrive for this long.
     After(Duration),
-    /// It may give orders.
+    /// Yes.
     Granted,
 }
 
-/// The time for which a host leads in one term, and so may give orders to endpoints.
+/// Decides when the leader may send orders to endpoints.
 ///
-/// A lease that lapses and runs again in the same term proves that no other host led meanwhile, so
-/// that only a new term makes the host wait for an earlier leader's orders.
+/// After its first lease in a term the leader waits until the orders of an earlier leader can no
+/// longer arrive. A lease that lapses and is renewed within the same term starts no new wait, as no
+/// other host can have led meanwhile.
 #[derive(Clone, Copy, Debug)]
 pub struct OrderGate {
     wait: Duration,
@@ -33,17 +34,19 @@
 }
 
 impl OrderGate {
-    /// Creates one that waits for `wait` after the beginning of each term.
+    /// Creates a gate that waits for `wait` after the first lease of each term.
     pub const fn new(wait: Duration) -> Self {
         Self { wait, first_lease: None }
     }
 
-    /// Returns the term in which orders may be given, once the lease has run in it.
+    /// Returns the current term once the host has held a lease in it.
     pub fn term(&self) -> Option<Term> {
         self.first_lease.map(|(term, _)| term)
     }
 
-    /// Judges what the host may do at `now`; without a lead it holds nothing any more.
+    /// Updates the gate with the host's leadership at `now` and returns whether it may send orders.
+    ///
+    /// `None` stands for a host that is not the leader; it resets the gate.
     pub fn update(
         &mut self,
         now: MonotonicTime,
--- a/crates/fleet/src/published.rs
+++ b/crates/fleet/src/published.rs
@@ -3,7 +3,7 @@
 use base::{ModelId, ParseError};
 use serde::{Deserialize, Serialize};
 
-/// The number that an operator gives a configuration; the highest one is in force.
+/// The number that an operator assigns to a configuration; the highest one is current.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -37,16 +37,16 @@
     }
 }
 
-/// A configuration with its number, in the form in which it came.
+/// A numbered configuration, in its original encoding.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Publication {
     /// Its number.
     pub number: ConfigurationNumber,
-    /// What it says; checked by whoever proposes it.
+    /// Its content, validated by the host that proposes it.
     pub content: Arc<[u8]>,
 }
 
-/// The version of a model's weights that operators want on all engines.
+/// The version of a model's weights that all engines should load.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DesiredWeights {
     /// The model.
@@ -55,16 +55,16 @@
     pub version: u32,
 }
 
-/// What a numbered configuration led to.
+/// The reply to a publication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PublishReply {
-    /// It is in force.
+    /// It is current.
     InForce,
-    /// One with this number, or a higher one, was in force before; nothing changed.
+    /// Ignored: the current configuration has this number or a higher one.
     NotNewer(ConfigurationNumber),
 }
 
-/// The numbered configuration in force and the weights named.
+/// The current numbered configuration and the desired weights.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Published {
     publication: Publication,
@@ -72,12 +72,12 @@
 }
 
 impl Published {
-    /// Returns the configuration in force.
+    /// Returns the current configuration.
     pub fn publication(&self) -> &Publication {
         &self.publication
     }
 
-    /// Returns the weights named.
+    /// Returns the desired weights of each model.
     pub fn weights(&self) -> Vec<DesiredWeights> {
         let weights = self.weights.iter();
         weights.map(|(model, &version)| DesiredWeights { model: model.clone(), version }).collect()
@@ -92,7 +92,7 @@
         PublishReply::InForce
     }
 
-    /// Raises a model's version; returns the one in force.
+    /// Raises a model's desired version, never lowers it; returns the resulting version.
     pub(crate) fn set_desired_weights(&mut self, desired: &DesiredWeights) -> u32 {
         let current = self.weights.entry(desired.model.clone()).or_default();
         *current = desired.version.max(*current);
--- a/crates/fleet/src/reply.rs
+++ b/crates/fleet/src/reply.rs
@@ -1,4 +1,4 @@
-//! What commands of the replicated log lead to.
+//! Replies to commands in the replicated log.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,99 +11,99 @@
     declaration_error::DeclarationError,
 };
 
-/// A change that is or was in force.
+/// An accepted change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeRecord {
-    /// The revision it led to.
+    /// The revision that it created.
     pub revision: Revision,
     /// Its id.
     pub id: ChangeId,
-    /// Who made it.
+    /// The author.
     pub author: Author,
-    /// Why.
+    /// The reason given.
     pub reason: Arc<str>,
     /// When.
     pub at: UnixMillis,
 }
 
-/// What a change of configuration led to.
+/// The reply to a change of configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeReply {
-    /// The change is in force from this revision on.
+    /// The change created this revision.
     Changed(Revision),
-    /// Another change came first; nothing changed.
+    /// Another change was accepted first; nothing changed.
     Conflict {
-        /// The change that took the expected revision's place, or the latest one if that is
-        /// forgotten.
+        /// The change that was accepted on the expected revision, or the latest one if that is no
+        /// longer in the history.
         winner: Option<ChangeRecord>,
-        /// The revision in force.
+        /// The current revision.
         current: Revision,
     },
     /// The declaration is not valid; nothing changed.
     Invalid(DeclarationError),
     /// The reason is empty or too long; nothing changed.
     InvalidReason,
-    /// The change id belongs to a change with other content; nothing changed.
+    /// The change id was used before with other content; nothing changed.
     IdReused,
 }
 
-/// What a claim led to.
+/// The reply to a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimReply {
-    /// The claim is the sender's: it may send the call once.
+    /// Granted: the owner may send the call once.
     Claimed {
-        /// How long after it first proposed the claim the owner may still send, on the owner's own
-        /// monotonic clock; past this it releases the claim.
+        /// How long after it first proposed the claim the owner may begin to send, on its own
+        /// monotonic clock; after that it must release the claim.
         send_within: Duration,
     },
     /// Another attempt holds the claim.
     InProgress(Owner),
-    /// The call ran and this came back.
+    /// The call ran; this is its response.
     Finished(StoredResponse),
-    /// The call ran by an operator's word; no answer is known.
+    /// An operator settled the call as run; no response is stored.
     Ran,
     /// The call may have run.
     MayHaveRun {
-        /// Since when its outcome is unknown.
+        /// When its outcome became unknown.
         since: UnixMillis,
-        /// Why.
+        /// The reason.
         reason: MayHaveRunReason,
     },
-    /// The call did not run and never will under this key.
+    /// The call did not run and can no longer run under this key.
     NotRun,
     /// This attempt was released before; nothing was sent under it.
     AttemptReleased,
-    /// The key belongs to another request; this one did not run.
+    /// The key was used for another request; this one did not run.
     KeyReused,
-    /// The organisation has too many claims open; this call did not run.
+    /// Too many claims are open or calls stored; this call did not run.
     TooMany,
 }
 
 /// Why a call's outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MayHaveRunReason {
-    /// Its owner lost the endpoint after it had begun to send.
+    /// Its owner lost the endpoint after it began to send.
     OutcomeLost,
-    /// Its owner ended.
+    /// Its owner's process ended.
     OwnerGone,
 }
 
-/// What the report of an outcome led to.
+/// The reply to the report of an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FinishReply {
-    /// The outcome stands.
+    /// The outcome was recorded.
     Recorded,
-    /// An outcome stands already; nothing changed.
+    /// An outcome was recorded before; nothing changed.
     AlreadySettled,
-    /// An operator has settled the call otherwise; the verdict stays, the conflict is kept.
+    /// An operator settled the call as not run; the verdict stays and the conflict is recorded.
     Conflict,
     /// The sender does not hold the claim; nothing changed.
     NotOwner,
-    /// The call is not known; nothing changed.
+    /// No such call is stored; nothing changed.
     Unknown,
 }
 
-/// What the release of a claim led to.
+/// The reply to the release of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReleaseReply {
     /// The key may be claimed again.
@@ -112,29 +112,29 @@
     AlreadySettled,
     /// The sender does not hold the claim; nothing changed.
     NotOwner,
-    /// The call is not known; nothing changed.
+    /// No such call is stored; nothing changed.
     Unknown,
 }
 
-/// What an operator's settlement led to.
+/// The reply to an operator's settlement.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ResolveReply {
-    /// The settlement stands.
+    /// The settlement was recorded.
     Resolved,
-    /// The owner may still send the call; ask again after this time.
+    /// The owner may still send the call; retry after `wait`.
     TooEarly {
-        /// How long to wait.
+        /// Time until the call can be settled as not run.
         wait: Duration,
     },
     /// The call is settled already; nothing changed.
     AlreadySettled,
     /// The reason is empty or too long; nothing changed.
     InvalidReason,
-    /// The call is not known; nothing changed.
+    /// No such call is stored; nothing changed.
     Unknown,
 }
 
-/// What a command led to.
+/// The reply to a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
     /// To a change of configuration.
@@ -147,12 +147,12 @@
     Release(ReleaseReply),
     /// To an operator's settlement.
     Resolve(ResolveReply),
-    /// To the notice that an owner ended: how many claims were open.
+    /// To the notice that an owner ended: the number of its open claims.
     OwnerGone(u32),
     /// The command at this index was applied before; nothing changed.
     AlreadyApplied,
     /// To a numbered configuration.
     Publish(PublishReply),
-    /// To the naming of weights: the version in force.
+    /// To desired weights: the model's resulting version.
     Weights(u32),
 }
--- a/crates/fleet/tests/ledger.rs
+++ b/crates/fleet/tests/ledger.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use base::{Digest, Incarnation, UnixMillis};
-use fixture::{Log, answer, at, call, claim, claimed, finish, owner, release, resolve};
+use fixture::{Log, at, call, claim, claimed, finish, owner, release, resolve, response};
 use fleet::{
     CallState, Claim, ClaimId, ClaimReply, Command, FinishReply, MayHaveRunReason, Outcome,
     OwnerGone, ReleaseReply, Reply, Resolution, ResolveReply,
@@ -16,7 +16,7 @@
 }
 
 fn answered() -> Command {
-    finish("k", 1, "a", Outcome::Answered(answer(b"done")))
+    finish("k", 1, "a", Outcome::Answered(response(b"done")))
 }
 
 fn lost() -> Command {
@@ -32,7 +32,7 @@
 }
 
 fn finished() -> Reply {
-    Reply::Claim(ClaimReply::Finished(answer(b"done")))
+    Reply::Claim(ClaimReply::Finished(response(b"done")))
 }
 
 /// Past the send deadline and its margin, for a claim given at one second.
@@ -83,9 +83,9 @@
         then claim_by(1, "a") => finished();
     finish_of_a_free_key: [] then answered() => Reply::Finish(FinishReply::Unknown);
     finish_by_another_host: [claim_by(1, "a")]
-        then finish("k", 1, "b", Outcome::Answered(answer(b""))) => Reply::Finish(FinishReply::NotOwner);
+        then finish("k", 1, "b", Outcome::Answered(response(b""))) => Reply::Finish(FinishReply::NotOwner);
     finish_by_another_attempt: [claim_by(1, "a")]
-        then finish("k", 2, "a", Outcome::Answered(answer(b""))) => Reply::Finish(FinishReply::NotOwner);
+        then finish("k", 2, "a", Outcome::Answered(response(b""))) => Reply::Finish(FinishReply::NotOwner);
     finish_after_release: [claim_by(1, "a"), release("k", 1, "a")] then answered()
         => Reply::Finish(FinishReply::NotOwner);
     finish_of_the_attempt_before: [claim_by(1, "a"), release("k", 1, "a"), claim_by(2, "b")]
@@ -210,7 +210,7 @@
 #[test]
 fn answer_past_the_bound_is_kept_without_its_body() {
     let mut log = Log::default();
-    log.declare("[defaults]\nmax-answer-bytes = 3");
+    log.declare("[defaults]\nmax-response-bytes = 3");
     log.apply(&claim_by(1, "a"));
     log.apply(&answered());
     let Reply::Claim(ClaimReply::Finished(kept)) = log.apply(&claim_by(2, "b")) else {
--- a/crates/fleet/tests/orders.rs
+++ b/crates/fleet/tests/orders.rs
@@ -59,7 +59,7 @@
     }
 }
 
-/// Reads `engine=model:weights,…` with `!` for no fencing_token, `-` for leaving, `^` for busy and
+/// Reads `engine=model:weights,…` with `!` for no fencing, `-` for leaving, `^` for busy and
 /// `>` for prefill after the engine's name.
 fn reported(text: &str) -> Vec<ReportedEngine> {
     text.split_whitespace().map(engine).collect()
--- a/crates/fleet/tests/replicas.rs
+++ b/crates/fleet/tests/replicas.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 
 use base::{Digest, Incarnation};
-use fixture::{Log, answer, at, call, change, owner};
+use fixture::{Log, at, call, change, owner, response};
 use fleet::{
     Claim, ClaimId, ClaimReply, Command, ConfigChange, Declaration, Finish, Fleet, Outcome,
     OwnerGone, Release, ReleaseReply, Reply, Resolution, Resolve,
@@ -15,7 +15,7 @@
 const DECLARATIONS: [&str; 4] = [
     "",
     "[defaults]\nclaim-retention = '5s'\nclaim-retention-count = 2",
-    "[defaults]\nmax-open-claims = 2\nmax-answer-bytes = 2",
+    "[defaults]\nmax-open-claims = 2\nmax-response-bytes = 2",
     "[defaults]\nshare = 0",
 ];
 
@@ -47,7 +47,7 @@
 }
 
 fn finish(Claim { call, id, owner, at, .. }: Claim, is_known: bool) -> Command {
-    let outcome = if is_known { Outcome::Answered(answer(b"yes")) } else { Outcome::Unknown };
+    let outcome = if is_known { Outcome::Answered(response(b"yes")) } else { Outcome::Unknown };
     Command::Finish(Finish { call, id, owner, outcome, at })
 }
 
--- a/crates/fleet/tests/retention.rs
+++ b/crates/fleet/tests/retention.rs
@@ -4,14 +4,14 @@
 
 use std::time::Duration;
 
-use fixture::{Log, answer, at, call, claim, claimed, finish};
+use fixture::{Log, at, call, claim, claimed, finish, response};
 use fleet::{Claim, Command, Finish, MAX_STORED_BODY_BYTES, MAX_STORED_CALLS, Outcome, Reply};
 
 const BOUNDS: &str = "[defaults]\nclaim-retention = '10s'\nclaim-retention-count = 3";
 
 fn run(log: &mut Log, key: &str, id: u128, millis: u64) {
     log.apply(&Command::Claim(Claim { at: at(millis), ..claim(key, id, "a") }));
-    let Command::Finish(report) = finish(key, id, "a", Outcome::Answered(answer(b"done"))) else {
+    let Command::Finish(report) = finish(key, id, "a", Outcome::Answered(response(b"done"))) else {
         return;
     };
     log.apply(&Command::Finish(Finish { at: at(millis), ..report }));
@@ -102,7 +102,7 @@
             call: quiet.call.clone(),
             id: quiet.id,
             owner: quiet.owner.clone(),
-            outcome: Outcome::Answered(answer(b"done")),
+            outcome: Outcome::Answered(response(b"done")),
             at: quiet.at,
         };
         log.apply(&Command::Claim(quiet));
@@ -118,13 +118,13 @@
 fn bodies_of_all_organisations_stay_bounded() {
     const BODY_BYTES: usize = 1 << 20;
     let mut log = Log::default();
-    log.declare("[defaults]\nmax-answer-bytes = 1048576");
+    log.declare("[defaults]\nmax-response-bytes = 1048576");
     let body = vec![7; BODY_BYTES];
     let count = (MAX_STORED_BODY_BYTES / BODY_BYTES + 2) as u128;
     for id in 0..count {
         let key = format!("k-{id}");
         log.apply(&Command::Claim(claim(&key, id, "a")));
-        log.apply(&finish(&key, id, "a", Outcome::Answered(answer(&body))));
+        log.apply(&finish(&key, id, "a", Outcome::Answered(response(&body))));
     }
     assert_eq!(log.fleet.ledger().len() as u128, count);
     assert!(log.fleet.to_snapshot().len() < MAX_STORED_BODY_BYTES + BODY_BYTES);
