--- a/crates/fleet/src/declaration.rs
+++ b/crates/fleet/src/declaration.rs
@@ -1,4 +1,4 @@
-//! Defaults and exceptions, as operators keep them under version control.
+//! Declarations: settings, models and organisations, as operators keep them under version control.
 
 use std::collections::HashMap;
 
@@ -13,10 +13,10 @@
     settings::{Overrides, SettingValue, Settings},
 };
 
-/// Longest text of a declaration, in bytes.
+/// Maximum size of a declaration.
 const MAX_DECLARATION_BYTES: usize = 2 << 20;
 
-/// A checked declaration.
+/// A validated declaration.
 #[derive(Clone, Debug, Default)]
 pub struct Declaration {
     contents: Contents,
@@ -30,11 +30,12 @@
 }
 
 impl Declaration {
-    /// Reads a declaration from TOML.
+    /// Parses and validates a declaration in TOML.
     ///
     /// # Errors
     ///
-    /// Returns the line, the column, the key and the value that are wrong, and what is allowed.
+    /// Returns an error with the position, the key and the value that are invalid, and what is
+    /// allowed.
     ///
     /// # Examples
     ///
@@ -71,7 +72,7 @@
         Ok(Self { contents, index })
     }
 
-    /// Writes the declaration as TOML; values that equal the built-in ones stay.
+    /// Returns the declaration as TOML, including values that equal the built-in ones.
     ///
     /// # Panics
     ///
@@ -80,7 +81,7 @@
         toml::to_string(&self.contents).expect("each type in a declaration has a TOML form")
     }
 
-    /// Returns what the declaration says.
+    /// Returns the declaration's contents.
     pub fn contents(&self) -> &Contents {
         &self.contents
     }
@@ -95,12 +96,12 @@
         self.index.organisations.get(id).map(|position| &self.contents.organisations[*position])
     }
 
-    /// Resolves the settings that hold for `scope` at `now`.
+    /// Returns the effective settings for `scope` at `now`.
     ///
-    /// Values come, later over earlier, from the program, `[defaults]`, the organisation's entry
-    /// and the exceptions that cover `scope`. Among these the one with more dimensions in its
-    /// scope wins; then the one with the narrowest dimension (endpoint, organisation, service,
-    /// model, data centre); then the one further down in the declaration.
+    /// Later layers override earlier ones: built-in values, `[defaults]`, the organisation's entry,
+    /// the exceptions that cover `scope`. Among exceptions, the one with more dimensions in its
+    /// scope takes precedence; then the one with the narrowest dimension (endpoint, organisation,
+    /// service, model, data centre); then the one further down in the declaration.
     pub fn effective(&self, scope: &Scope, now: UnixMillis) -> Settings {
         let mut settings = Settings::default();
         for layer in self.layers(scope, now) {
@@ -109,7 +110,7 @@
         settings
     }
 
-    /// Lists each setting for `scope` at `now` with the source of its value.
+    /// Returns each setting for `scope` at `now` with the source of its value.
     pub fn explain(&self, scope: &Scope, now: UnixMillis) -> Vec<Explanation> {
         let built_in = Settings::default().values().into_iter();
         let mut explanations: Vec<_> = built_in
@@ -175,7 +176,7 @@
     }
 }
 
-/// Positions in [`Contents`], so that a question reads only the entries that may matter.
+/// Positions in [`Contents`], so that a lookup reads only entries that can match.
 #[derive(Clone, Debug, Default)]
 struct Index {
     organisations: HashMap<OrganisationId, usize>,
--- a/crates/fleet/src/declaration_error.rs
+++ b/crates/fleet/src/declaration_error.rs
@@ -1,10 +1,10 @@
-//! Places and words for what is wrong in a declaration.
+//! Errors in a declaration, with their positions.
 
 use std::{error, fmt, ops::Range, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 
-/// A declaration that is not valid.
+/// An error in a declaration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeclarationError {
     line: u32,
@@ -12,7 +12,7 @@
     message: Arc<str>,
 }
 
-/// Most of a value that a message shows, in characters.
+/// Maximum number of characters of a value that a message shows.
 const MAX_SHOWN_CHARS: usize = 80;
 
 impl DeclarationError {
@@ -26,7 +26,7 @@
         self.column
     }
 
-    /// Places an error of the TOML reader.
+    /// Converts an error of the TOML parser.
     pub(crate) fn from_toml(text: &str, e: &toml::de::Error) -> Self {
         let span = e.span().unwrap_or(0..0);
         let (key, value) = entry_at(text, &span);
@@ -34,20 +34,20 @@
         Self::new(text, span.start, &key, &value, message)
     }
 
-    /// Describes the value at `span` of `key`, where only `allowed` would be valid.
+    /// Creates an error for the value of `key` at `span`.
     pub(crate) fn at(text: &str, span: Range<usize>, key: &str, allowed: &str) -> Self {
         let value = text.get(span.clone()).unwrap_or_default();
         Self::new(text, span.start, key, value, &format!("expected {allowed}"))
     }
 
-    /// Describes `key`, which stands within `span`, where only `allowed` would be valid.
+    /// Creates an error for `key`, which is within `span`.
     pub(crate) fn at_key(text: &str, span: Range<usize>, key: &str, allowed: &str) -> Self {
         let start = key_start(text, &span, key);
         let (_, value) = entry_at(text, &(start..start + key.len()));
         Self::new(text, start, key, &value, &format!("expected {allowed}"))
     }
 
-    /// Describes a text of `found` bytes where `max` are allowed.
+    /// Creates an error for a text of `found` bytes.
     pub(crate) fn too_long(found: usize, max: usize) -> Self {
         let message = format!("the text has {found} bytes; expected at most {max}").into();
         Self { line: 1, column: 1, message }
@@ -81,7 +81,7 @@
     text.trim().lines().next().unwrap_or_default().chars().take(MAX_SHOWN_CHARS).collect()
 }
 
-/// Finds the key and the value that `span` belongs to, in the line where it starts.
+/// Returns the key and the value that `span` belongs to, in the line where it starts.
 fn entry_at(text: &str, span: &Range<usize>) -> (String, String) {
     let spanned = text.get(span.clone()).unwrap_or_default();
     let before = text.get(..span.start).unwrap_or_default();
@@ -97,7 +97,8 @@
     (spanned.to_owned(), value.trim_end_matches('}').trim().to_owned())
 }
 
-/// Finds where `key` starts a line or an inline entry; a table's span may be only its header.
+/// Returns the position where `key` starts a line or an inline entry; a table's span may cover only
+/// its header.
 fn key_start(text: &str, span: &Range<usize>, key: &str) -> usize {
     let rest = text.get(span.start..).unwrap_or_default();
     let is_key = |position: usize| {
--- a/crates/fleet/src/declaration_file.rs
+++ b/crates/fleet/src/declaration_file.rs
@@ -1,4 +1,4 @@
-//! The form of a declaration in its file, and the checks that need places in it.
+//! The file format of a declaration, and the checks that report positions in it.
 
 use std::collections::BTreeSet;
 
@@ -14,7 +14,7 @@
     settings::{Overrides, SettingValue},
 };
 
-/// A declaration as it stands in its file, with places for messages.
+/// A deserialised declaration with the spans that error messages need.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct DeclarationFile {
@@ -39,7 +39,7 @@
 }
 
 impl DeclarationFile {
-    /// Reads and checks a file.
+    /// Parses and validates a file.
     pub(crate) fn read(text: &str) -> Result<Self, DeclarationError> {
         let file: Self = toml::from_str(text).map_err(|e| DeclarationError::from_toml(text, &e))?;
         file.check(text)?;
--- a/crates/fleet/src/diff.rs
+++ b/crates/fleet/src/diff.rs
@@ -1,4 +1,4 @@
-//! What separates two declarations.
+//! Differences between declarations.
 
 use std::{collections::HashMap, fmt};
 
@@ -7,11 +7,11 @@
 /// One difference between two declarations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Difference {
-    /// What differs: a default's name, or the kind and name of an entry.
+    /// The entry that differs: `default` and a setting, or the kind and name of an entry.
     pub what: String,
-    /// How it stood, `None` if it is new.
+    /// The old value, `None` if the entry is new.
     pub before: Option<String>,
-    /// How it stands, `None` if it is gone.
+    /// The new value, `None` if the entry was removed.
     pub after: Option<String>,
 }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// Lists what differs from `before` in `after`, in the order of the declaration.
+/// Returns the differences, in the order of `after`; removed entries come last.
 pub fn diff(before: &Declaration, after: &Declaration) -> Vec<Difference> {
     let (old, new) = (entries(before), entries(after));
     let old_values = by_name(&old);
--- a/crates/fleet/src/explanation.rs
+++ b/crates/fleet/src/explanation.rs
@@ -1,4 +1,4 @@
-//! Where the value of a setting comes from.
+//! The sources of settings' values.
 
 use std::fmt;
 
@@ -6,14 +6,14 @@
 
 use crate::{contents::Reason, settings::SettingKey};
 
-/// Where a setting's value comes from.
+/// The source of a setting's value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Source {
-    /// The program.
+    /// The built-in value.
     BuiltIn,
     /// The declaration's defaults.
     Default,
-    /// The entry of the organisation.
+    /// The organisation's entry.
     Organisation,
     /// An exception.
     Exception {
@@ -42,7 +42,7 @@
     pub key: SettingKey,
     /// Its value, as text.
     pub value: String,
-    /// Where the value comes from.
+    /// The source of the value.
     pub source: Source,
 }
 
--- a/crates/fleet/src/scope.rs
+++ b/crates/fleet/src/scope.rs
@@ -1,21 +1,21 @@
-//! The part of the traffic that an exception or a question is about.
+//! The part of the traffic that an exception or a query covers.
 
 use std::fmt;
 
 use base::{DataCentreId, EndpointId, ModelId, OrganisationId, ServiceId};
 use serde::{Deserialize, Serialize};
 
-/// A part of the traffic; a dimension left out stands for all of it.
+/// A part of the traffic; an omitted dimension matches everything.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Scope {
-    /// The organisation that calls.
+    /// The calling organisation.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub organisation: Option<OrganisationId>,
     /// The requested model.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub model: Option<ModelId>,
-    /// The plain service called.
+    /// The requested plain service.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub service: Option<ServiceId>,
     /// The data centre of the endpoint.
@@ -37,7 +37,7 @@
         Self { endpoint: Some(id), ..Self::default() }
     }
 
-    /// Returns whether every dimension that this scope names has the same value in `other`.
+    /// Returns whether every dimension of this scope has the same value in `other`.
     pub fn covers(&self, other: &Self) -> bool {
         fn matches<T: PartialEq>(own: &Option<T>, other: &Option<T>) -> bool {
             own.is_none() || own == other
@@ -64,7 +64,7 @@
     }
 }
 
-/// A set of a scope's dimensions.
+/// A set of scope dimensions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Dimensions(u8);
 
@@ -85,8 +85,8 @@
         self.0 & !other.0 == 0
     }
 
-    /// Returns a rank that is higher for a narrower scope: first by the number of dimensions, then
-    /// by the narrowest of them.
+    /// Returns a rank that is higher for a narrower scope: by number of dimensions, then by the
+    /// narrowest dimension.
     pub(crate) const fn specificity(self) -> (u32, u8) {
         (self.0.count_ones(), self.0)
     }
--- a/crates/fleet/src/setting.rs
+++ b/crates/fleet/src/setting.rs
@@ -1,4 +1,4 @@
-//! Typed values of settings, each checked once when it is read.
+//! Typed values of settings, validated when parsed.
 
 mod choice;
 mod number;
@@ -17,7 +17,7 @@
     time::{EndTime, Retention, Timeout},
 };
 
-/// Reads a value from text by `FromStr`.
+/// Deserialises a string by `FromStr`.
 struct TextVisitor<T> {
     allowed: &'static str,
     value: PhantomData<T>,
--- a/crates/fleet/src/setting/choice.rs
+++ b/crates/fleet/src/setting/choice.rs
@@ -1,4 +1,4 @@
-//! Choices among named values.
+//! Settings with a fixed set of values.
 
 use std::{fmt, str::FromStr};
 
@@ -7,19 +7,19 @@
 
 use super::{TextVisitor, time::Timeout};
 
-/// A way to choose an endpoint.
+/// The policy that chooses an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RoutingPolicy {
-    /// Weighs warm prefixes against the expected wait.
+    /// Weighs cached prefixes against the expected queueing time.
     Warm,
     /// The first version of `warm`, kept for comparison.
     WarmV1,
-    /// Takes endpoints in turn.
+    /// Cycles through the endpoints.
     RoundRobin,
-    /// Takes the endpoint with the fewest requests in flight.
+    /// Chooses the endpoint with the fewest requests in flight.
     LeastInFlight,
-    /// Takes the prefix's home.
+    /// Chooses the prefix's home by hashing.
     Hash,
 }
 
@@ -55,17 +55,17 @@
     }
 }
 
-/// Where an engine may fetch cached blocks from.
+/// The sources from which an engine may fetch cached blocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum KvTransfer {
-    /// Nowhere.
+    /// None.
     Off,
-    /// From another engine.
+    /// Other engines.
     Neighbour,
-    /// From the store of kept KV.
+    /// The KV store.
     Store,
-    /// From either.
+    /// Both.
     Both,
 }
 
@@ -82,12 +82,12 @@
         }
     }
 
-    /// Returns whether another engine may be asked.
+    /// Returns whether blocks may be fetched from other engines.
     pub fn fetches_from_engines(self) -> bool {
         matches!(self, Self::Neighbour | Self::Both)
     }
 
-    /// Returns whether the store may be asked.
+    /// Returns whether blocks may be fetched from the store.
     pub fn fetches_from_store(self) -> bool {
         matches!(self, Self::Store | Self::Both)
     }
@@ -108,7 +108,7 @@
     }
 }
 
-/// When a second endpoint is asked for an answer that is late.
+/// The delay after which a late request is hedged with a second endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HedgeDelay {
     /// Never.
@@ -167,7 +167,7 @@
     const ALL: [Self; 7] =
         [Self::Get, Self::Head, Self::Options, Self::Put, Self::Delete, Self::Post, Self::Patch];
 
-    /// Returns the method as HTTP spells it.
+    /// Returns the method's name in HTTP.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Get => "GET",
--- a/crates/fleet/src/setting/number.rs
+++ b/crates/fleet/src/setting/number.rs
@@ -1,4 +1,4 @@
-//! Whole numbers within bounds.
+//! Integers within bounds.
 
 use std::{fmt, str::FromStr};
 
@@ -12,12 +12,12 @@
         pub struct $name(u32);
 
         impl $name {
-            /// The least value allowed.
+            /// The minimum value.
             pub const MIN: Self = Self($min);
-            /// The greatest value allowed.
+            /// The maximum value.
             pub const MAX: Self = Self($max);
 
-            /// Returns the value nearest to `number` that is allowed.
+            /// Returns `number`, clamped to the allowed range.
             pub const fn clamped(number: u32) -> Self {
                 if number < Self::MIN.0 {
                     return Self::MIN;
@@ -92,14 +92,14 @@
 ranged_numbers! {
     /// The depth of a prefix, in cached blocks, at which its home is chosen.
     PlacementLevel: "placement level", 0..=4096, "a whole number of blocks from 0 to 4096";
-    /// An organisation's weight when requests compete.
+    /// An organisation's weight in fair scheduling.
     Share: "share", 1..=10_000, "a whole number from 1 to 10000";
     /// A limit on requests, connections or claims.
     Count: "count", 1..=1_000_000, "a whole number from 1 to 1000000";
-    /// A limit on bytes kept in memory for one request.
+    /// A limit on bytes stored in memory for one request.
     ByteLimit: "byte limit", 0..=67_108_864, "a whole number of bytes from 0 to 67108864";
-    /// The order in which engines serve waiting requests: 0 goes first.
+    /// The priority of a request in the engines' queues: 0 goes first.
     Priority: "priority", 0..=9, "a whole number from 0 (first) to 9 (last)";
-    /// How many servers may load weights at once over the site.
+    /// Maximum number of servers that load weights at once across the site.
     WeightLoads: "weight loads", 1..=3, "a whole number from 1 to 3";
 }
--- a/crates/fleet/src/setting/ratio.rs
+++ b/crates/fleet/src/setting/ratio.rs
@@ -82,6 +82,6 @@
 real_numbers! {
     /// The weight of one term of an endpoint's score.
     Weight: "weight", 1000.0, "a number from 0 to 1000";
-    /// Retries allowed for each request.
+    /// The ratio of retries to requests.
     Ratio: "ratio", 1.0, "a number from 0 to 1";
 }
--- a/crates/fleet/src/setting/time.rs
+++ b/crates/fleet/src/setting/time.rs
@@ -1,4 +1,4 @@
-//! Durations and moments.
+//! Durations and times.
 
 use std::{fmt, str::FromStr, time::Duration};
 
@@ -18,14 +18,14 @@
             ///
             /// # Panics
             ///
-            /// Panics if the span is outside the allowed range; in a constant this stops the
+            /// Panics if the duration is outside the allowed range; in a constant this stops the
             /// build.
             pub const fn from_millis(millis: u64) -> Self {
                 assert!($min <= millis && millis <= $max, $allowed);
                 Self(Duration::from_millis(millis))
             }
 
-            /// Returns the span.
+            /// Returns the duration.
             pub const fn as_duration(self) -> Duration {
                 self.0
             }
@@ -63,18 +63,18 @@
 }
 
 durations! {
-    /// How long one step of a request may take.
+    /// A time limit for one step of a request.
     Timeout: "timeout", 1..=3_600_000, "a duration from 1ms to 1h, such as 800ms or 5s";
-    /// How long a settled call is remembered.
+    /// How long a settled call is stored.
     Retention: "retention", 1_000..=2_592_000_000, "a duration from 1s to 30days, such as 24h";
 }
 
-/// The moment at which an exception ends, to the second.
+/// The time at which an exception ends, in seconds since 1970.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EndTime(u64);
 
 impl EndTime {
-    /// Returns whether the moment has come at `now`.
+    /// Returns whether the exception has ended at `now`.
     pub const fn has_passed(self, now: UnixMillis) -> bool {
         self.0.saturating_mul(1000) <= now.as_u64()
     }
@@ -82,7 +82,7 @@
 
 const END_TIME_RULE: &str = "a UTC time such as 2026-12-04T18:00:00Z or seconds since 1970";
 
-/// The last second of the year 9999, which RFC 3339 can still write.
+/// The last second of the year 9999, the latest that RFC 3339 can represent.
 const LAST_SECOND: u64 = 253_402_300_799;
 
 impl fmt::Display for EndTime {
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state as a whole, and its snapshots.
+//! The whole replicated state and its snapshots.
 
 use std::sync::Arc;
 
@@ -24,7 +24,7 @@
 impl Fleet {
     /// Applies the command at `index`.
     ///
-    /// A command at or before an index that was applied changes nothing.
+    /// An index at or below the last applied one is ignored.
     pub fn apply(&mut self, index: LogIndex, command: &Command) -> Reply {
         if index <= self.applied {
             return Reply::AlreadyApplied;
@@ -58,37 +58,37 @@
         }
     }
 
-    /// Records that the log entry at `index` holds no command, such as a new leader's first.
+    /// Skips a log entry without a command, such as the first entry of a new leader.
     pub fn skip(&mut self, index: LogIndex) {
         self.applied = self.applied.max(index);
     }
 
-    /// Returns the highest index applied.
+    /// Returns the last applied index.
     pub fn applied(&self) -> LogIndex {
         self.applied
     }
 
-    /// Returns the revision of the configuration in force.
+    /// Returns the revision of the current configuration.
     pub fn revision(&self) -> Revision {
         self.configuration.revision()
     }
 
-    /// Returns the configuration in force.
+    /// Returns the current configuration.
     pub fn configuration(&self) -> &Configuration {
         &self.configuration
     }
 
-    /// Returns the ledger of calls that may not be repeated.
+    /// Returns the ledger of non-idempotent calls.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// Returns the numbered configuration in force and the weights named.
+    /// Returns the current numbered configuration and the desired weights.
     pub fn published(&self) -> &Arc<Published> {
         &self.published
     }
 
-    /// Writes the whole state.
+    /// Encodes the whole state as a snapshot.
     pub fn to_snapshot(&self) -> Vec<u8> {
         let mut bytes = codec::encode(&SnapshotRef {
             applied: self.applied,
@@ -99,14 +99,14 @@
         bytes
     }
 
-    /// Reads the whole state.
+    /// Decodes the whole state from a snapshot.
     ///
     /// # Errors
     ///
     /// Returns an error if the bytes have an unknown format version or are damaged.
     pub fn from_snapshot(bytes: &[u8]) -> Result<Self, CodecError> {
         let (snapshot, left): (Snapshot, _) = codec::decode_first(bytes)?;
-        // Snapshots of earlier programs end here.
+        // Snapshots of earlier versions end here.
         let published = if left.is_empty() { Published::default() } else { codec::decode(left)? };
         if !snapshot.ledger.is_consistent() {
             return Err(CodecError::inconsistent());
--- a/crates/fleet/src/weights_history.rs
+++ b/crates/fleet/src/weights_history.rs
@@ -3,28 +3,31 @@
 use base::{ModelId, MonotonicTime};
 use serde::{Deserialize, Serialize};
 
-/// Versions that are remembered; older ones have long been out of bounds.
+/// Maximum number of versions stored; older ones are far beyond any allowed age.
 const MAX_VERSIONS: usize = 16;
 
-/// A version of a model's weights with the time since it was named, as one host tells another.
+/// A version of a model's weights and the time since it became the desired one, as sent between
+/// hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightsAge {
     /// The model.
     pub model: ModelId,
     /// The version, from 1.
     pub version: u32,
-    /// Time since it was named, at least.
+    /// Lower bound of the time since it became the desired version.
     pub age: Duration,
 }
 
-/// The versions of a model's weights that were named, and how long ago.
+/// The versions of a model's weights that were the desired ones, with their ages.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WeightsHistory {
-    /// By version.
+    /// Sorted by version.
     versions: Vec<VersionAge>,
 }
 
-/// A version that was `age` old at `recorded_at`; it may be older than the process and so its clock.
+/// A version that was `age` old at `recorded_at`.
+///
+/// The age is stored apart because it may exceed that of the process and thus of its clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct VersionAge {
     version: u32,
@@ -39,17 +42,17 @@
 }
 
 impl WeightsHistory {
-    /// Creates a history without versions.
+    /// Creates an empty history.
     pub const fn new() -> Self {
         Self { versions: Vec::new() }
     }
 
-    /// Returns the newest version, 0 if none was named.
+    /// Returns the newest version, 0 if there is none.
     pub fn version(&self) -> u32 {
         self.versions.last().map_or(0, |known| known.version)
     }
 
-    /// Notes that a version had been named for `age` at `now`; the highest age that is recorded counts.
+    /// Records that a version was `age` old at `now`; the highest recorded age counts.
     pub fn record(&mut self, now: MonotonicTime, version: u32, age: Duration) {
         let recorded = VersionAge { version, recorded_at: now, age };
         match self.versions.binary_search_by_key(&version, |known| known.version) {
@@ -61,13 +64,13 @@
         self.versions.drain(..excess);
     }
 
-    /// Returns for how long `version` has not been the newest.
+    /// Returns how long ago a newer version than `version` became the desired one.
     pub fn outdated_for(&self, version: u32, now: MonotonicTime) -> Duration {
         let newer = self.versions.iter().filter(|known| version < known.version);
         newer.map(|known| known.age_at(now)).max().unwrap_or_default()
     }
 
-    /// Returns the versions with their ages at `now`, the oldest version first.
+    /// Returns the versions with their ages at `now`, oldest version first.
     pub fn ages<'a>(
         &'a self,
         model: &'a ModelId,
