--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -1,18 +1,20 @@
-//! The ledger of calls that may not be repeated.
+//! The ledger of non-idempotent calls.
 //!
-//! A call is sent only under a claim that this ledger gave, and by the claim's owner within the
-//! claim's send deadline, which the owner checks on its own monotonic clock right before the first
-//! byte. A claim ends by its owner's report, by the owner's word that it sent nothing, or by an
-//! operator's settlement, which is final for the key: the caller takes a new one. An operator can
-//! settle a call as not run only when the send deadline and [`RESOLVE_MARGIN`] have passed; should
-//! an owner that was frozen between its check and the first byte answer still, the answer is kept
-//! as a conflict.
+//! A call may be sent only under a claim granted by this ledger, by the claim's owner and before
+//! the claim's send deadline, which the owner checks on its own monotonic clock right before the
+//! first byte. A claim ends with the owner's report of the outcome, the owner's release (it sent
+//! nothing), or an operator's settlement, which is final for the key: the caller must use a new one.
+//! An operator can settle a call as not run only after the send deadline plus [`RESOLVE_MARGIN`]. If
+//! an owner was frozen between its check and the first byte and still gets a response later, that
+//! response is recorded as a conflict.
 //!
-//! A key is open while an owner holds the claim to send its call, then settled. A settled key is
-//! evicted after the organisation's retention time or when too many later ones are settled; calls
-//! in doubt are counted apart, so that no flood of answered ones drives them out. An open key is
-//! never evicted. A last bound holds over all organisations. Time is the highest time of any command, so it never moves back. Each
-//! command forgets for its own organisation and for one other in turn.
+//! A key is open while an owner holds its claim, then settled. Open keys are never evicted. Settled
+//! keys are evicted after the organisation's retention time, or when too many later ones are settled;
+//! keys in doubt are counted separately, so that a flood of finished calls can't evict them. A
+//! further limit applies across all organisations.
+//!
+//! The ledger's clock is the highest timestamp of any command, so it never goes backwards. Each
+//! command evicts for its own organisation and for one other, round-robin.
 
 use std::{collections::BTreeMap, ops::Bound, time::Duration};
 
@@ -31,17 +33,17 @@
     settings::Settings,
 };
 
-/// Time added to a claim's send deadline before an operator may declare it not run.
+/// Time after a claim's send deadline before an operator may settle the call as not run.
 pub const RESOLVE_MARGIN: Duration = Duration::from_secs(5);
 
-/// Most bytes of answers kept over all organisations; past it an answer is kept without its body.
+/// Maximum size of all stored response bodies; beyond it responses are stored without their bodies.
 pub const MAX_STORED_BODY_BYTES: usize = 32 << 20;
 
-/// Most calls kept over all organisations, open or settled; past it the organisation with the most
-/// settled calls loses its oldest one.
+/// Maximum number of stored calls, open or settled, of all organisations; beyond it the oldest one
+/// of the organisation with the most settled calls is evicted.
 pub const MAX_STORED_CALLS: usize = 1 << 16;
 
-/// More settlements than any ledger reaches; a snapshot that claims more is damaged.
+/// A settlement number that no ledger reaches; a snapshot with a higher one is damaged.
 const MAX_SETTLEMENTS: u64 = u64::MAX / 2;
 
 /// The calls of every organisation.
@@ -52,30 +54,30 @@
     next_settlement: u64,
     stored_calls: usize,
     stored_body_bytes: usize,
-    /// The organisation that the last command swept in turn.
+    /// The organisation that the last command swept round-robin.
     last_swept: Option<OrganisationId>,
-    /// The last process of each host that is known to have ended.
+    /// The last incarnation of each host that is known to have ended.
     ended_incarnations: BTreeMap<HostId, Incarnation>,
 }
 
-/// A view of the effective settings of each organisation.
+/// A source of the effective settings of each organisation.
 pub(crate) trait SettingsSource {
     /// Returns the settings of `organisation` at `now`.
     fn settings_for(&self, organisation: &OrganisationId, now: UnixMillis) -> Settings;
 }
 
 impl Ledger {
-    /// Returns what is known of a call.
+    /// Returns a stored call.
     pub fn call(&self, key: &CallKey) -> Option<&Call> {
         self.organisations.get(&key.organisation)?.call(&key.key)
     }
 
-    /// Returns how many claims an organisation has open.
+    /// Returns the number of an organisation's open claims.
     pub fn open_claims(&self, organisation: &OrganisationId) -> usize {
         self.organisations.get(organisation).map_or(0, Calls::open_count)
     }
 
-    /// Lists the calls that are open or whose outcome is unknown.
+    /// Returns the calls that are open or whose outcome is unknown.
     pub fn unsettled(&self) -> impl Iterator<Item = (CallKey, &Call)> {
         self.organisations.iter().flat_map(|(organisation, calls)| {
             let in_doubt = calls.iter().filter(|(_, call)| call.state.is_in_doubt());
@@ -86,22 +88,23 @@
         })
     }
 
-    /// Returns how many calls are remembered.
+    /// Returns the number of stored calls.
     pub fn len(&self) -> usize {
         self.stored_calls
     }
 
-    /// Returns whether no call is remembered.
+    /// Returns whether no call is stored.
     pub fn is_empty(&self) -> bool {
         self.organisations.is_empty()
     }
 
-    /// Returns the ledger's time: the highest time of any command.
+    /// Returns the ledger's clock: the highest timestamp of any command.
     pub fn clock(&self) -> UnixMillis {
         self.clock
     }
 
-    /// Moves time forward, never back, and forgets what is too old.
+    /// Advances the clock, never backwards, and evicts settled calls of `organisation` and of the next
+    /// one round-robin.
     pub(crate) fn advance<S: SettingsSource>(
         &mut self,
         at: UnixMillis,
@@ -248,7 +251,7 @@
         ResolveReply::Resolved
     }
 
-    /// Marks every open claim of the ended processes; returns how many there were.
+    /// Marks the outcome of the ended processes' open claims as unknown; returns their number.
     pub(crate) fn owner_gone(&mut self, gone: &OwnerGone) -> u32 {
         let ended = self.ended_incarnations.entry(gone.owner.host.clone()).or_default();
         *ended = gone.owner.incarnation.max(*ended);
@@ -271,7 +274,8 @@
         count
     }
 
-    /// Checks what a snapshot's maps promise each other, so that later commands cannot panic.
+    /// Returns whether the invariants hold between a snapshot's maps and counters, so that later
+    /// commands can't panic.
     pub(crate) fn is_consistent(&self) -> bool {
         let bytes: usize = self.organisations.values().map(Calls::body_bytes).sum();
         let calls: usize = self.organisations.values().map(|calls| calls.iter().len()).sum();
@@ -284,7 +288,7 @@
             && self.next_settlement < MAX_SETTLEMENTS
     }
 
-    /// Remembers a release whose claim may still arrive, so that nobody holds the key then.
+    /// Records a release that arrived before its claim, so that the late claim is not granted.
     fn release_before_claim(&mut self, release: &Release) -> ReleaseReply {
         if !self.ensure_capacity() {
             return ReleaseReply::Unknown;
@@ -300,12 +304,12 @@
         ReleaseReply::Released
     }
 
-    /// Returns whether a process is known to have ended, so that its late claims open nothing.
+    /// Returns whether a process is known to have ended, so that its late claims are not granted.
     fn has_ended(&self, owner: &Owner) -> bool {
         self.ended_incarnations.get(&owner.host).is_some_and(|ended| owner.incarnation <= *ended)
     }
 
-    /// Returns the claim of an earlier life of the claimant's host.
+    /// Returns the open claim on the same key of an earlier incarnation on the claimant's host.
     fn claim_of_ended_process(&self, claim: &Claim) -> Option<GrantedClaim> {
         let CallState::Claimed(granted) = &self.call(&claim.call)?.state else {
             return None;
@@ -339,7 +343,7 @@
         self.next_settlement += 1;
     }
 
-    /// Drops the body of an answer that is too large to keep.
+    /// Drops the body of a response if it is too large to store.
     fn limit_body(&self, response: &StoredResponse, settings: &Settings) -> StoredResponse {
         let mut response = response.clone();
         let remaining = MAX_STORED_BODY_BYTES.saturating_sub(self.stored_body_bytes);
@@ -363,7 +367,7 @@
         self.subtract_evicted(organisation, evicted);
     }
 
-    /// Keeps within [`MAX_STORED_CALLS`]; returns whether there is room for one more call.
+    /// Evicts a call if [`MAX_STORED_CALLS`] are stored; returns whether another one can be stored.
     fn ensure_capacity(&mut self) -> bool {
         if self.stored_calls < MAX_STORED_CALLS {
             return true;
--- a/crates/fleet/src/orders.rs
+++ b/crates/fleet/src/orders.rs
@@ -1,7 +1,6 @@
-//! Orders to endpoints: what to load where, so that the reported state comes to match the desired
-//! one.
+//! Planning of orders to endpoints, which reconcile the reported state with the desired one.
 //!
-//! [`plan`] is a pure function. The leader calls it with what it knows, sends the orders that it
+//! [`plan`] is a pure function. The leader calls it with the current state, sends the orders that it
 //! returns and passes them back as [`InProgress`] until their effect is reported.
 
 mod round;
@@ -14,7 +13,7 @@
 
 use self::round::Round;
 
-/// The part of a request's work that an engine takes.
+/// The phases of a request that an engine serves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
     /// Prefill and decode.
@@ -33,7 +32,7 @@
     }
 }
 
-/// A model that an engine reports to have loaded.
+/// A model that an engine reports as loaded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadedModel {
     /// The model.
@@ -44,51 +43,51 @@
     pub adapters: Vec<AdapterId>,
 }
 
-/// What an engine reports.
+/// An engine's reported state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReportedEngine {
     /// The engine.
     pub endpoint: EndpointId,
-    /// The life of its process.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Whether it refuses an order with an outdated fencing token.
+    /// Whether it rejects orders with an outdated fencing token.
     pub checks_fencing: bool,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub is_ready: bool,
-    /// Whether requests run or wait there.
+    /// Whether it has running or queued requests.
     pub is_busy: bool,
     /// Its role.
     pub role: Role,
-    /// What it has loaded; a load of weights replaces all of it.
+    /// The loaded models; loading weights replaces all of them.
     pub models: Vec<LoadedModel>,
 }
 
-/// What an endpoint is to do.
+/// The action of an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Replace what is loaded by this model.
+    /// Load this model in place of those loaded.
     LoadModel(LoadedModel),
-    /// Load an adapter on top of a model that is loaded.
+    /// Load an adapter on top of a loaded model.
     LoadAdapter {
         /// The model.
         model: ModelId,
         /// The adapter.
         adapter: AdapterId,
     },
-    /// Take another role.
+    /// Change the role.
     ChangeRole(Role),
 }
 
 /// An order to one endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// Who is to do it.
+    /// The endpoint.
     pub endpoint: EndpointId,
-    /// The life of its process that the order is for.
+    /// The incarnation of the endpoint that the order is for.
     pub incarnation: Incarnation,
-    /// The fencing token: the term of the leader that decided it.
+    /// The fencing token: the term of the leader that planned the order.
     pub fencing_token: Term,
-    /// What to do.
+    /// The action.
     pub action: Action,
 }
 
@@ -101,12 +100,12 @@
     pub sent: MonotonicTime,
 }
 
-/// Proof that this leader's lease is live, so that no other leader gives orders.
+/// Proof that this leader's lease is valid, so that no other leader sends orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseProof {
     /// The leader's term.
     pub term: Term,
-    /// When the lease ends, with the margin for clock drift taken off.
+    /// When the lease expires, less the margin for clock drift.
     pub expires: MonotonicTime,
 }
 
@@ -117,40 +116,41 @@
     }
 }
 
-/// Whether the planner waits for the effect of earlier orders.
+/// Whether the planner takes earlier orders into account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StateAwareness {
-    /// Counts what is under way and gives an endpoint no second order before the effect of the
-    /// last is visible, after Soundararajan et al., "Feedback-based Scheduling for Back-end
+    /// Counts orders in progress and sends an endpoint no further order until the effect of the
+    /// previous one is visible, after Soundararajan et al., "Feedback-based Scheduling for Back-end
     /// Databases in Shared Dynamic Content Server Clusters".
     #[default]
     On,
-    /// Looks at the reported state alone.
+    /// Uses only the reported state.
     Off,
 }
 
-/// What bounds the orders of one round.
+/// Limits of one planning round.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Servers that may load weights at once over the site.
+    /// Maximum servers that load weights at once across the site.
     pub weight_loads: WeightLoads,
     /// The leader's term.
     pub fencing_token: Term,
     /// Proof of the leader's lease; without it only endpoints that check fencing tokens get orders.
     pub lease: Option<LeaseProof>,
-    /// How long an order may take to arrive at its endpoint.
+    /// Longest time until an order arrives at its endpoint.
     pub max_delivery_time: Duration,
-    /// How long an effect may take to show; after it the order counts as lost.
+    /// Longest time until an effect is reported; after it the order counts as lost.
     pub effect_timeout: Duration,
-    /// Whether earlier orders are waited for.
+    /// Whether earlier orders are taken into account.
     pub awareness: StateAwareness,
 }
 
-/// Decides the orders that bring the reported state closer to the desired one.
+/// Plans the orders that bring the reported state closer to the desired one.
 ///
-/// At most [`Limits::weight_loads`] loads of weights run at once, with those in progress. The last
-/// ready server of a model that is desired or busy keeps it. An endpoint that ignores fencing tokens gets
-/// an order only under [`Limits::lease`], and only one such endpoint has an order at a time.
+/// At most [`Limits::weight_loads`] loads of weights run at once, including those in progress. The
+/// last ready server of a model that is desired or busy keeps it. An endpoint that ignores fencing
+/// tokens gets an order only under [`Limits::lease`], and only one such endpoint at a time has an
+/// order in progress.
 pub fn plan(
     desired: &[DesiredModel],
     reported: &[ReportedEngine],
@@ -166,8 +166,8 @@
     round.orders
 }
 
-/// Returns whether an order needs no more waiting: its effect shows, its process has ended, or it
-/// is lost.
+/// Returns whether an order is no longer in progress: its effect is reported, the process it was for
+/// has ended, or it is lost.
 pub fn is_settled(
     entry: &InProgress,
     reported: &[ReportedEngine],
@@ -207,7 +207,7 @@
 }
 
 impl LoadedModel {
-    /// Returns whether this is `wanted` with at least its adapters.
+    /// Returns whether this has the model and weights of `wanted` and at least its adapters.
     fn satisfies(&self, wanted: &Self) -> bool {
         self.is_version_of(wanted) && wanted.adapters.iter().all(|id| self.adapters.contains(id))
     }
--- a/crates/fleet/src/orders/round.rs
+++ b/crates/fleet/src/orders/round.rs
@@ -1,4 +1,4 @@
-//! One round of planning.
+//! A planning round.
 
 use std::collections::BTreeSet;
 
@@ -11,13 +11,13 @@
     is_settled,
 };
 
-/// One round of planning, with the orders decided so far.
+/// A planning round with its orders so far.
 pub(super) struct Round<'a> {
     desired: &'a [DesiredModel],
     reported: &'a [ReportedEngine],
-    /// Orders whose effect is awaited.
+    /// Earlier orders whose effect is not reported yet.
     awaited: Vec<&'a Order>,
-    /// Endpoints that may not get another order in this round.
+    /// Endpoints that get no order in this round.
     excluded: BTreeSet<&'a EndpointId>,
     loads_left: usize,
     unfenced_left: usize,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Orders one more server for `wanted`; returns whether there was one.
+    /// Orders one engine to serve `wanted`; returns whether one was found.
     fn order_server(&mut self, wanted: &LoadedModel) -> bool {
         let reported = self.reported;
         let lacks_adapter = reported.iter().find(|engine| {
@@ -137,8 +137,8 @@
         engine.checks_fencing || (0 < self.unfenced_left && has_lease())
     }
 
-    /// Returns whether the engine's weights can be replaced: no model falls below its minimum and
-    /// none loses its last server.
+    /// Returns whether the engine's weights can be replaced: no model drops below its minimum number
+    /// of servers and none in use loses its last one.
     fn may_replace(&self, engine: &ReportedEngine) -> bool {
         engine.models.iter().all(|loaded| {
             if self.is_needed(loaded) {
@@ -166,7 +166,8 @@
         })
     }
 
-    /// Ranks engines to load weights on: empty ones first, then older versions of the model.
+    /// Ranks engines for loading weights: empty ones first, then other versions of the same model,
+    /// then idle ones.
     fn cost(&self, engine: &ReportedEngine, wanted: &LoadedModel) -> (bool, bool, bool) {
         let is_other_model = engine.models.iter().any(|loaded| loaded.model != wanted.model);
         (!engine.models.is_empty(), is_other_model, engine.is_busy)
@@ -186,14 +187,14 @@
         serving.filter(|engine| !self.pending_orders().any(|order| order.reloads(engine))).count()
     }
 
-    /// Lists the orders that the planner minds.
+    /// Returns the orders of this round and, if taken into account, earlier ones in progress.
     fn pending_orders(&self) -> impl Iterator<Item = &Order> {
         let is_aware = self.limits.awareness == StateAwareness::On;
         let awaited = self.awaited.iter().copied().filter(move |_| is_aware);
         awaited.chain(&self.orders)
     }
 
-    /// Counts the servers that earlier orders will bring.
+    /// Returns the number of servers that pending orders will add.
     fn pending_servers(&self, wanted: &LoadedModel) -> usize {
         let orders = self.pending_orders().filter(|order| match &order.action {
             Action::LoadModel(loading) => loading.satisfies(wanted),
--- a/crates/fleet/src/rollout.rs
+++ b/crates/fleet/src/rollout.rs
@@ -1,8 +1,8 @@
-//! Bringing named weights to all engines, a few at a time.
+//! Rolling update of the desired weights on all engines.
 //!
-//! [`Rollout`] decides; its driver sends the orders, asks the engines and tells it what they say.
-//! It answers the load of a site whose engines all serve one model: while some load, the others
-//! carry their requests, so those that load next get no new requests some time before.
+//! [`Rollout`] is a state machine; its driver sends the orders, polls the engines and feeds back the
+//! results. It is designed for sites whose engines all serve one model: while some engines load, the
+//! others take over their requests, so the ones to load next are drained first.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,39 +11,38 @@
 
 use crate::{DesiredWeights, WeightsHistory};
 
-/// Most times that an engine's pause after a refusal doubles.
+/// Maximum number of times that the backoff after a refusal doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// Bounds of a [`Rollout`].
+/// Limits of a [`Rollout`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutSettings {
-    /// Part of the engines that may drain, load or be out of reach at once; the others carry their
-    /// requests.
+    /// Maximum share of engines that drain, load or are unreachable at once; the others take over
+    /// their requests.
     pub unavailable_share: f64,
-    /// Fewest engines that may drain or load at once, if there are more than that.
+    /// Lower bound of that limit in engines, if there are more than that.
     pub min_unavailable: usize,
-    /// Part of the engines that may drain or load at once even if as many as may be are out of
-    /// reach.
+    /// Share of engines that may drain or load at once even if the limit is used up by unreachable
+    /// ones.
     pub guaranteed_share: f64,
-    /// Fewest engines of that part.
+    /// Lower bound of that share in engines.
     pub min_guaranteed: usize,
-    /// Shortest time without new requests before an engine is told to load, so that all routers
-    /// know.
+    /// Minimum drain time before the order to load, so that the drain reaches all routers.
     pub min_drain_time: Duration,
-    /// Longest wait for the requests that an engine still has, before it is told to load.
+    /// Maximum drain time for an engine with running requests.
     pub max_drain_time: Duration,
-    /// Part of the engines that load at once; more would only take longer each.
+    /// Maximum share of engines that load at once; with more, each load only takes longer.
     pub load_share: f64,
-    /// Fewest engines that may load at once.
+    /// Lower bound of that limit in engines.
     pub min_concurrent_loads: usize,
-    /// Time that a load takes, after which the next one may begin.
+    /// Duration of a load, after which the next one may begin.
     pub load_duration: Duration,
-    /// Time after which an order without visible effect is given again.
+    /// Time after which an order without visible effect is sent again.
     pub order_timeout: Duration,
-    /// Time after the naming of newer weights from which routers send nothing to older ones.
+    /// Age of newer weights from which routers send no requests to engines with older ones.
     pub unused_after: Duration,
-    /// Time for which an engine that can't be reached, or refuses, is left alone; it doubles each
-    /// time, unless the engine is heard again.
+    /// Initial backoff for an engine that refuses or can't be reached; doubles each time. A newer
+    /// announcement of the engine ends a longer backoff.
     pub refusal_backoff: Duration,
 }
 
@@ -66,12 +65,12 @@
     }
 }
 
-/// An engine with its model, as it was last heard of.
+/// An engine's state by its newest announcement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineView {
     /// The engine.
     pub endpoint: EndpointId,
-    /// The life of its process.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// The model it serves.
     pub model: ModelId,
@@ -79,44 +78,44 @@
     pub version: u32,
     /// When its newest announcement was written.
     pub announced_at: MonotonicTime,
-    /// Whether that is so long ago that it may be gone; it comes last.
+    /// Whether that is so long ago that the engine may be gone; it is updated last.
     pub is_stale: bool,
 }
 
-/// What routers must know of an engine beyond its own announcements.
+/// The leader's update on an engine for routers, beyond the engine's own announcements.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineUpdate {
     /// The engine.
     pub endpoint: EndpointId,
-    /// The life of its process.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// The version of its weights, newer than announced.
+    /// The version of its weights; may be newer than announced.
     pub version: u32,
-    /// Whether it gets no new requests because it loads, or loads next.
+    /// Whether it gets no new requests, as it is draining or loading.
     pub paused: bool,
 }
 
-/// Work that all routers have under way at an engine.
+/// In-flight work of all routers at an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Requests.
+    /// Requests in flight.
     pub requests: u32,
-    /// Tokens that wait for prefill.
+    /// Prompt tokens not yet prefilled.
     pub prefill_tokens: u32,
 }
 
-/// How many engines are in which state of a rollout.
+/// The number of engines in each state of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RolloutProgress {
-    /// Engines that are known.
+    /// All engines.
     pub known: usize,
-    /// Engines without the weights named.
+    /// Engines without the desired weights.
     pub behind: usize,
-    /// Engines that get no new requests, as they load next.
+    /// Engines that get no new requests, to load next.
     pub draining: usize,
-    /// Engines that were told to load and have not reported the weights yet.
+    /// Engines with an order to load that have not reported the weights yet.
     pub loading: usize,
-    /// Engines that refused or can't be reached, and are left alone for a while.
+    /// Engines in backoff, as they refused or can't be reached.
     pub backing_off: usize,
 }
 
@@ -125,24 +124,24 @@
 pub struct LoadOrder {
     /// The engine.
     pub endpoint: EndpointId,
-    /// The life of its process.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// What to load.
+    /// The weights to load.
     pub weights: DesiredWeights,
 }
 
-/// What came of an order.
+/// The outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// The engine loads.
+    /// The engine began to load.
     Accepted,
-    /// The engine has these weights.
+    /// The engine has these weights already.
     AlreadyLoaded,
-    /// The engine carries out another order, or has taken one that was not counted.
+    /// The engine is executing another order, or has accepted one that was not counted.
     Busy,
-    /// The engine can't carry it out, or another process answered.
+    /// The engine can't execute it, or another process responded.
     Refused,
-    /// There was no answer; the engine may carry it out, now or later.
+    /// There was no response; the engine may execute it now or later.
     Unknown,
 }
 
@@ -153,9 +152,9 @@
     version: u32,
     announced: u32,
     step: Step,
-    /// The time for which it is left alone.
+    /// Backoff after the last refusal.
     backoff: Option<Backoff>,
-    /// Orders in a row that it refused or that did not reach it.
+    /// Consecutive orders that it refused or that did not reach it.
     refusals: u32,
     /// When its newest announcement was written.
     announced_at: MonotonicTime,
@@ -163,12 +162,12 @@
     load: EngineLoad,
 }
 
-/// A time in which an engine that refused an order gets none.
+/// A period without orders to an engine after a refusal.
 #[derive(Clone, Copy, Debug)]
 struct Backoff {
-    /// Until when it lasts at least.
+    /// The end if a newer announcement of the engine arrives.
     earliest_end: MonotonicTime,
-    /// Until when it lasts if the engine is not heard again.
+    /// The end otherwise.
     latest_end: MonotonicTime,
 }
 
@@ -179,7 +178,7 @@
     Loading { since: MonotonicTime, target: u32 },
 }
 
-/// The state of all loads, kept by the leader alone.
+/// The state of a rolling update, kept only by the leader.
 #[derive(Clone, Debug)]
 pub struct Rollout {
     settings: RolloutSettings,
@@ -188,17 +187,17 @@
 }
 
 impl Rollout {
-    /// Creates a rollout that knows no engine.
+    /// Creates a rollout without engines.
     pub fn new(settings: RolloutSettings) -> Self {
         Self { settings, desired: BTreeMap::new(), engines: BTreeMap::new() }
     }
 
-    /// Takes the weights that operators have named.
+    /// Sets the desired weights of each model.
     pub fn set_desired_weights(&mut self, desired: BTreeMap<ModelId, WeightsHistory>) {
         self.desired = desired;
     }
 
-    /// Takes the engines that take requests, as announced; those missing are forgotten.
+    /// Sets the engines that accept requests, as announced; others are removed.
     pub fn set_engines(&mut self, engines: &[EngineView]) {
         self.engines.retain(|id, _| engines.iter().any(|view| view.endpoint == *id));
         for view in engines {
@@ -214,14 +213,14 @@
         }
     }
 
-    /// Takes what is under way at the engines.
+    /// Sets the engines' in-flight work.
     pub fn set_loads(&mut self, load_of: impl Fn(&EndpointId) -> EngineLoad) {
         for (id, engine) in &mut self.engines {
             engine.load = load_of(id);
         }
     }
 
-    /// Takes the version that an engine itself reported when asked.
+    /// Records the version that an engine reported when polled.
     pub fn record_version(
         &mut self,
         endpoint: &EndpointId,
@@ -234,7 +233,7 @@
         }
     }
 
-    /// Takes what came of an order.
+    /// Records the outcome of an order.
     pub fn record_outcome(&mut self, now: MonotonicTime, order: &LoadOrder, outcome: OrderOutcome) {
         let found = self.engines.get_mut(&order.endpoint);
         let Some(engine) = found.filter(|engine| engine.incarnation == order.incarnation) else {
@@ -260,14 +259,14 @@
         }
     }
 
-    /// Stops new requests at the engines that load next, as when no order may be given yet.
+    /// Starts to drain the engines that load next, while no order may be sent yet.
     pub fn drain(&mut self, now: MonotonicTime) {
         self.reset_lost_orders(now);
         let ids = self.rollout_order(now);
         self.start_draining(&ids, now);
     }
 
-    /// Returns the orders to give now, the engines with the oldest weights first.
+    /// Returns the orders to send now, and starts to drain the engines that load next.
     pub fn orders(&mut self, now: MonotonicTime) -> Vec<LoadOrder> {
         self.reset_lost_orders(now);
         let mut orders = Vec::new();
@@ -287,8 +286,8 @@
         orders
     }
 
-    /// Returns the engines that are behind: those that have drained longest first, then those with
-    /// the oldest weights.
+    /// Returns the engines that are behind in update order: stale ones last, then those that have
+    /// drained longest first, then those with the oldest weights.
     fn rollout_order(&self, now: MonotonicTime) -> Vec<EndpointId> {
         let mut behind = self.behind();
         behind.sort_by_key(|(id, engine)| {
@@ -301,14 +300,14 @@
         behind.into_iter().map(|(id, _)| id.clone()).collect()
     }
 
-    /// Returns the engines that load, to be asked whether they have finished.
+    /// Returns the engines that are loading, which the driver polls.
     pub fn loading(&self) -> impl Iterator<Item = (&EndpointId, Incarnation)> {
         let loading = |step: Step| matches!(step, Step::Loading { .. });
         let engines = self.engines.iter().filter(move |(_, engine)| loading(engine.step));
         engines.map(|(id, engine)| (id, engine.incarnation))
     }
 
-    /// Returns what routers must know beyond the engines' own announcements.
+    /// Returns the updates for routers on paused engines and on those with unannounced weights.
     pub fn engine_updates(&self) -> Vec<EngineUpdate> {
         let changed = self
             .engines
@@ -324,12 +323,12 @@
             .collect()
     }
 
-    /// Returns whether every known engine has the weights named.
+    /// Returns whether every engine has the desired weights.
     pub fn is_done(&self) -> bool {
         self.behind().is_empty()
     }
 
-    /// Returns how far the weights named have come.
+    /// Returns the progress of the rollout.
     pub fn progress(&self, now: MonotonicTime) -> RolloutProgress {
         let engines = || self.engines.values();
         let draining = engines().filter(|e| matches!(e.step, Step::Draining { .. })).count();
@@ -344,21 +343,23 @@
         engines.filter(|(_, e)| e.version < desired_version(&self.desired, &e.model)).collect()
     }
 
-    /// Returns whether an engine's weights are so old that routers send it nothing.
+    /// Returns whether an engine's weights are so outdated that routers send it no requests.
     fn is_unused(&self, engine: &Engine, now: MonotonicTime) -> bool {
         let history = self.desired.get(&engine.model);
         let outdated = history.map(|history| history.outdated_for(engine.version, now));
         outdated.is_some_and(|outdated| self.settings.unused_after <= outdated)
     }
 
-    /// Returns how many engines may drain or load at once; one always goes on serving, if it can.
+    /// Returns how many engines may drain, load or be unreachable at once: at least 1, and all but 1
+    /// at most if there are several.
     fn max_unavailable(&self) -> usize {
         let engines = self.engines.len();
         let share = (engines as f64 * self.settings.unavailable_share).ceil() as usize;
         share.max(self.settings.min_unavailable).min(engines.saturating_sub(1)).max(1)
     }
 
-    /// Returns how many engines may load at once, so that a rollout takes as long on any site.
+    /// Returns how many engines may load at once; the share makes a rollout take equally long on sites
+    /// of any size.
     fn max_concurrent_loads(&self) -> usize {
         let share = (self.engines.len() as f64 * self.settings.load_share) as usize;
         share.max(self.settings.min_concurrent_loads)
@@ -372,7 +373,7 @@
         wait.max(self.settings.min_drain_time) <= now.saturating_since(since)
     }
 
-    /// Stops new requests at the engines that load next, and at all that get none anyway.
+    /// Starts to drain the engines that load next, and all that get no requests anyway.
     fn start_draining(&mut self, behind: &[EndpointId], now: MonotonicTime) {
         let mut slots = self.free_drain_slots(now);
         let mut next = Vec::new();
@@ -393,7 +394,7 @@
         }
     }
 
-    /// Returns how many engines load at `now`, as far as the time since their orders tells.
+    /// Estimates how many engines load at `now` from the time since their orders.
     fn active_loads(&self, now: MonotonicTime) -> usize {
         let loads = |engine: &&Engine| match engine.step {
             Step::Loading { since, .. } => {
@@ -404,7 +405,8 @@
         self.engines.values().filter(loads).count()
     }
 
-    /// Returns how many more engines may drain; some always may, however many are out of reach.
+    /// Returns how many more engines may drain; the guaranteed share may regardless of how many are
+    /// unreachable.
     fn free_drain_slots(&self, now: MonotonicTime) -> usize {
         let busy = self.engines.values().filter(|engine| engine.step != Step::Idle).count();
         let backing_off = self.engines.values().filter(|engine| engine.is_backing_off(now)).count();
@@ -413,7 +415,7 @@
         left.max(always.max(self.settings.min_guaranteed).saturating_sub(busy))
     }
 
-    /// Lets engines whose order showed no effect, or that are no longer behind, be chosen anew.
+    /// Resets engines whose order timed out, or that drain but are no longer behind.
     fn reset_lost_orders(&mut self, now: MonotonicTime) {
         let order_timeout = self.settings.order_timeout;
         for engine in self.engines.values_mut() {
@@ -440,7 +442,7 @@
         now < backoff.earliest_end || (!announced_since && now < backoff.latest_end)
     }
 
-    /// Notes a version that the engine has; a load that aimed at it has ended.
+    /// Raises the engine's version; ends a load whose target it reaches.
     fn update_version(&mut self, version: u32) {
         self.version = version.max(self.version);
         if let Step::Loading { target, .. } = self.step
@@ -451,13 +453,13 @@
     }
 }
 
-/// Returns the newest version of a model's weights, 0 if none was named.
+/// Returns the desired version of a model's weights, 0 if there is none.
 fn desired_version(desired: &BTreeMap<ModelId, WeightsHistory>, model: &ModelId) -> u32 {
     desired.get(model).map_or(0, WeightsHistory::version)
 }
 
-/// Orders engines at random, but the same way each time, so that those that load together have
-/// nothing in common.
+/// Returns a hash that shuffles engines deterministically, so that those that load together share no
+/// common trait, such as a rack.
 fn shuffle_key(id: &EndpointId) -> Digest {
     Hasher::default().field(b"rollout").field(id.as_str().as_bytes()).finish()
 }
