--- a/crates/fleet/src/contents.rs
+++ b/crates/fleet/src/contents.rs
@@ -74,7 +74,7 @@
     pub id: ExceptionId,
     /// Why it exists.
     pub reason: Reason,
-    /// Who asked for it.
+    /// The author.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub author: Option<Author>,
     /// When it ends, if it does.
--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -126,8 +126,8 @@
             self.settle(&claim.call, CallState::MayHaveRun(granted, MayHaveRunReason::OwnerGone));
         }
         let send_within = settings.claim_send_deadline.as_duration();
-        let known = self.entry_mut(&claim.call).and_then(|entry| entry.reply_to(claim));
-        if let Some(reply) = known {
+        let reply = self.entry_mut(&claim.call).and_then(|entry| entry.reply_to(claim));
+        if let Some(reply) = reply {
             return reply;
         }
         if self.has_ended(&claim.owner) {
--- a/crates/fleet/src/rollout.rs
+++ b/crates/fleet/src/rollout.rs
@@ -165,7 +165,7 @@
 /// A period without orders to an engine after a refusal.
 #[derive(Clone, Copy, Debug)]
 struct Backoff {
-    /// The end if a newer announcement of the engine arrives.
+    /// The earliest end, if the engine is announced after it.
     earliest_end: MonotonicTime,
     /// The end otherwise.
     latest_end: MonotonicTime,
@@ -350,8 +350,8 @@
         outdated.is_some_and(|outdated| self.settings.unused_after <= outdated)
     }
 
-    /// Returns how many engines may drain, load or be unreachable at once: at least 1, and all but 1
-    /// at most if there are several.
+    /// Returns how many engines may drain, load or be unreachable at once: at least one, at
+    /// most all but one if there are several.
     fn max_unavailable(&self) -> usize {
         let engines = self.engines.len();
         let share = (engines as f64 * self.settings.unavailable_share).ceil() as usize;
@@ -459,7 +459,7 @@
 }
 
 /// Returns a hash that shuffles engines deterministically, so that those that load together share no
-/// common trait, such as a rack.
+/// common trait.
 fn shuffle_key(id: &EndpointId) -> Digest {
     Hasher::default().field(b"rollout").field(id.as_str().as_bytes()).finish()
 }
--- a/crates/fleet/src/weights_history.rs
+++ b/crates/fleet/src/weights_history.rs
@@ -49,13 +49,13 @@
 
     /// Returns the newest version, 0 if there is none.
     pub fn version(&self) -> u32 {
-        self.versions.last().map_or(0, |known| known.version)
+        self.versions.last().map_or(0, |entry| entry.version)
     }
 
     /// Records that a version was `age` old at `now`; the highest recorded age counts.
     pub fn record(&mut self, now: MonotonicTime, version: u32, age: Duration) {
         let recorded = VersionAge { version, recorded_at: now, age };
-        match self.versions.binary_search_by_key(&version, |known| known.version) {
+        match self.versions.binary_search_by_key(&version, |entry| entry.version) {
             Ok(i) if self.versions[i].age_at(now) < age => self.versions[i] = recorded,
             Ok(_) => {}
             Err(i) => self.versions.insert(i, recorded),
@@ -66,8 +66,8 @@
 
     /// Returns how long ago a newer version than `version` became the desired one.
     pub fn outdated_for(&self, version: u32, now: MonotonicTime) -> Duration {
-        let newer = self.versions.iter().filter(|known| version < known.version);
-        newer.map(|known| known.age_at(now)).max().unwrap_or_default()
+        let newer = self.versions.iter().filter(|entry| version < entry.version);
+        newer.map(|entry| entry.age_at(now)).max().unwrap_or_default()
     }
 
     /// Returns the versions with their ages at `now`, oldest version first.
@@ -76,10 +76,10 @@
         model: &'a ModelId,
         now: MonotonicTime,
     ) -> impl Iterator<Item = WeightsAge> + 'a {
-        self.versions.iter().map(move |known| WeightsAge {
+        self.versions.iter().map(move |entry| WeightsAge {
             model: model.clone(),
-            version: known.version,
-            age: known.age_at(now),
+            version: entry.version,
+            age: entry.age_at(now),
         })
     }
 }
--- a/crates/fleet/tests/regression/main.rs
+++ b/crates/fleet/tests/regression/main.rs
@@ -1,3 +1,3 @@
-//! Faults found before, one a module.
+//! Regression tests, one fault per module.
 
 mod slow_rollout;
