--- a/crates/fleet/src/diff.rs
+++ b/crates/fleet/src/diff.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Difference {
     /// The entry that differs: `default` and a setting, or the kind and name of an entry.
-    pub what: String,
+    pub name: String,
     /// The old value, `None` if the entry is new.
     pub before: Option<String>,
     /// The new value, `None` if the entry was removed.
@@ -18,10 +18,10 @@
 impl fmt::Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match (&self.before, &self.after) {
-            (Some(before), Some(after)) => write!(f, "~ {}: {before} -> {after}", self.what),
-            (Some(before), None) => write!(f, "- {}: {before}", self.what),
-            (None, Some(after)) => write!(f, "+ {}: {after}", self.what),
-            (None, None) => f.write_str(&self.what),
+            (Some(before), Some(after)) => write!(f, "~ {}: {before} -> {after}", self.name),
+            (Some(before), None) => write!(f, "- {}: {before}", self.name),
+            (None, Some(after)) => write!(f, "+ {}: {after}", self.name),
+            (None, None) => f.write_str(&self.name),
         }
     }
 }
@@ -31,24 +31,24 @@
     let (old, new) = (entries(before), entries(after));
     let old_values = by_name(&old);
     let new_values = by_name(&new);
-    let gone = old.iter().filter(|entry| !new_values.contains_key(entry.what.as_str()));
+    let gone = old.iter().filter(|entry| !new_values.contains_key(entry.name.as_str()));
     new.iter()
         .chain(gone)
         .map(|entry| Difference {
-            what: entry.what.clone(),
-            before: old_values.get(entry.what.as_str()).map(|value| (*value).to_owned()),
-            after: new_values.get(entry.what.as_str()).map(|value| (*value).to_owned()),
+            name: entry.name.clone(),
+            before: old_values.get(entry.name.as_str()).map(|value| (*value).to_owned()),
+            after: new_values.get(entry.name.as_str()).map(|value| (*value).to_owned()),
         })
         .filter(|difference| difference.before != difference.after)
         .collect()
 }
 
 fn by_name(entries: &[Entry]) -> HashMap<&str, &str> {
-    entries.iter().map(|entry| (entry.what.as_str(), entry.value.as_str())).collect()
+    entries.iter().map(|entry| (entry.name.as_str(), entry.value.as_str())).collect()
 }
 
 struct Entry {
-    what: String,
+    name: String,
     value: String,
 }
 
@@ -56,7 +56,7 @@
     let contents = declaration.contents();
     let mut entries = Vec::new();
     for value in contents.defaults.values() {
-        entries.push(Entry { what: format!("default {}", value.key.name), value: value.value });
+        entries.push(Entry { name: format!("default {}", value.key.name), value: value.value });
     }
     for model in &contents.models {
         let adapters: Vec<_> = model.adapters.iter().map(|id| id.as_str()).collect();
@@ -67,13 +67,13 @@
             adapters.join(", "),
             model.minimum_servers,
         );
-        entries.push(Entry { what: format!("model {}", model.model), value });
+        entries.push(Entry { name: format!("model {}", model.model), value });
     }
     for organisation in &contents.organisations {
         let keys: Vec<_> = organisation.keys.iter().map(ToString::to_string).collect();
         let share = organisation.share.map_or("default".to_owned(), |share| share.to_string());
         let value = format!("share {share}, keys [{}]", keys.join(", "));
-        entries.push(Entry { what: format!("organisation {}", organisation.id), value });
+        entries.push(Entry { name: format!("organisation {}", organisation.id), value });
     }
     for exception in &contents.exceptions {
         let until = exception.until.map_or("no end".to_owned(), |until| format!("until {until}"));
@@ -84,7 +84,7 @@
             scope_text(&exception.scope),
             exception.reason,
         );
-        entries.push(Entry { what: format!("exception {}", exception.id), value });
+        entries.push(Entry { name: format!("exception {}", exception.id), value });
     }
     entries
 }
