--- a/crates/daemon/src/edge/services.rs
+++ b/crates/daemon/src/edge/services.rs
@@ -162,7 +162,7 @@
     let sent = permit.redeem()?;
     let response = upstream::send_once(&mut connection, request).await?;
     let answer = read_answer(edge, response).await?;
-    sent.answered(answer.kept(call.settings.max_answer_bytes.as_u32() as usize)).await;
+    sent.answered(answer.kept(call.settings.max_response_bytes.as_u32() as usize)).await;
     Ok(answer.into_response())
 }
 
--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -347,7 +347,7 @@
     fn limit_body(&self, response: &StoredResponse, settings: &Settings) -> StoredResponse {
         let mut response = response.clone();
         let remaining = MAX_STORED_BODY_BYTES.saturating_sub(self.stored_body_bytes);
-        let limit = remaining.min(settings.max_answer_bytes.as_u32() as usize);
+        let limit = remaining.min(settings.max_response_bytes.as_u32() as usize);
         response.body = response.body.filter(|body| body.len() <= limit);
         response
     }
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -149,7 +149,7 @@
     /// How long after it proposed a claim the owner may begin to send the call.
     claim_send_deadline: Timeout = Timeout::from_millis(2_000), "claim-send-deadline", ORGANISATION, true;
     /// Maximum size of a response body stored for duplicate calls, in bytes.
-    max_answer_bytes: ByteLimit = ByteLimit::clamped(65_536), "max-answer-bytes", ORGANISATION, true;
+    max_response_bytes: ByteLimit = ByteLimit::clamped(65_536), "max-answer-bytes", ORGANISATION, true;
     /// Maximum servers that load weights at once across the site.
     max_weight_loads: WeightLoads = WeightLoads::MAX, "max-weight-loads", NONE, true;
     /// Whether an endpoint is drained: it gets no new requests.
