--- a/crates/fleet/src/calls.rs
+++ b/crates/fleet/src/calls.rs
@@ -68,7 +68,7 @@
         })
     }
 
-    /// Adds a claimed call, or reopens a released one.
+    /// Adds an open call, or reopens a released one.
     pub(crate) fn open(&mut self, key: &IdempotencyKey, call: Call) {
         self.open.insert(key.clone());
         let Some(entry) = self.by_key.get_mut(key) else {
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Returns the reply to a claim, or `None` if the key is free.
+    /// Returns the reply to a claim, or `None` if the key can be claimed.
     pub(crate) fn reply_to(&self, claim: &Claim) -> Option<ClaimReply> {
         if self.call.request != claim.request {
             return Some(ClaimReply::KeyReused);
--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -3,15 +3,15 @@
 //! A call may be sent only under a claim granted by this ledger, by the claim's owner and before
 //! the claim's send deadline, which the owner checks on its own monotonic clock right before the
 //! first byte. A claim ends with the owner's report of the outcome, the owner's release (it sent
-//! nothing), or an operator's settlement, which is final for the key: the caller must use a new one.
-//! An operator can settle a call as not run only after the send deadline plus [`RESOLVE_MARGIN`]. If
-//! an owner was frozen between its check and the first byte and still gets a response later, that
-//! response is recorded as a conflict.
+//! nothing), or an operator's settlement, which is final for the key: the caller must use a new
+//! one. An operator can settle a call as not run only after the send deadline plus
+//! [`RESOLVE_MARGIN`]. If an owner was frozen between its check and the first byte and still gets a
+//! response later, that response is recorded as a conflict.
 //!
 //! A key is open while an owner holds its claim, then settled. Open keys are never evicted. Settled
-//! keys are evicted after the organisation's retention time, or when too many later ones are settled;
-//! keys in doubt are counted separately, so that a flood of finished calls can't evict them. A
-//! further limit applies across all organisations.
+//! keys are evicted after the organisation's retention time, or when too many later ones are
+//! settled; keys in doubt are counted separately, so that a flood of finished calls can't evict
+//! them. A further limit applies across all organisations.
 //!
 //! The ledger's clock is the highest timestamp of any command, so it never goes backwards. Each
 //! command evicts for its own organisation and for one other, round-robin.
@@ -103,8 +103,8 @@
         self.clock
     }
 
-    /// Advances the clock, never backwards, and evicts settled calls of `organisation` and of the next
-    /// one round-robin.
+    /// Advances the clock, never backwards, and evicts settled calls of `organisation` and of the
+    /// next one round-robin.
     pub(crate) fn advance<S: SettingsSource>(
         &mut self,
         at: UnixMillis,
--- a/crates/fleet/src/orders.rs
+++ b/crates/fleet/src/orders.rs
@@ -1,7 +1,7 @@
 //! Planning of orders to endpoints, which reconcile the reported state with the desired one.
 //!
-//! [`plan`] is a pure function. The leader calls it with the current state, sends the orders that it
-//! returns and passes them back as [`InProgress`] until their effect is reported.
+//! [`plan`] is a pure function. The leader calls it with the current state, sends the orders that
+//! it returns and passes them back as [`InProgress`] until their effect is reported.
 
 mod round;
 
@@ -166,8 +166,8 @@
     round.orders
 }
 
-/// Returns whether an order is no longer in progress: its effect is reported, the process it was for
-/// has ended, or it is lost.
+/// Returns whether an order is no longer in progress: its effect is reported, the process it was
+/// for has ended, or it is lost.
 pub fn is_settled(
     entry: &InProgress,
     reported: &[ReportedEngine],
--- a/crates/fleet/src/orders/round.rs
+++ b/crates/fleet/src/orders/round.rs
@@ -137,8 +137,8 @@
         engine.checks_fencing || (0 < self.unfenced_left && has_lease())
     }
 
-    /// Returns whether the engine's weights can be replaced: no model drops below its minimum number
-    /// of servers and none in use loses its last one.
+    /// Returns whether the engine's weights can be replaced: no model drops below its minimum
+    /// number of servers and none in use loses its last one.
     fn may_replace(&self, engine: &ReportedEngine) -> bool {
         engine.models.iter().all(|loaded| {
             if self.is_needed(loaded) {
--- a/crates/fleet/src/reply.rs
+++ b/crates/fleet/src/reply.rs
@@ -112,7 +112,7 @@
     AlreadySettled,
     /// The sender does not hold the claim; nothing changed.
     NotOwner,
-    /// No such call is stored; nothing changed.
+    /// No such call is stored and the ledger is too full to record the release; nothing changed.
     Unknown,
 }
 
--- a/crates/fleet/src/rollout.rs
+++ b/crates/fleet/src/rollout.rs
@@ -1,8 +1,8 @@
 //! Rolling update of the desired weights on all engines.
 //!
-//! [`Rollout`] is a state machine; its driver sends the orders, polls the engines and feeds back the
-//! results. It is designed for sites whose engines all serve one model: while some engines load, the
-//! others take over their requests, so the ones to load next are drained first.
+//! [`Rollout`] is a state machine; its driver sends the orders, polls the engines and feeds back
+//! the results. It is designed for sites whose engines all serve one model: while some engines
+//! load, the others take over their requests, so the ones to load next are drained first.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -350,7 +350,7 @@
         outdated.is_some_and(|outdated| self.settings.unused_after <= outdated)
     }
 
-    /// Returns how many engines may drain, load or be unreachable at once: at least one, at
+    /// Returns how many engines may drain, load or be unreachable at once: at least one, and at
     /// most all but one if there are several.
     fn max_unavailable(&self) -> usize {
         let engines = self.engines.len();
@@ -358,8 +358,8 @@
         share.max(self.settings.min_unavailable).min(engines.saturating_sub(1)).max(1)
     }
 
-    /// Returns how many engines may load at once; the share makes a rollout take equally long on sites
-    /// of any size.
+    /// Returns how many engines may load at once; the share makes a rollout take equally long on
+    /// sites of any size.
     fn max_concurrent_loads(&self) -> usize {
         let share = (self.engines.len() as f64 * self.settings.load_share) as usize;
         share.max(self.settings.min_concurrent_loads)
@@ -411,8 +411,8 @@
         let busy = self.engines.values().filter(|engine| engine.step != Step::Idle).count();
         let backing_off = self.engines.values().filter(|engine| engine.is_backing_off(now)).count();
         let left = self.max_unavailable().saturating_sub(busy + backing_off);
-        let always = (self.engines.len() as f64 * self.settings.guaranteed_share) as usize;
-        left.max(always.max(self.settings.min_guaranteed).saturating_sub(busy))
+        let guaranteed = (self.engines.len() as f64 * self.settings.guaranteed_share) as usize;
+        left.max(guaranteed.max(self.settings.min_guaranteed).saturating_sub(busy))
     }
 
     /// Resets engines whose order timed out, or that drain but are no longer behind.
@@ -458,8 +458,8 @@
     desired.get(model).map_or(0, WeightsHistory::version)
 }
 
-/// Returns a hash that shuffles engines deterministically, so that those that load together share no
-/// common trait.
+/// Returns a hash that shuffles engines deterministically, so that those that load together share
+/// no common trait.
 fn shuffle_key(id: &EndpointId) -> Digest {
     Hasher::default().field(b"rollout").field(id.as_str().as_bytes()).finish()
 }
--- a/crates/fleet/src/weights_history.rs
+++ b/crates/fleet/src/weights_history.rs
@@ -64,7 +64,8 @@
         self.versions.drain(..excess);
     }
 
-    /// Returns how long ago a newer version than `version` became the desired one.
+    /// Returns how long ago the first version newer than `version` became the desired one, or zero
+    /// if there is none.
     pub fn outdated_for(&self, version: u32, now: MonotonicTime) -> Duration {
         let newer = self.versions.iter().filter(|entry| version < entry.version);
         newer.map(|entry| entry.age_at(now)).max().unwrap_or_default()
--- a/crates/fleet/tests/regression/slow_rollout.rs
+++ b/crates/fleet/tests/regression/slow_rollout.rs
@@ -1,4 +1,4 @@
-//! A rollout took longer the more engines there were, so requests began on outdated weights.
+//! A rollout took longer the more engines there were, and requests began on outdated weights.
 
 use std::{collections::BTreeMap, time::Duration};
 
--- a/crates/fleet/tests/replicas.rs
+++ b/crates/fleet/tests/replicas.rs
@@ -1,5 +1,5 @@
-//! Properties over random commands: replicas agree, snapshots restore, one owner per claim, decoders
-//! never panic.
+//! Properties over random commands: replicas agree, snapshots restore, one owner per claim,
+//! decoders never panic.
 
 mod fixture;
 
