--- a/crates/daemon/src/gateway/weights.rs
+++ b/crates/daemon/src/gateway/weights.rs
@@ -169,7 +169,7 @@
 
 /// Logs how far the weights named have come, at the beginning, each second, and at the end.
 fn log_progress(office: &mut Office, now: MonotonicTime) {
-    let RolloutProgress { known, behind, draining, loading, backing_off } =
+    let RolloutProgress { total: known, behind, draining, loading, backing_off } =
         office.rollout.progress(now);
     if behind == 0 {
         if let Some(since) = office.behind_since.take() {
--- a/crates/fleet/src/rollout.rs
+++ b/crates/fleet/src/rollout.rs
@@ -108,7 +108,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RolloutProgress {
     /// All engines.
-    pub known: usize,
+    pub total: usize,
     /// Engines without the desired weights.
     pub behind: usize,
     /// Engines that get no new requests, to load next.
@@ -335,7 +335,7 @@
         let loading = engines().filter(|e| matches!(e.step, Step::Loading { .. })).count();
         let backing_off = engines().filter(|engine| engine.is_backing_off(now)).count();
         let (known, behind) = (self.engines.len(), self.behind().len());
-        RolloutProgress { known, behind, draining, loading, backing_off }
+        RolloutProgress { total: known, behind, draining, loading, backing_off }
     }
 
     fn behind(&self) -> Vec<(&EndpointId, &Engine)> {
