--- a/crates/fleet/src/rollout.rs
+++ b/crates/fleet/src/rollout.rs
@@ -334,8 +334,8 @@
         let draining = engines().filter(|e| matches!(e.step, Step::Draining { .. })).count();
         let loading = engines().filter(|e| matches!(e.step, Step::Loading { .. })).count();
         let backing_off = engines().filter(|engine| engine.is_backing_off(now)).count();
-        let (known, behind) = (self.engines.len(), self.behind().len());
-        RolloutProgress { total: known, behind, draining, loading, backing_off }
+        let (total, behind) = (self.engines.len(), self.behind().len());
+        RolloutProgress { total, behind, draining, loading, backing_off }
     }
 
     fn behind(&self) -> Vec<(&EndpointId, &Engine)> {
