--- a/crates/daemon/src/edge/claims.rs
+++ b/crates/daemon/src/edge/claims.rs
@@ -3,8 +3,8 @@
 use base::{Digest, Incarnation, MonotonicTime, UnixMillis, Verdict};
 use bytes::Bytes;
 use fleet::{
-    Answer, CallKey, Claim, ClaimId, ClaimReply, Command, Doubt, Finish, Outcome, Owner, OwnerGone,
-    Release, Reply,
+    CallKey, Claim, ClaimId, ClaimReply, Command, Finish, MayHaveRunReason, Outcome, Owner,
+    OwnerGone, Release, Reply, StoredResponse,
 };
 use hyper::{Response, StatusCode, header::CONTENT_TYPE};
 use tokio::task::JoinHandle;
@@ -192,7 +192,7 @@
     /// Reports the response, and waits up to [`STORE_RESPONSE_TIMEOUT`] until the ledger has stored it.
     ///
     /// The report continues after the timeout, and if the wait is cancelled.
-    pub(super) async fn report_response(mut self, response: Answer) {
+    pub(super) async fn report_response(mut self, response: StoredResponse) {
         self.reported = true;
         let report = self.report(Outcome::Answered(response));
         let _ = tokio::time::timeout(STORE_RESPONSE_TIMEOUT, report).await;
@@ -270,10 +270,12 @@
         ClaimReply::Ran => {
             Err(already_ran("an operator settled the call as run; its response is not known"))
         }
-        ClaimReply::MayHaveRun { why, .. } => {
+        ClaimReply::MayHaveRun { reason: why, .. } => {
             let why = match why {
-                Doubt::OutcomeLost => "the endpoint was lost after the call had been sent",
-                Doubt::OwnerGone => "the host that sent the call has ended",
+                MayHaveRunReason::OutcomeLost => {
+                    "the endpoint was lost after the call had been sent"
+                }
+                MayHaveRunReason::OwnerGone => "the host that sent the call has ended",
             };
             Err(Failure::broken(why, Verdict::MayHaveRun))
         }
@@ -297,7 +299,7 @@
     Failure::new(StatusCode::CONFLICT, "already run", detail, Verdict::Ran)
 }
 
-fn stored_response(stored: Answer) -> Result<Response<Body>, Failure> {
+fn stored_response(stored: StoredResponse) -> Result<Response<Body>, Failure> {
     let Some(body) = stored.body else {
         return Err(already_ran("the call ran; its response was too large to store"));
     };
--- a/crates/daemon/src/edge/router/transfer.rs
+++ b/crates/daemon/src/edge/router/transfer.rs
@@ -39,8 +39,9 @@
             ..TransferSettings::default()
         };
         let allowed = requirements.preferences.kv_transfer;
-        let neighbours = allowed.asks_engines().then(|| self.neighbours(requirements, fetching));
-        let store = if allowed.asks_store() { self.kv_store() } else { None };
+        let neighbours =
+            allowed.fetches_from_engines().then(|| self.neighbours(requirements, fetching));
+        let store = if allowed.fetches_from_store() { self.kv_store() } else { None };
         let endpoints: Vec<_> = neighbours.into_iter().flatten().chain(store).collect();
         let sources: Vec<_> =
             endpoints.iter().map(|(_, target)| self.source(fetching.target, target)).collect();
@@ -65,7 +66,7 @@
 
     /// Returns the slot of the KV store, if engines may fetch from it.
     pub(super) fn kv_store_slot(&self, requirements: &EngineRequirements<'_>) -> Option<Slot> {
-        if !requirements.preferences.kv_transfer.asks_store() {
+        if !requirements.preferences.kv_transfer.fetches_from_store() {
             return None;
         }
         self.kv_store().and_then(|(_, target)| target.slot())
--- a/crates/daemon/src/edge/services.rs
+++ b/crates/daemon/src/edge/services.rs
@@ -2,7 +2,7 @@
 
 use base::{Hasher, IdempotencyKey, OrganisationId, ParseError, ServiceId, Verdict};
 use bytes::Bytes;
-use fleet::{Answer, CallKey, Scope};
+use fleet::{CallKey, Scope, StoredResponse};
 use http_body_util::{BodyExt as _, Full, Limited};
 use hyper::{
     HeaderMap, Request, Response, StatusCode,
@@ -163,7 +163,7 @@
     let sent = permit.redeem()?;
     let response = upstream::send_once(&mut connection, request).await?;
     let response = read_response(edge, response).await?;
-    sent.report_response(response.to_stored(call.settings.max_answer_bytes.as_u32() as usize))
+    sent.report_response(response.to_stored(call.settings.max_response_bytes.as_u32() as usize))
         .await;
     Ok(response.into_response())
 }
@@ -287,10 +287,14 @@
 
 impl ServiceResponse {
     /// Returns what the ledger stores; a body over `max_bytes` is left out.
-    fn to_stored(&self, max_bytes: usize) -> Answer {
+    fn to_stored(&self, max_bytes: usize) -> StoredResponse {
         let content_type = self.content_type.as_ref().and_then(|text| text.to_str().ok());
         let body = (self.body.len() <= max_bytes).then(|| self.body.as_ref().into());
-        Answer { status: self.status.as_u16(), content_type: content_type.map(Into::into), body }
+        StoredResponse {
+            status: self.status.as_u16(),
+            content_type: content_type.map(Into::into),
+            body,
+        }
     }
 
     pub(super) fn into_response(self) -> Response<Body> {
--- a/crates/daemon/src/gateway/control.rs
+++ b/crates/daemon/src/gateway/control.rs
@@ -71,9 +71,9 @@
             log::info!(number:%, answer:? = response; "configuration submitted");
             response
         }
-        ControlRequest::NameWeights(named) => {
+        ControlRequest::SetDesiredWeights(named) => {
             let (model, version) = (named.model.clone(), named.version);
-            let response = submit(gateway, Command::NameWeights(named)).await;
+            let response = submit(gateway, Command::SetDesiredWeights(named)).await;
             log::info!(model:%, version, answer:? = response; "weights submitted");
             response
         }
--- a/crates/daemon/src/gateway/dialect.rs
+++ b/crates/daemon/src/gateway/dialect.rs
@@ -4,7 +4,7 @@
 
 use base::{EndpointId, HostId, Incarnation, ModelId, RequestId, Term, TokenCount};
 use bytes::Bytes;
-use fleet::{LoadOrder, NamedWeights, OrderOutcome, Publication};
+use fleet::{DesiredWeights, LoadOrder, OrderOutcome, Publication};
 use hyper::{
     HeaderMap, Request, Response, StatusCode,
     header::HeaderValue,
@@ -187,7 +187,7 @@
     /// Reads the active configuration.
     ReadConfiguration,
     /// Names the weights that a model should serve.
-    NameWeights(NamedWeights),
+    SetDesiredWeights(DesiredWeights),
 }
 
 /// The error of a control request that can't be decoded.
@@ -222,7 +222,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineReport {
     /// The version of each model's weights.
-    pub weights: Vec<NamedWeights>,
+    pub weights: Vec<DesiredWeights>,
     /// Whether it is carrying out an order.
     pub busy: bool,
     /// The number of orders that it has accepted.
--- a/crates/daemon/src/gateway/follow.rs
+++ b/crates/daemon/src/gateway/follow.rs
@@ -171,7 +171,7 @@
                 log::info!(model:% = received.model, version = received.version,
                     age_ms = received.age.as_millis() as u64; "weights named");
             }
-            known.note(now, received.version, received.age);
+            known.record(now, received.version, received.age);
         }
         if let Some(replica) = &self.replica {
             // Ages lost to a full channel come again with the next view.
--- a/crates/daemon/src/gateway/targets.rs
+++ b/crates/daemon/src/gateway/targets.rs
@@ -9,7 +9,7 @@
 };
 
 use base::{DataCentreId, EndpointId, Incarnation, ModelId, MonotonicTime, ServiceId, TokenCount};
-use fleet::EngineNews;
+use fleet::EngineUpdate;
 use member::{
     Announcement, EndpointKind, EndpointRecord, EndpointState, IncarnationKey, LeavingSet, Roster,
 };
@@ -214,7 +214,7 @@
 #[derive(Default)]
 pub(super) struct Targets {
     by_id: BTreeMap<EndpointId, Rc<Target>>,
-    engine_updates: HashMap<EndpointId, EngineNews>,
+    engine_updates: HashMap<EndpointId, EngineUpdate>,
     kv_tokens: HashMap<ServiceId, TokenCount>,
     /// When the loads of other hosts arrived.
     loads_at: MonotonicTime,
@@ -279,7 +279,7 @@
     }
 
     /// Replaces what is known of engines beyond their announcements.
-    fn set_engine_updates(&mut self, updates: &[EngineNews]) {
+    fn set_engine_updates(&mut self, updates: &[EngineUpdate]) {
         self.engine_updates =
             updates.iter().map(|update| (update.endpoint.clone(), update.clone())).collect();
         self.apply_engine_updates();
--- a/crates/daemon/src/gateway/weights.rs
+++ b/crates/daemon/src/gateway/weights.rs
@@ -5,8 +5,8 @@
 use base::{EndpointId, Incarnation, MonotonicTime, Term};
 use bytes::Bytes;
 use fleet::{
-    EngineLoad, EngineNews, EngineView, Lead, LoadOrder, Mandate, OrderOutcome, Progress, Rollout,
-    RolloutSettings, Tenure,
+    EngineLoad, EngineUpdate, EngineView, Leadership, LoadOrder, OrderGate, OrderOutcome,
+    OrderPermission, Rollout, RolloutProgress, RolloutSettings,
 };
 use http_body_util::{BodyExt as _, Full, Limited};
 use hyper::{Request, Response, header::HOST, http::response};
@@ -47,12 +47,12 @@
     term: Term,
     rollout: Rollout,
     /// Longest time for which engines drain; they may start to before the first order is allowed.
-    drain_limit: Duration,
+    max_drain_time: Duration,
     next_polls: HashMap<EndpointId, MonotonicTime>,
     responses: flume::Receiver<EngineResponse>,
     response_tx: flume::Sender<EngineResponse>,
     /// The updates of engines that the replica got last.
-    published_updates: Option<Vec<EngineNews>>,
+    published_updates: Option<Vec<EngineUpdate>>,
     /// Since when engines lack the named weights, if any do.
     behind_since: Option<MonotonicTime>,
     /// When the progress was last logged.
@@ -69,11 +69,11 @@
     fn new(term: Term, unused_after: Duration) -> Self {
         let (response_tx, responses) = flume::unbounded();
         let settings = RolloutSettings { unused_after, ..RolloutSettings::default() };
-        let (rollout, drain_limit) = (Rollout::new(settings), settings.drain_limit);
+        let (rollout, max_drain_time) = (Rollout::new(settings), settings.max_drain_time);
         Self {
             term,
             rollout,
-            drain_limit,
+            max_drain_time,
             next_polls: HashMap::new(),
             responses,
             response_tx,
@@ -87,14 +87,14 @@
 /// Runs the rollout while this host leads, until the thread ends.
 pub(super) async fn run<D: Dialect>(gateway: Rc<Gateway<D>>) {
     let mut active: Option<ActiveRollout> = None;
-    let mut tenure = Tenure::new(gateway.cfg.first_order_delay());
+    let mut tenure = OrderGate::new(gateway.cfg.first_order_delay());
     loop {
         tokio::time::sleep(POLL_INTERVAL).await;
         let now = gateway.clock.now();
         let Some(view) = gateway.replica_state.load() else { continue };
-        let mandate = tenure.judge(now, leadership(&view, now));
+        let mandate = tenure.update(now, leadership(&view, now));
         sync_term(&gateway, &mut active, tenure.term());
-        if let Some(active) = active.as_mut().filter(|_| mandate != Mandate::None) {
+        if let Some(active) = active.as_mut().filter(|_| mandate != OrderPermission::Denied) {
             advance(&gateway, active, &view, mandate, now);
         }
     }
@@ -118,9 +118,9 @@
     }
 }
 
-fn leadership(view: &ReplicaView, now: MonotonicTime) -> Option<Lead> {
+fn leadership(view: &ReplicaView, now: MonotonicTime) -> Option<Leadership> {
     let leads = view.node.role == Role::Leader;
-    leads.then(|| Lead { term: view.node.term, has_lease: has_lease(view, now) })
+    leads.then(|| Leadership { term: view.node.term, has_lease: has_lease(view, now) })
 }
 
 fn has_lease(view: &ReplicaView, now: MonotonicTime) -> bool {
@@ -131,37 +131,39 @@
     gateway: &Rc<Gateway<D>>,
     active: &mut ActiveRollout,
     view: &ReplicaView,
-    mandate: Mandate,
+    mandate: OrderPermission,
     now: MonotonicTime,
 ) {
     while let Ok(outcome) = active.responses.try_recv() {
         match outcome {
-            EngineResponse::Ordered(order, outcome) => active.rollout.ordered(now, &order, outcome),
+            EngineResponse::Ordered(order, outcome) => {
+                active.rollout.record_outcome(now, &order, outcome)
+            }
             EngineResponse::Reported { order, incarnation, report } => {
                 for weights in &report.weights {
-                    active.rollout.reported(&order, incarnation, weights.version);
+                    active.rollout.record_version(&order, incarnation, weights.version);
                 }
             }
         }
     }
     let Some(roster) = gateway.latest.load() else { return };
     if let Some(active_configuration) = gateway.active_configuration() {
-        active.rollout.set_named(active_configuration.weights.clone());
+        active.rollout.set_desired_weights(active_configuration.weights.clone());
     }
     active.rollout.set_engines(&engines(&roster));
     for target in gateway.targets.borrow().iter() {
-        active.rollout.reported(&target.endpoint, target.incarnation, target.version());
+        active.rollout.record_version(&target.endpoint, target.incarnation, target.version());
     }
     active.rollout.set_loads(|endpoint| load_of(&view.loads, endpoint));
     match mandate {
-        Mandate::Orders => {
+        OrderPermission::Granted => {
             for order in active.rollout.orders(now) {
                 issue_order(gateway, active, &roster, order);
             }
             poll_loading_engines(gateway, active, &roster, now);
         }
-        Mandate::Waits(left) if left <= active.drain_limit => active.rollout.drain(now),
-        Mandate::Waits(_) | Mandate::None => {}
+        OrderPermission::After(left) if left <= active.max_drain_time => active.rollout.drain(now),
+        OrderPermission::After(_) | OrderPermission::Denied => {}
     }
     log_progress(active, now);
     publish_engine_updates(gateway, active);
@@ -169,7 +171,8 @@
 
 /// Logs the progress of a rollout at its start, each second, and at its end.
 fn log_progress(active: &mut ActiveRollout, now: MonotonicTime) {
-    let Progress { known, behind, draining, loading, resting } = active.rollout.progress(now);
+    let RolloutProgress { total: known, behind, draining, loading, backing_off } =
+        active.rollout.progress(now);
     if behind == 0 {
         if let Some(since) = active.behind_since.take() {
             let took_ms = now.saturating_since(since).as_millis() as u64;
@@ -183,7 +186,7 @@
     }
     active.last_logged = now;
     let for_ms = now.saturating_since(since).as_millis() as u64;
-    log::info!(engines = known, behind, draining, loading, resting, for_ms;
+    log::info!(engines = known, behind, draining, loading, backing_off, for_ms;
         "weights rollout in progress");
 }
 
@@ -204,18 +207,18 @@
                 incarnation: known.announcement.incarnation,
                 model,
                 version,
-                heard: known.written,
-                is_silent: roster.stale_after <= roster.at.saturating_since(known.written),
+                announced_at: known.written,
+                is_stale: roster.stale_after <= roster.at.saturating_since(known.written),
             })
         })
         .collect()
 }
 
 fn publish_engine_updates<D: Dialect>(gateway: &Gateway<D>, active: &mut ActiveRollout) {
-    let updates = active.rollout.news();
+    let updates = active.rollout.engine_updates();
     let is_published = active.published_updates.as_ref() == Some(&updates);
     let Some(replica) = gateway.replica.as_ref().filter(|_| !is_published) else { return };
-    if replica.try_send(ReplicaInput::EngineNews(updates.clone())).is_ok() {
+    if replica.try_send(ReplicaInput::EngineUpdate(updates.clone())).is_ok() {
         active.published_updates = Some(updates);
     }
 }
@@ -232,7 +235,7 @@
         (Rc::clone(gateway), active.response_tx.clone(), active.term);
     tokio::task::spawn_local(async move {
         let outcome = match query_report(&gateway, address).await {
-            Some(state) if has_weights(&state, &order) => OrderOutcome::Holds,
+            Some(state) if has_weights(&state, &order) => OrderOutcome::AlreadyLoaded,
             Some(state) if state.busy => OrderOutcome::Busy,
             Some(state) => send_order(&gateway, address, &order, term, state.orders).await,
             None => OrderOutcome::Refused,
--- a/crates/daemon/src/replica/driver.rs
+++ b/crates/daemon/src/replica/driver.rs
@@ -206,7 +206,7 @@
             ReplicaInput::Quorum(call) => self.handle_message(call),
             ReplicaInput::Submit(call) => self.handle_request(call),
             ReplicaInput::Learners(hosts) => self.step(Input::Learners(hosts)),
-            ReplicaInput::EngineNews(engines) => self.followers.set_engines(engines),
+            ReplicaInput::EngineUpdate(engines) => self.followers.set_engines(engines),
             ReplicaInput::WeightAges { at, ages } => self.followers.record_weights_ages(at, &ages),
             ReplicaInput::TransferLeadership(done) => {
                 self.step(Input::Transfer);
@@ -431,7 +431,7 @@
                 if matches!(command, Command::Change(_)) {
                     self.publish_configuration();
                 }
-                if matches!(command, Command::Publish(_) | Command::NameWeights(_)) {
+                if matches!(command, Command::Publish(_) | Command::SetDesiredWeights(_)) {
                     self.followers.record_change();
                     self.record_named_weights();
                 }
@@ -513,7 +513,7 @@
         Command::Release(release) => &mut release.at,
         Command::Resolve(resolve) => &mut resolve.at,
         Command::OwnerGone(gone) => &mut gone.at,
-        Command::Publish(_) | Command::NameWeights(_) => return command,
+        Command::Publish(_) | Command::SetDesiredWeights(_) => return command,
     };
     *at = now;
     command
--- a/crates/daemon/src/replica/followers.rs
+++ b/crates/daemon/src/replica/followers.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use base::{HostId, ModelId, MonotonicTime, Term};
-use fleet::{EngineNews, Published, WeightsAge, WeightsHistory};
+use fleet::{EngineUpdate, Published, WeightsAge, WeightsHistory};
 use member::LeavingSet;
 use prefix::SentPromptLog;
 use route::{LoadAggregator, SentLoad};
@@ -25,7 +25,7 @@
 /// Long polls of followers, and the state that answers them.
 pub(super) struct Followers {
     held: Vec<HeldPoll>,
-    engines: Vec<EngineNews>,
+    engines: Vec<EngineUpdate>,
     loads: LoadAggregator,
     sent: SentPromptLog,
     leavers: LeavingSet,
@@ -93,7 +93,7 @@
     pub(super) fn record_named_weights(&mut self, now: MonotonicTime, published: &Published) {
         for named in published.weights() {
             let history = self.weights.entry(named.model).or_default();
-            history.note(now, named.version, Duration::ZERO);
+            history.record(now, named.version, Duration::ZERO);
         }
     }
 
@@ -101,12 +101,12 @@
     pub(super) fn record_weights_ages(&mut self, now: MonotonicTime, ages: &[WeightsAge]) {
         for received in ages {
             let history = self.weights.entry(received.model.clone()).or_default();
-            history.note(now, received.version, received.age);
+            history.record(now, received.version, received.age);
         }
     }
 
     /// Sets what the weights rollout knows of engines.
-    pub(super) fn set_engines(&mut self, engines: Vec<EngineNews>) {
+    pub(super) fn set_engines(&mut self, engines: Vec<EngineUpdate>) {
         if self.engines != engines {
             self.engines = engines;
             self.changes += 1;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,8 +1,8 @@
-//! The replicated state of the fleet: defaults, exceptions and the ledger of calls that may not be
-//! repeated; and the planner of orders to endpoints.
+//! The replicated state of the fleet: settings and the ledger of non-idempotent calls; and the
+//! planners of orders to endpoints.
 //!
-//! [`Fleet::apply`] takes the log's commands in order; every replica that applied the same
-//! commands holds the same state. Nothing in it reads a clock: a command carries its time.
+//! [`Fleet::apply`] is a deterministic state machine: replicas that applied the same log entries in
+//! order hold the same state. It reads no clock; each command carries its timestamp.
 //!
 //! # Example
 //!
@@ -40,6 +40,7 @@
 mod diff;
 mod explanation;
 mod ledger;
+mod order_gate;
 pub mod orders;
 mod published;
 mod reply;
@@ -48,35 +49,34 @@
 pub mod setting;
 mod settings;
 mod state;
-mod tenure;
 mod weights_history;
 
 pub use crate::{
-    call::{Call, CallState, Conflict, Held, Resolved},
+    call::{Call, CallState, Conflict, GrantedClaim, Resolved},
     codec::CodecError,
     command::{
-        Answer, CallKey, Claim, ClaimId, Command, ConfigChange, Finish, Outcome, Owner, OwnerGone,
-        Release, Resolution, Resolve,
+        CallKey, Claim, ClaimId, Command, ConfigChange, Finish, Outcome, Owner, OwnerGone, Release,
+        Resolution, Resolve, StoredResponse,
     },
-    configuration::{Configuration, HISTORY_COUNT, REMEMBERED_COUNT, REMEMBERED_TIME},
+    configuration::{Configuration, MAX_HISTORY_ENTRIES, MAX_STORED_REPLIES, REPLY_RETENTION},
     contents::{Contents, DesiredModel, Exception, Organisation, Reason},
     declaration::Declaration,
     declaration_error::DeclarationError,
     diff::{Difference, diff},
     explanation::{Explanation, Source},
-    ledger::{KEPT_BODY_BYTES, KEPT_CALLS, Ledger, RESOLVE_MARGIN},
-    published::{ConfigurationNumber, NamedWeights, Publication, PublishReply, Published},
+    ledger::{Ledger, MAX_STORED_BODY_BYTES, MAX_STORED_CALLS, RESOLVE_MARGIN},
+    order_gate::{Leadership, OrderGate, OrderPermission},
+    published::{ConfigurationNumber, DesiredWeights, Publication, PublishReply, Published},
     reply::{
-        ChangeRecord, ChangeReply, ClaimReply, Doubt, FinishReply, ReleaseReply, Reply,
+        ChangeRecord, ChangeReply, ClaimReply, FinishReply, MayHaveRunReason, ReleaseReply, Reply,
         ResolveReply,
     },
     rollout::{
-        EngineLoad, EngineNews, EngineView, LoadOrder, OrderOutcome, Progress, Rollout,
+        EngineLoad, EngineUpdate, EngineView, LoadOrder, OrderOutcome, Rollout, RolloutProgress,
         RolloutSettings,
     },
     scope::Scope,
     settings::{Overrides, SettingKey, SettingValue, Settings},
     state::Fleet,
-    tenure::{Lead, Mandate, Tenure},
     weights_history::{WeightsAge, WeightsHistory},
 };
--- a/crates/fleet/src/setting/time.rs
+++ b/crates/fleet/src/setting/time.rs
@@ -1,4 +1,4 @@
-//! Durations and moments.
+//! Durations and times.
 
 use std::{fmt, str::FromStr, time::Duration};
 
@@ -7,7 +7,7 @@
 
 use super::TextVisitor;
 
-macro_rules! spans {
+macro_rules! durations {
     ($($(#[$doc:meta])* $name:ident: $what:literal, $min:literal..=$max:literal, $allowed:literal;)*) => {$(
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -18,14 +18,14 @@
             ///
             /// # Panics
             ///
-            /// Panics if the span is outside the allowed range; in a constant this stops the
+            /// Panics if the duration is outside the allowed range; in a constant this stops the
             /// build.
             pub const fn from_millis(millis: u64) -> Self {
                 assert!($min <= millis && millis <= $max, $allowed);
                 Self(Duration::from_millis(millis))
             }
 
-            /// Returns the span.
+            /// Returns the duration.
             pub const fn as_duration(self) -> Duration {
                 self.0
             }
@@ -41,8 +41,8 @@
             type Err = ParseError;
 
             fn from_str(text: &str) -> Result<Self, ParseError> {
-                let span = humantime::parse_duration(text).ok();
-                span.filter(|span| ($min..=$max).contains(&span.as_millis()))
+                let duration = humantime::parse_duration(text).ok();
+                duration.filter(|duration| ($min..=$max).contains(&duration.as_millis()))
                     .map(Self)
                     .ok_or_else(|| ParseError::new($what, text, $allowed))
             }
@@ -62,19 +62,19 @@
     )*};
 }
 
-spans! {
-    /// How long one step of a request may take.
+durations! {
+    /// A time limit for one step of a request.
     Timeout: "timeout", 1..=3_600_000, "a duration from 1ms to 1h, such as 800ms or 5s";
-    /// How long a settled call is remembered.
+    /// How long a settled call is stored.
     Retention: "retention", 1_000..=2_592_000_000, "a duration from 1s to 30days, such as 24h";
 }
 
-/// The moment at which an exception ends, to the second.
+/// The time at which an exception ends, in seconds since 1970.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EndTime(u64);
 
 impl EndTime {
-    /// Returns whether the moment has come at `now`.
+    /// Returns whether the exception has ended at `now`.
     pub const fn has_passed(self, now: UnixMillis) -> bool {
         self.0.saturating_mul(1000) <= now.as_u64()
     }
@@ -82,7 +82,7 @@
 
 const END_TIME_RULE: &str = "a UTC time such as 2026-12-04T18:00:00Z or seconds since 1970";
 
-/// The last second of the year 9999, which RFC 3339 can still write.
+/// The last second of the year 9999, the latest that RFC 3339 can represent.
 const LAST_SECOND: u64 = 253_402_300_799;
 
 impl fmt::Display for EndTime {
@@ -96,9 +96,9 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let refused = || ParseError::new("end time", text, END_TIME_RULE);
-        let time = humantime::parse_rfc3339(text).map_err(|_| refused())?;
-        let since = time.duration_since(std::time::UNIX_EPOCH).map_err(|_| refused())?;
+        let invalid = || ParseError::new("end time", text, END_TIME_RULE);
+        let time = humantime::parse_rfc3339(text).map_err(|_| invalid())?;
+        let since = time.duration_since(std::time::UNIX_EPOCH).map_err(|_| invalid())?;
         Ok(Self(since.as_secs()))
     }
 }
--- a/crates/fleet/src/weights_history.rs
+++ b/crates/fleet/src/weights_history.rs
@@ -3,80 +3,84 @@
 use base::{ModelId, MonotonicTime};
 use serde::{Deserialize, Serialize};
 
-/// Versions that are remembered; older ones have long been out of bounds.
-const MAX_NAMED: usize = 16;
+/// Maximum number of versions stored; older ones are far beyond any allowed age.
+const MAX_VERSIONS: usize = 16;
 
-/// A version of a model's weights with the time since it was named, as one host tells another.
+/// A version of a model's weights and the time since it became the desired one, as sent between
+/// hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightsAge {
     /// The model.
     pub model: ModelId,
     /// The version, from 1.
     pub version: u32,
-    /// Time since it was named, at least.
+    /// Lower bound of the time since it became the desired version.
     pub age: Duration,
 }
 
-/// The versions of a model's weights that were named, and how long ago.
+/// The versions of a model's weights that were the desired ones, with their ages.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WeightsHistory {
-    /// By version.
-    named: Vec<NamedVersion>,
+    /// Sorted by version.
+    versions: Vec<VersionAge>,
 }
 
-/// A version that was `age` old at `noted`; it may be older than the process and so its clock.
+/// A version that was `age` old at `recorded_at`.
+///
+/// The age is stored apart because it may exceed that of the process and thus of its clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct NamedVersion {
+struct VersionAge {
     version: u32,
-    noted: MonotonicTime,
+    recorded_at: MonotonicTime,
     age: Duration,
 }
 
-impl NamedVersion {
+impl VersionAge {
     fn age_at(&self, now: MonotonicTime) -> Duration {
-        self.age + now.saturating_since(self.noted)
+        self.age + now.saturating_since(self.recorded_at)
     }
 }
 
 impl WeightsHistory {
-    /// Creates a history without versions.
+    /// Creates an empty history.
     pub const fn new() -> Self {
-        Self { named: Vec::new() }
+        Self { versions: Vec::new() }
     }
 
-    /// Returns the newest version, 0 if none was named.
+    /// Returns the newest version, 0 if there is none.
     pub fn version(&self) -> u32 {
-        self.named.last().map_or(0, |named| named.version)
+        self.versions.last().map_or(0, |entry| entry.version)
     }
 
-    /// Notes that a version had been named for `age` at `now`; the highest age that is told counts.
-    pub fn note(&mut self, now: MonotonicTime, version: u32, age: Duration) {
-        let told = NamedVersion { version, noted: now, age };
-        match self.named.binary_search_by_key(&version, |named| named.version) {
-            Ok(i) if self.named[i].age_at(now) < age => self.named[i] = told,
+    /// Records that a version was `age` old at `now`; the highest recorded age counts.
+    pub fn record(&mut self, now: MonotonicTime, version: u32, age: Duration) {
+        let recorded = VersionAge { version, recorded_at: now, age };
+        match self.versions.binary_search_by_key(&version, |entry| entry.version) {
+            Ok(i) if self.versions[i].age_at(now) < age => self.versions[i] = recorded,
             Ok(_) => {}
-            Err(i) => self.named.insert(i, told),
+            Err(i) => self.versions.insert(i, recorded),
         }
-        let excess = self.named.len().saturating_sub(MAX_NAMED);
-        self.named.drain(..excess);
+        let excess = self.versions.len().saturating_sub(MAX_VERSIONS);
+        self.versions.drain(..excess);
     }
 
-    /// Returns for how long `version` has not been the newest.
+    /// Returns how long ago the first version newer than `version` became the desired one, or zero
+    /// if there is none.
     pub fn outdated_for(&self, version: u32, now: MonotonicTime) -> Duration {
-        let newer = self.named.iter().filter(|named| version < named.version);
-        newer.map(|named| named.age_at(now)).max().unwrap_or_default()
+        let newer = self.versions.iter().filter(|entry| version < entry.version);
+        newer.map(|entry| entry.age_at(now)).max().unwrap_or_default()
     }
 
-    /// Returns the versions with their ages at `now`, the oldest version first.
+    /// Returns the versions with their ages at `now`, oldest version first.
     pub fn ages<'a>(
         &'a self,
         model: &'a ModelId,
         now: MonotonicTime,
     ) -> impl Iterator<Item = WeightsAge> + 'a {
-        self.named.iter().map(move |named| WeightsAge {
+        self.versions.iter().map(move |entry| WeightsAge {
             model: model.clone(),
-            version: named.version,
-            age: named.age_at(now),
+            version: entry.version,
+            age: entry.age_at(now),
         })
     }
 }
--- a/crates/fleet/tests/weights_history.rs
+++ b/crates/fleet/tests/weights_history.rs
@@ -1,4 +1,4 @@
-//! For how long versions of weights have not been the newest.
+//! How long versions of weights have been outdated.
 
 use std::time::Duration;
 
@@ -17,48 +17,48 @@
 fn newest_version_is_not_outdated() {
     let mut history = WeightsHistory::new();
     assert_eq!(history.outdated_for(1, at(5)), Duration::ZERO);
-    history.note(at(10), 2, Duration::ZERO);
+    history.record(at(10), 2, Duration::ZERO);
     assert_eq!((history.version(), history.outdated_for(2, at(99))), (2, Duration::ZERO));
 }
 
 #[test]
-fn version_is_outdated_from_the_naming_of_the_next_one() {
+fn version_is_outdated_once_a_newer_one_is_recorded() {
     let mut history = WeightsHistory::new();
-    history.note(at(10), 2, Duration::ZERO);
-    history.note(at(50), 3, Duration::ZERO);
+    history.record(at(10), 2, Duration::ZERO);
+    history.record(at(50), 3, Duration::ZERO);
     assert_eq!(history.outdated_for(1, at(100)), millis(90));
     assert_eq!(history.outdated_for(2, at(100)), millis(50));
 }
 
 #[test]
-fn naming_before_the_start_of_the_process_counts() {
+fn age_may_exceed_that_of_the_process() {
     let mut history = WeightsHistory::new();
-    history.note(at(10), 3, millis(4_000));
-    history.note(at(10), 2, millis(9_000));
+    history.record(at(10), 3, millis(4_000));
+    history.record(at(10), 2, millis(9_000));
     assert_eq!(history.outdated_for(2, at(20)), millis(4_010));
     assert_eq!(history.outdated_for(1, at(20)), millis(9_010));
 }
 
 #[test]
-fn age_never_falls() {
+fn age_never_decreases() {
     let mut history = WeightsHistory::new();
-    history.note(at(0), 2, Duration::ZERO);
-    history.note(at(500), 2, millis(100));
+    history.record(at(0), 2, Duration::ZERO);
+    history.record(at(500), 2, millis(100));
     assert_eq!(history.outdated_for(1, at(500)), millis(500));
-    history.note(at(500), 2, millis(900));
+    history.record(at(500), 2, millis(900));
     assert_eq!(history.outdated_for(1, at(600)), millis(1_000));
 }
 
 #[test]
-fn ages_told_are_ages_noted() {
-    let (mut teller, mut hearer) = (WeightsHistory::new(), WeightsHistory::new());
-    teller.note(at(1_000), 2, Duration::ZERO);
-    teller.note(at(3_000), 4, Duration::ZERO);
+fn ages_are_preserved_between_hosts() {
+    let (mut sender, mut receiver) = (WeightsHistory::new(), WeightsHistory::new());
+    sender.record(at(1_000), 2, Duration::ZERO);
+    sender.record(at(3_000), 4, Duration::ZERO);
     let model = "m".parse().unwrap();
-    for told in teller.ages(&model, at(5_000)) {
-        hearer.note(at(7), told.version, told.age);
+    for sent in sender.ages(&model, at(5_000)) {
+        receiver.record(at(7), sent.version, sent.age);
     }
-    assert_eq!(hearer.outdated_for(1, at(7)), millis(4_000));
-    assert_eq!(hearer.outdated_for(2, at(7)), millis(2_000));
-    assert_eq!(hearer.version(), 4);
+    assert_eq!(receiver.outdated_for(1, at(7)), millis(4_000));
+    assert_eq!(receiver.outdated_for(2, at(7)), millis(2_000));
+    assert_eq!(receiver.version(), 4);
 }
--- a/crates/wire/src/leader.rs
+++ b/crates/wire/src/leader.rs
@@ -4,7 +4,7 @@
 
 use base::{HostId, Revision, Term};
 use fleet::{
-    Call, CallKey, ChangeRecord, Command, ConfigurationNumber, EngineNews, Reply, WeightsAge,
+    Call, CallKey, ChangeRecord, Command, ConfigurationNumber, EngineUpdate, Reply, WeightsAge,
 };
 use member::IncarnationKey;
 use prefix::SentPrompt;
@@ -96,7 +96,7 @@
     /// The named weights with their ages; the newest of each model are to be loaded.
     pub weights: Vec<WeightsAge>,
     /// State of engines that is not in their announcements.
-    pub engines: Vec<EngineNews>,
+    pub engines: Vec<EngineUpdate>,
     /// The load that all routers, including the requester, have in flight at endpoints.
     pub loads: Vec<SentLoad>,
     /// Endpoint incarnations that any router knows to be leaving.
