--- a/crates/bench/src/operator.rs
+++ b/crates/bench/src/operator.rs
@@ -6,7 +6,7 @@
 };
 
 use base::{HostId, Revision, UnixMillis};
-use daemon::{PeerAnswer, PeerClient};
+use daemon::{PeerClient, PeerResponse};
 use eyre::{ContextCompat as _, bail};
 use fleet::{CallKey, ChangeReply, Command, ConfigChange, Reply};
 use wire::{
@@ -47,7 +47,7 @@
 /// # Errors
 ///
 /// Returns an error if the daemon can't be reached.
-pub async fn ask(daemon: &Daemon, request: &LeaderRequest) -> eyre::Result<PeerAnswer> {
+pub async fn ask(daemon: &Daemon, request: &LeaderRequest) -> eyre::Result<PeerResponse> {
     connect(daemon).await?.submit(request, ANSWER_TIMEOUT).await
 }
 
@@ -63,7 +63,7 @@
     let deadline = Instant::now() + LEADER_TIMEOUT;
     while Instant::now() < deadline {
         for (i, daemon) in daemons.iter().enumerate() {
-            if let Ok(PeerAnswer::Answered(answer)) = ask(daemon, request).await {
+            if let Ok(PeerResponse::Answered(answer)) = ask(daemon, request).await {
                 return Ok((i, answer));
             }
         }
--- a/crates/bench/src/quorum_bench.rs
+++ b/crates/bench/src/quorum_bench.rs
@@ -7,7 +7,7 @@
 };
 
 use base::{Digest, IdempotencyKey, Incarnation, LogIndex, OrganisationId, Term, UnixMillis};
-use daemon::{PeerAnswer, PeerClient};
+use daemon::{PeerClient, PeerResponse};
 use eyre::{ContextCompat as _, ensure};
 use fleet::{CallKey, ChangeReply, Claim, ClaimId, Command, Fleet, Owner, Release};
 use futures_util::future;
@@ -218,7 +218,7 @@
 
 async fn commit(client: &PeerClient, command: Command) -> eyre::Result<()> {
     let answer = client.submit(&LeaderRequest::Command(command), ANSWER_TIMEOUT).await?;
-    let committed = matches!(answer, PeerAnswer::Answered(LeaderAnswer::Reply(_)));
+    let committed = matches!(answer, PeerResponse::Answered(LeaderAnswer::Reply(_)));
     ensure!(committed, "not committed: {answer:?}");
     Ok(())
 }
--- a/crates/bench/tests/claims_faults.rs
+++ b/crates/bench/tests/claims_faults.rs
@@ -259,11 +259,11 @@
         scene.site.daemons[leader].thaw().unwrap();
         let read = LeaderRequest::ReadCall(scene.call());
         match operator::ask(&scene.site.daemons[leader], &read).await.unwrap() {
-            daemon::PeerAnswer::Answered(wire::leader::LeaderAnswer::Call(call)) => {
+            daemon::PeerResponse::Answered(wire::leader::LeaderAnswer::Call(call)) => {
                 let state = call.map(|call| call.state);
                 assert!(matches!(state, Some(CallState::Finished(..))), "stale: {state:?}");
             }
-            daemon::PeerAnswer::Answered(other) => panic!("unexpected {other:?}"),
+            daemon::PeerResponse::Answered(other) => panic!("unexpected {other:?}"),
             _ => {}
         }
         let second = scene.resend_until(leader, answered).await;
--- a/crates/bench/tests/configuration.rs
+++ b/crates/bench/tests/configuration.rs
@@ -17,7 +17,7 @@
     process::{Program, wait_until},
     site::{Site, SiteSpec},
 };
-use daemon::PeerAnswer;
+use daemon::PeerResponse;
 use fleet::{ChangeReply, Command, Owner, OwnerGone};
 use wire::{leader::LeaderRequest, operator::ServingState};
 
@@ -189,7 +189,7 @@
     while answered < COMMANDS {
         let batch = (0..UNDER_WAY).map(|_| client.submit(&request, PATIENCE));
         for answer in futures_util::future::join_all(batch).await {
-            assert!(matches!(answer, Ok(PeerAnswer::Answered(_))), "{answer:?}");
+            assert!(matches!(answer, Ok(PeerResponse::Answered(_))), "{answer:?}");
             answered += 1;
         }
     }
@@ -246,7 +246,7 @@
         let begun = Instant::now();
         while begun.elapsed() < Duration::from_secs(4) {
             let answer = operator::ask(&site.daemons[leader], &lonely).await.unwrap();
-            assert!(!matches!(answer, PeerAnswer::Answered(_)), "{answer:?}");
+            assert!(!matches!(answer, PeerResponse::Answered(_)), "{answer:?}");
         }
         assert_eq!(change(&site, 1).await, ChangeReply::Changed(Revision::new(2)));
         site.peer_proxies.iter().for_each(bench::Proxy::heal);
--- a/crates/bench/tests/quorum_disks.rs
+++ b/crates/bench/tests/quorum_disks.rs
@@ -13,7 +13,7 @@
     process::{Program, wait_until},
     site::{Site, SiteSpec},
 };
-use daemon::PeerAnswer;
+use daemon::PeerResponse;
 use fleet::{ChangeReply, Command};
 use quorum::FolderId;
 use wire::leader::{LeaderAnswer, LeaderRequest};
@@ -88,7 +88,7 @@
     while begun.elapsed() < LONG {
         for daemon in &site.daemons {
             let answer = operator::ask(daemon, &request).await;
-            assert!(!matches!(answer, Ok(PeerAnswer::Answered(_))), "{answer:?}");
+            assert!(!matches!(answer, Ok(PeerResponse::Answered(_))), "{answer:?}");
         }
     }
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -46,7 +46,7 @@
         AnswerHead, Arrival, AttemptHead, BadCall, ControlAnswer, ControlCall, Dialect, EngineHead,
         EngineReport, FleetRetries, GatewaySettings, LoadCall, Prompt, Unreadable,
     },
-    peers::{PeerAnswer, PeerClient},
+    peers::{PeerClient, PeerResponse},
     run::{exit_code, gateway_exit_code, main, run, run_gateway},
     settings::{
         Faults, Limits, OrganisationKey, Settings, SettingsError, TelemetrySettings, Timeouts,
--- a/crates/daemon/src/peers/client.rs
+++ b/crates/daemon/src/peers/client.rs
@@ -26,7 +26,7 @@
 
 /// A router's answer to a request to the leader.
 #[derive(Clone, Debug, PartialEq)]
-pub enum PeerAnswer {
+pub enum PeerResponse {
     /// The router leads, and answered.
     Answered(LeaderAnswer),
     /// The router doesn't lead; the request was not written and won't be.
@@ -65,16 +65,16 @@
         &self,
         request: &LeaderRequest,
         timeout: Duration,
-    ) -> eyre::Result<PeerAnswer> {
+    ) -> eyre::Result<PeerResponse> {
         let request = request.to_bytes();
         let asked = self.session.submit(&request);
         let Ok(Ok(submitted)) = tokio::time::timeout(timeout, asked).await else {
-            return Ok(PeerAnswer::Unknown);
+            return Ok(PeerResponse::Unknown);
         };
         Ok(match submitted {
-            Submitted::Reply(answer) => PeerAnswer::Answered(LeaderAnswer::from_bytes(&answer)?),
-            Submitted::NotWritten { leader } => PeerAnswer::NotLeader { leader },
-            Submitted::Unknown => PeerAnswer::Unknown,
+            Submitted::Reply(answer) => PeerResponse::Answered(LeaderAnswer::from_bytes(&answer)?),
+            Submitted::NotWritten { leader } => PeerResponse::NotLeader { leader },
+            Submitted::Unknown => PeerResponse::Unknown,
         })
     }
 
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -21,7 +21,7 @@
 
 use crate::{configurations::Configurations, replica::ReplicaInput, roster::RosterInput};
 
-pub use client::{PeerAnswer, PeerClient};
+pub use client::{PeerClient, PeerResponse};
 
 use handshake::FleetSecret;
 
