--- a/crates/daemon/src/admin/calls.rs
+++ b/crates/daemon/src/admin/calls.rs
@@ -17,7 +17,7 @@
 
 /// Lists the calls that are open or whose outcome is unknown.
 pub(super) fn unsettled(pages: &Pages) -> Result<UnsettledCalls, Refused> {
-    match pages.leader.ask(&LeaderRequest::ReadUnsettled)? {
+    match pages.leader.submit(&LeaderRequest::ReadUnsettled)? {
         LeaderAnswer::Unsettled(calls) => {
             let calls = calls.into_iter().map(|unsettled| to_wire(unsettled.key, unsettled.call));
             Ok(UnsettledCalls { calls: calls.collect() })
@@ -41,7 +41,7 @@
         // The leader sets its own time.
         at: UnixMillis::new(0),
     });
-    let answer = pages.leader.ask(&LeaderRequest::Command(resolve))?;
+    let answer = pages.leader.submit(&LeaderRequest::Command(resolve))?;
     let LeaderAnswer::Reply(Reply::Resolve(reply)) = answer else {
         return Err(Refused::unknown());
     };
@@ -71,7 +71,7 @@
 }
 
 fn read(pages: &Pages, key: CallKey) -> Result<Call, Refused> {
-    match pages.leader.ask(&LeaderRequest::ReadCall(key.clone()))? {
+    match pages.leader.submit(&LeaderRequest::ReadCall(key.clone()))? {
         LeaderAnswer::Call(Some(call)) => Ok(to_wire(key, *call)),
         LeaderAnswer::Call(None) => Err(unknown(&key)),
         _ => Err(Refused::unavailable("the leader's answer can't be read")),
--- a/crates/daemon/src/admin/declaration.rs
+++ b/crates/daemon/src/admin/declaration.rs
@@ -56,7 +56,7 @@
         at: UnixMillis::new(0),
         declaration: req.toml,
     });
-    let answer = pages.leader.ask(&LeaderRequest::Command(change))?;
+    let answer = pages.leader.submit(&LeaderRequest::Command(change))?;
     let LeaderAnswer::Reply(Reply::Change(reply)) = answer else { return Err(Refused::unknown()) };
     let answer = to_answer(pages, &id, reply)?;
     if let ChangeAnswer::Applied { revision } = answer {
@@ -68,7 +68,7 @@
 
 /// Lists the changes that are kept.
 pub(super) fn history(pages: &Pages) -> Result<History, Refused> {
-    let records = match pages.leader.ask(&LeaderRequest::ReadHistory) {
+    let records = match pages.leader.submit(&LeaderRequest::ReadHistory) {
         Ok(LeaderAnswer::History(records)) => records,
         Ok(_) => return Err(Refused::unavailable("the leader's answer can't be read")),
         Err(refused) => pages.sources.replica.load().ok_or(refused)?.history,
--- a/crates/daemon/src/admin/leader.rs
+++ b/crates/daemon/src/admin/leader.rs
@@ -5,7 +5,7 @@
 
 use wire::leader::{LeaderAnswer, LeaderRequest};
 
-use crate::leader_client::{LeaderClient, NoAnswer};
+use crate::leader_client::{LeaderClient, LeaderRequestError};
 
 use super::problems::Refused;
 
@@ -30,20 +30,20 @@
     }
 
     /// Sends an idempotent request and waits for the answer.
-    pub(super) fn ask(&self, request: &LeaderRequest) -> Result<LeaderAnswer, Refused> {
+    pub(super) fn submit(&self, request: &LeaderRequest) -> Result<LeaderAnswer, Refused> {
         let _place = Place::take(&self.waiting)
             .ok_or_else(|| Refused::unavailable("too many requests wait for the leader"))?;
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_time()
             .build()
             .map_err(|e| Refused::unavailable(format!("no runtime: {e}")))?;
-        match runtime.block_on(self.client.ask(request, ANSWER_TIMEOUT)) {
+        match runtime.block_on(self.client.submit(request, ANSWER_TIMEOUT)) {
             Ok(LeaderAnswer::Refused(why)) => Err(Refused::conflict(why)),
             Ok(answer) => Ok(answer),
-            Err(NoAnswer::NotTaken) => Err(Refused::unavailable(
+            Err(LeaderRequestError::NotAccepted) => Err(Refused::unavailable(
                 "no leader took the request; the quorum has no majority or can't be reached",
             )),
-            Err(NoAnswer::Unknown) => Err(Refused::unknown()),
+            Err(LeaderRequestError::Unknown) => Err(Refused::unknown()),
         }
     }
 }
--- a/crates/daemon/src/admin/voters.rs
+++ b/crates/daemon/src/admin/voters.rs
@@ -13,7 +13,7 @@
     if let Some(view) = view.as_ref().filter(|view| view.node.role == quorum::Role::Leader) {
         return Ok(Voters { voters: status::voters(view) });
     }
-    match pages.leader.ask(&LeaderRequest::ReadVoters) {
+    match pages.leader.submit(&LeaderRequest::ReadVoters) {
         Ok(answer) => voters(answer),
         Err(refused) => Ok(Voters { voters: status::voters(&view.ok_or(refused)?) }),
     }
@@ -37,7 +37,7 @@
             LeaderRequest::RemoveVoter { host }
         }
     };
-    pages.leader.ask(&request).and_then(voters)
+    pages.leader.submit(&request).and_then(voters)
 }
 
 fn voters(answer: LeaderAnswer) -> Result<Voters, Refused> {
--- a/crates/daemon/src/edge/claims.rs
+++ b/crates/daemon/src/edge/claims.rs
@@ -10,7 +10,7 @@
 use tokio::task::JoinHandle;
 use wire::leader::{LeaderAnswer, LeaderRequest};
 
-use crate::leader_client::NoAnswer;
+use crate::leader_client::LeaderRequestError;
 
 use crate::failure::Failure;
 
@@ -73,11 +73,11 @@
             let proposed = edge.clock.now();
             let reply = match self.propose(edge, attempt.id, timeout).await {
                 Ok(reply) => reply,
-                Err(NoAnswer::NotTaken) => {
+                Err(LeaderRequestError::NotAccepted) => {
                     attempt.held = false;
                     return Err(no_quorum());
                 }
-                Err(NoAnswer::Unknown) => return Err(no_quorum()),
+                Err(LeaderRequestError::Unknown) => return Err(no_quorum()),
             };
             if let ClaimReply::Claimed { send_within } = reply {
                 let deadline = proposed + send_within;
@@ -106,7 +106,7 @@
         edge: &Edge,
         id: ClaimId,
         timeout: Duration,
-    ) -> Result<ClaimReply, NoAnswer> {
+    ) -> Result<ClaimReply, LeaderRequestError> {
         let claim = Claim {
             call: self.call.clone(),
             request: self.request,
@@ -116,7 +116,7 @@
         };
         match command(edge, Command::Claim(claim), timeout).await? {
             Reply::Claim(reply) => Ok(reply),
-            _ => Err(NoAnswer::Unknown),
+            _ => Err(LeaderRequestError::Unknown),
         }
     }
 
@@ -126,7 +126,7 @@
         while edge.clock.now() < until {
             tokio::time::sleep(WAIT_PAUSE).await;
             let left = until.saturating_since(edge.clock.now());
-            if let Ok(LeaderAnswer::Call(call)) = edge.leader.ask(&request, left).await
+            if let Ok(LeaderAnswer::Call(call)) = edge.leader.submit(&request, left).await
                 && !call.is_some_and(|call| call.state.is_open())
             {
                 return Ok(());
@@ -229,10 +229,14 @@
     while command(&edge, told.clone(), REPORT_TIMEOUT).await.is_err() {}
 }
 
-async fn command(edge: &Edge, command: Command, timeout: Duration) -> Result<Reply, NoAnswer> {
-    match edge.leader.ask(&LeaderRequest::Command(command), timeout).await? {
+async fn command(
+    edge: &Edge,
+    command: Command,
+    timeout: Duration,
+) -> Result<Reply, LeaderRequestError> {
+    match edge.leader.submit(&LeaderRequest::Command(command), timeout).await? {
         LeaderAnswer::Reply(reply) => Ok(reply),
-        _ => Err(NoAnswer::Unknown),
+        _ => Err(LeaderRequestError::Unknown),
     }
 }
 
--- a/crates/daemon/src/gateway/control.rs
+++ b/crates/daemon/src/gateway/control.rs
@@ -9,7 +9,7 @@
 use member::Announcement;
 use wire::leader::{LeaderAnswer, LeaderRequest};
 
-use crate::{leader_client::NoAnswer, roster::RosterInput};
+use crate::{leader_client::LeaderRequestError, roster::RosterInput};
 
 use super::{ActiveRequest, BadCall, ControlAnswer, ControlCall, Dialect, Gateway, body::Body};
 
@@ -107,17 +107,17 @@
 
 /// Brings a command to the leader; it may be sent again, as each one is idempotent.
 async fn command<D: Dialect>(gateway: &Gateway<D>, command: Command) -> ControlAnswer {
-    let asked = gateway.leader.ask(&LeaderRequest::Command(command), LEADER_TIMEOUT).await;
+    let asked = gateway.leader.submit(&LeaderRequest::Command(command), LEADER_TIMEOUT).await;
     match asked {
         Ok(LeaderAnswer::Reply(Reply::Publish(_) | Reply::Weights(_))) => ControlAnswer::Done,
         Ok(_) => ControlAnswer::Unavailable("the leader's answer is of another kind"),
-        Err(NoAnswer::NotTaken) => ControlAnswer::Unavailable("no leader took it"),
-        Err(NoAnswer::Unknown) => ControlAnswer::Unavailable("no leader confirmed it"),
+        Err(LeaderRequestError::NotAccepted) => ControlAnswer::Unavailable("no leader took it"),
+        Err(LeaderRequestError::Unknown) => ControlAnswer::Unavailable("no leader confirmed it"),
     }
 }
 
 async fn read_configuration<D: Dialect>(gateway: &Gateway<D>) -> ControlAnswer {
-    match gateway.leader.ask(&LeaderRequest::ReadPublished, LEADER_TIMEOUT).await {
+    match gateway.leader.submit(&LeaderRequest::ReadPublished, LEADER_TIMEOUT).await {
         Ok(LeaderAnswer::Published(view)) => match view.content {
             Some(content) => ControlAnswer::Configuration(Arc::clone(&content)),
             None => ControlAnswer::NoConfiguration,
--- a/crates/daemon/src/gateway/follow.rs
+++ b/crates/daemon/src/gateway/follow.rs
@@ -63,7 +63,7 @@
             sent: told.clone(),
             leaving: gateway.leaving_endpoints(),
         });
-        match gateway.leader.ask(&request, ASK_TIMEOUT).await {
+        match gateway.leader.submit(&request, ASK_TIMEOUT).await {
             Ok(LeaderAnswer::Published(view)) => {
                 if std::mem::take(&mut lost) {
                     log::info!(term:% = view.version.term; "the leader answers again");
--- a/crates/daemon/src/leader_client.rs
+++ b/crates/daemon/src/leader_client.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     directory::Directory,
-    peers::{Addressed, Outgoing, SubmitCall, Submitted},
+    peers::{Addressed, Outgoing, SubmitCall, SubmitOutcome},
     replica::ReplicaInput,
 };
 
@@ -27,9 +27,9 @@
 
 /// Why a request has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NoAnswer {
+pub(crate) enum LeaderRequestError {
     /// No leader took it; it won't be carried out.
-    NotTaken,
+    NotAccepted,
     /// It may be carried out.
     Unknown,
 }
@@ -45,33 +45,33 @@
     }
 
     /// Sends an idempotent request until a leader answers or `timeout` has passed.
-    pub(crate) async fn ask(
+    pub(crate) async fn submit(
         &self,
         request: &LeaderRequest,
         timeout: Duration,
-    ) -> Result<LeaderAnswer, NoAnswer> {
+    ) -> Result<LeaderAnswer, LeaderRequestError> {
         let bytes = request.to_bytes();
-        let worst = Cell::new(NoAnswer::NotTaken);
+        let worst = Cell::new(LeaderRequestError::NotAccepted);
         let asking = async {
             loop {
                 for host in self.directory.voters() {
                     // An attempt that the timeout cuts short may be carried out.
-                    let before = worst.replace(NoAnswer::Unknown);
+                    let before = worst.replace(LeaderRequestError::Unknown);
                     match self.attempt(&host, bytes.clone()).await {
-                        Submitted::Reply(answer) => {
+                        SubmitOutcome::Reply(answer) => {
                             self.directory.answered(&host);
                             self.directory.set_leader(Some(host));
                             return LeaderAnswer::from_bytes(&answer)
-                                .map_err(|_| NoAnswer::Unknown);
+                                .map_err(|_| LeaderRequestError::Unknown);
                         }
-                        Submitted::NotWritten { leader } => {
+                        SubmitOutcome::NotWritten { leader } => {
                             worst.set(before);
                             self.directory.answered(&host);
                             if let Some(leader) = leader.filter(|leader| *leader != host) {
                                 self.directory.named(&leader);
                             }
                         }
-                        Submitted::Unknown => self.directory.timed_out(&host),
+                        SubmitOutcome::Unknown => self.directory.timed_out(&host),
                     }
                 }
                 let pause = rand::rng().random_range(PAUSE_MS);
@@ -84,18 +84,18 @@
         }
     }
 
-    async fn attempt(&self, host: &HostId, request: Vec<u8>) -> Submitted {
+    async fn attempt(&self, host: &HostId, request: Vec<u8>) -> SubmitOutcome {
         let (reply, answer) = flume::bounded(1);
         if !self.send(host, request, reply) {
-            return Submitted::NotWritten { leader: None };
+            return SubmitOutcome::NotWritten { leader: None };
         }
         match tokio::time::timeout(ATTEMPT_TIMEOUT, answer.recv_async()).await {
             Ok(Ok(submitted)) => submitted,
-            Ok(Err(_)) | Err(_) => Submitted::Unknown,
+            Ok(Err(_)) | Err(_) => SubmitOutcome::Unknown,
         }
     }
 
-    fn send(&self, host: &HostId, request: Vec<u8>, reply: flume::Sender<Submitted>) -> bool {
+    fn send(&self, host: &HostId, request: Vec<u8>, reply: flume::Sender<SubmitOutcome>) -> bool {
         if *host == self.host {
             let Some(local) = &self.local else { return false };
             return local.try_send(ReplicaInput::Submit(SubmitCall { request, reply })).is_ok();
--- a/crates/daemon/src/peers/client.rs
+++ b/crates/daemon/src/peers/client.rs
@@ -12,7 +12,7 @@
 };
 
 use super::{
-    PeersConfig, Submitted,
+    PeersConfig, SubmitOutcome,
     handshake::FleetSecret,
     link::{self, Session},
 };
@@ -72,9 +72,11 @@
             return Ok(PeerResponse::Unknown);
         };
         Ok(match submitted {
-            Submitted::Reply(answer) => PeerResponse::Answered(LeaderAnswer::from_bytes(&answer)?),
-            Submitted::NotWritten { leader } => PeerResponse::NotLeader { leader },
-            Submitted::Unknown => PeerResponse::Unknown,
+            SubmitOutcome::Reply(answer) => {
+                PeerResponse::Answered(LeaderAnswer::from_bytes(&answer)?)
+            }
+            SubmitOutcome::NotWritten { leader } => PeerResponse::NotLeader { leader },
+            SubmitOutcome::Unknown => PeerResponse::Unknown,
         })
     }
 
--- a/crates/daemon/src/peers/link.rs
+++ b/crates/daemon/src/peers/link.rs
@@ -13,7 +13,7 @@
 use crate::{net, roster::RosterInput};
 
 use super::{
-    Outgoing, PROTOCOL_VERSION, PeersConfig, Submitted,
+    Outgoing, PROTOCOL_VERSION, PeersConfig, SubmitOutcome,
     handshake::{FleetSecret, Nonces, Side, new_nonce, read_nonce},
     reader_options,
 };
@@ -137,7 +137,7 @@
 
 impl Session {
     /// Sends a request to the leader and waits for what became of it.
-    pub(super) async fn submit(&self, request: &[u8]) -> Result<Submitted, capnp::Error> {
+    pub(super) async fn submit(&self, request: &[u8]) -> Result<SubmitOutcome, capnp::Error> {
         let mut req = self.router.submit_request();
         req.get().set_request(request);
         read_submitted(req.send().promise.await?.get()?.get_submitted()?)
@@ -186,7 +186,7 @@
         reply: flume::Sender<RosterInput>,
     },
     Quorum(Sent<router::quorum_results::Owned>),
-    Submit(Sent<router::submit_results::Owned>, flume::Sender<Submitted>),
+    Submit(Sent<router::submit_results::Owned>, flume::Sender<SubmitOutcome>),
     Configuration(Sent<router::configuration_results::Owned>, flume::Sender<RosterInput>),
 }
 
@@ -232,7 +232,7 @@
                 let submitted = match sent.await {
                     Ok(answer) => read_submitted(answer.get()?.get_submitted()?)?,
                     Err(e) => {
-                        let _ = reply.try_send(Submitted::Unknown);
+                        let _ = reply.try_send(SubmitOutcome::Unknown);
                         return Err(e);
                     }
                 };
@@ -255,12 +255,12 @@
     if answer.has_newer() { Configuration::read(answer.get_newer()?).map(Some) } else { Ok(None) }
 }
 
-fn read_submitted(submitted: submitted::Reader<'_>) -> Result<Submitted, capnp::Error> {
+fn read_submitted(submitted: submitted::Reader<'_>) -> Result<SubmitOutcome, capnp::Error> {
     Ok(match submitted.which()? {
-        submitted::Reply(reply) => Submitted::Reply(reply?.to_vec()),
+        submitted::Reply(reply) => SubmitOutcome::Reply(reply?.to_vec()),
         submitted::NotLeader(leader) => {
-            Submitted::NotWritten { leader: leader?.to_str()?.parse().ok() }
+            SubmitOutcome::NotWritten { leader: leader?.to_str()?.parse().ok() }
         }
-        submitted::Unknown(()) => Submitted::Unknown,
+        submitted::Unknown(()) => SubmitOutcome::Unknown,
     })
 }
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -77,12 +77,12 @@
     /// The request.
     pub request: Vec<u8>,
     /// Takes what became of it.
-    pub reply: flume::Sender<Submitted>,
+    pub reply: flume::Sender<SubmitOutcome>,
 }
 
 /// What became of a request to the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Submitted {
+pub(crate) enum SubmitOutcome {
     /// The leader answered.
     Reply(Vec<u8>),
     /// It was not written, and won't be; the leader may be another host.
@@ -117,7 +117,7 @@
         /// The request.
         request: Vec<u8>,
         /// Takes what became of it.
-        reply: flume::Sender<Submitted>,
+        reply: flume::Sender<SubmitOutcome>,
     },
     /// A question for a configuration above a revision.
     Configuration {
@@ -189,7 +189,7 @@
     /// Tells the sender that the message was not sent.
     fn fail(self) {
         if let Self::Submit { reply, .. } = self {
-            let _ = reply.send(Submitted::NotWritten { leader: None });
+            let _ = reply.send(SubmitOutcome::NotWritten { leader: None });
         }
     }
 }
--- a/crates/daemon/src/peers/server.rs
+++ b/crates/daemon/src/peers/server.rs
@@ -10,7 +10,7 @@
 use crate::{replica::ReplicaInput, roster::RosterInput};
 
 use super::{
-    GossipCall, Inbox, PROTOCOL_VERSION, QuorumCall, SubmitCall, Submitted,
+    GossipCall, Inbox, PROTOCOL_VERSION, QuorumCall, SubmitCall, SubmitOutcome,
     handshake::{FleetSecret, Nonces, Side, new_nonce, read_nonce},
     reader_options,
 };
@@ -146,16 +146,16 @@
         let input = ReplicaInput::Submit(SubmitCall { request, reply });
         let replica = self.inbox.replica.as_ref();
         let submitted = match replica.map(|replica| replica.try_send(input)) {
-            Some(Ok(())) => answer.recv_async().await.unwrap_or(Submitted::Unknown),
-            Some(Err(_)) | None => Submitted::NotWritten { leader: None },
+            Some(Ok(())) => answer.recv_async().await.unwrap_or(SubmitOutcome::Unknown),
+            Some(Err(_)) | None => SubmitOutcome::NotWritten { leader: None },
         };
         let mut result = results.get().init_submitted();
         match submitted {
-            Submitted::Reply(reply) => result.set_reply(&reply),
-            Submitted::NotWritten { leader } => {
+            SubmitOutcome::Reply(reply) => result.set_reply(&reply),
+            SubmitOutcome::NotWritten { leader } => {
                 result.set_not_leader(leader.as_ref().map_or("", HostId::as_str));
             }
-            Submitted::Unknown => result.set_unknown(()),
+            SubmitOutcome::Unknown => result.set_unknown(()),
         }
         Ok(())
     }
--- a/crates/daemon/src/readiness.rs
+++ b/crates/daemon/src/readiness.rs
@@ -85,7 +85,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build()?;
     let answer = Arc::clone(&committed);
     std::thread::Builder::new().name("news".into()).spawn(move || {
-        let asking = leader.ask(&LeaderRequest::ReadRevision, NEWS_TIMEOUT);
+        let asking = leader.submit(&LeaderRequest::ReadRevision, NEWS_TIMEOUT);
         if let Ok(LeaderAnswer::Revision(revision)) = runtime.block_on(asking) {
             let _ = answer.set(revision);
         }
--- a/crates/daemon/src/replica/waiting.rs
+++ b/crates/daemon/src/replica/waiting.rs
@@ -4,7 +4,7 @@
 use quorum::{ProposalId, ReadId};
 use wire::leader::{LeaderAnswer, LeaderRequest};
 
-use crate::peers::Submitted;
+use crate::peers::SubmitOutcome;
 
 /// Requests that wait for the log.
 #[derive(Default)]
@@ -17,7 +17,7 @@
 }
 
 /// Takes what became of a request.
-pub(super) struct Reply(flume::Sender<Submitted>);
+pub(super) struct Reply(flume::Sender<SubmitOutcome>);
 
 struct Written {
     term: Term,
@@ -31,19 +31,19 @@
 }
 
 impl Reply {
-    pub(super) fn new(tx: flume::Sender<Submitted>) -> Self {
+    pub(super) fn new(tx: flume::Sender<SubmitOutcome>) -> Self {
         Self(tx)
     }
 
     pub(super) fn answer(self, answer: &LeaderAnswer) {
-        self.send(Submitted::Reply(answer.to_bytes()));
+        self.send(SubmitOutcome::Reply(answer.to_bytes()));
     }
 
     pub(super) fn not_written(self, leader: Option<HostId>) {
-        self.send(Submitted::NotWritten { leader });
+        self.send(SubmitOutcome::NotWritten { leader });
     }
 
-    fn send(self, submitted: Submitted) {
+    fn send(self, submitted: SubmitOutcome) {
         let _ = self.0.try_send(submitted);
     }
 }
