--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -22,7 +22,7 @@
 
 use crate::{
     Settings, clock::Clock, configurations::Configurations, edge::Inquiry,
-    leader_client::LeaderClient, readiness::Readiness, replica::ReplicaState, roster::Latest,
+    leader_client::LeaderClient, readiness::Readiness, replica::ReplicaState, roster::LatestRoster,
 };
 
 use auth::OperatorKeys;
@@ -46,7 +46,7 @@
     pub clock: Clock,
     pub incarnation: Incarnation,
     pub readiness: Readiness,
-    pub roster: Latest,
+    pub roster: LatestRoster,
     pub replica: ReplicaState,
     pub configurations: Configurations,
     pub leader: LeaderClient,
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -42,7 +42,7 @@
     edge::{Control, EdgeEnd},
     leader_client::LeaderClient,
     replica::{ReplicaInput, ReplicaState},
-    roster::{Latest, RosterInput},
+    roster::{LatestRoster, RosterInput},
 };
 
 use follow::InForce;
@@ -83,7 +83,7 @@
     /// Newest view of the endpoints.
     pub rosters: flume::Receiver<Arc<Roster>>,
     /// The same, for those who look now and then.
-    pub latest: Latest,
+    pub latest: LatestRoster,
     /// Takes announcements.
     pub roster: flume::Sender<RosterInput>,
     /// Orders to drain or to end.
@@ -147,7 +147,7 @@
     leaving: Cell<bool>,
     leader: LeaderClient,
     roster: flume::Sender<RosterInput>,
-    latest: Latest,
+    latest: LatestRoster,
     replica: Option<flume::Sender<ReplicaInput>>,
     replica_state: ReplicaState,
     metrics: Arc<Metrics>,
--- a/crates/daemon/src/leader_client.rs
+++ b/crates/daemon/src/leader_client.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     directory::Directory,
-    peers::{Addressed, Outgoing, SubmitCall, SubmitOutcome},
+    peers::{Envelope, Outgoing, SubmitCall, SubmitOutcome},
     replica::ReplicaInput,
 };
 
@@ -21,7 +21,7 @@
 pub(crate) struct LeaderClient {
     host: HostId,
     local: Option<flume::Sender<ReplicaInput>>,
-    outbox: flume::Sender<Addressed>,
+    outbox: flume::Sender<Envelope>,
     directory: Directory,
 }
 
@@ -38,7 +38,7 @@
     pub(crate) fn new(
         host: HostId,
         local: Option<flume::Sender<ReplicaInput>>,
-        outbox: flume::Sender<Addressed>,
+        outbox: flume::Sender<Envelope>,
         directory: Directory,
     ) -> Self {
         Self { host, local, outbox, directory }
@@ -102,6 +102,6 @@
         }
         let Some(to) = self.directory.address(host) else { return false };
         let message = Outgoing::Submit { request, reply };
-        self.outbox.try_send(Addressed { to, message }).is_ok()
+        self.outbox.try_send(Envelope { to, message }).is_ok()
     }
 }
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -129,7 +129,7 @@
 }
 
 /// A message with its receiver.
-pub(crate) struct Addressed {
+pub(crate) struct Envelope {
     /// Where the receiver listens.
     pub to: SocketAddr,
     /// The message.
@@ -145,7 +145,7 @@
     cfg: PeersConfig,
     listener: std::net::TcpListener,
     inbox: Inbox,
-    outbox: flume::Receiver<Addressed>,
+    outbox: flume::Receiver<Envelope>,
 ) -> io::Result<()> {
     listener.set_nonblocking(true)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -168,9 +168,9 @@
 }
 
 /// Hands each message to the link to its receiver.
-async fn dispatch(cfg: PeersConfig, secret: Rc<FleetSecret>, outbox: flume::Receiver<Addressed>) {
+async fn dispatch(cfg: PeersConfig, secret: Rc<FleetSecret>, outbox: flume::Receiver<Envelope>) {
     let mut links: HashMap<SocketAddr, flume::Sender<Outgoing>> = HashMap::new();
-    while let Ok(Addressed { to, message }) = outbox.recv_async().await {
+    while let Ok(Envelope { to, message }) = outbox.recv_async().await {
         let known = links.get(&to).filter(|link| !link.is_disconnected());
         let link = known.cloned().unwrap_or_else(|| {
             let (tx, rx) = flume::bounded(LINK_RING);
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -19,10 +19,10 @@
     gateway::{self, Dialect, GatewayListeners, GatewayRings, GatewaySettings, Identity},
     leader_client::LeaderClient,
     net,
-    peers::{self, Addressed, Inbox, PeersConfig},
+    peers::{self, Envelope, Inbox, PeersConfig},
     readiness::{self, News, Readiness},
     replica::{self, ReplicaConfig, ReplicaInput, ReplicaRings, ReplicaState},
-    roster::{self, Latest, RosterInput, RosterRings},
+    roster::{self, LatestRoster, RosterInput, RosterRings},
 };
 
 /// Messages in a ring between two threads.
@@ -55,10 +55,10 @@
     metrics: Arc<Metrics>,
     directory: Directory,
     configurations: Configurations,
-    latest: Latest,
+    latest: LatestRoster,
     replica_state: ReplicaState,
     readiness: Readiness,
-    outbox: flume::Sender<Addressed>,
+    outbox: flume::Sender<Envelope>,
     roster: flume::Sender<RosterInput>,
 }
 
@@ -160,7 +160,7 @@
 impl Shared {
     fn new(
         cfg: &Arc<Settings>,
-        outbox: flume::Sender<Addressed>,
+        outbox: flume::Sender<Envelope>,
         roster: flume::Sender<RosterInput>,
     ) -> eyre::Result<Self> {
         let clock = Clock::start();
@@ -181,7 +181,7 @@
             metrics,
             directory: directory(cfg, clock),
             configurations,
-            latest: Latest::default(),
+            latest: LatestRoster::default(),
             replica_state: ReplicaState::default(),
             readiness: Readiness::default(),
             outbox,
@@ -193,7 +193,7 @@
     fn start_common(
         &self,
         peer_listener: TcpListener,
-        outbox: flume::Receiver<Addressed>,
+        outbox: flume::Receiver<Envelope>,
         roster_inputs: flume::Receiver<RosterInput>,
     ) -> eyre::Result<Common> {
         let replica = self.start_replica()?;
@@ -273,7 +273,7 @@
     fn start_peers(
         &self,
         listener: TcpListener,
-        outbox: flume::Receiver<Addressed>,
+        outbox: flume::Receiver<Envelope>,
         replica: Option<flume::Sender<ReplicaInput>>,
     ) -> eyre::Result<()> {
         let inbox = Inbox {
--- a/crates/daemon/src/readiness.rs
+++ b/crates/daemon/src/readiness.rs
@@ -14,7 +14,7 @@
     operator::ServingState,
 };
 
-use crate::{configurations::Configurations, leader_client::LeaderClient, roster::Latest};
+use crate::{configurations::Configurations, leader_client::LeaderClient, roster::LatestRoster};
 
 /// Longest time that a starting router waits for news from its peers and the leader.
 pub(crate) const NEWS_TIMEOUT: Duration = Duration::from_secs(2);
@@ -53,7 +53,7 @@
     /// Whether there are peers to hear from.
     pub awaited: bool,
     /// The newest roster.
-    pub roster: Latest,
+    pub roster: LatestRoster,
     /// The configuration in force here.
     pub configurations: Configurations,
     /// The revision that the leader says is in force, once it was asked.
--- a/crates/daemon/src/replica/driver.rs
+++ b/crates/daemon/src/replica/driver.rs
@@ -18,7 +18,7 @@
 use crate::{
     clock::Clock,
     configurations::Configuration,
-    peers::{Addressed, Outgoing, QuorumCall, SubmitCall},
+    peers::{Envelope, Outgoing, QuorumCall, SubmitCall},
 };
 
 use super::{
@@ -385,7 +385,7 @@
     fn send(&self, to: &HostId, message: &Message) {
         let Some(to) = self.rings.directory.address(to) else { return };
         let message = Outgoing::Quorum { message: quorum_to_bytes(message) };
-        let _ = self.rings.outbox.try_send(Addressed { to, message });
+        let _ = self.rings.outbox.try_send(Envelope { to, message });
     }
 
     fn restore(&mut self, snapshot: &Snapshot) {
--- a/crates/daemon/src/replica/mod.rs
+++ b/crates/daemon/src/replica/mod.rs
@@ -27,7 +27,7 @@
     clock::Clock,
     configurations::Configurations,
     directory::Directory,
-    peers::{Addressed, QuorumCall, SubmitCall},
+    peers::{Envelope, QuorumCall, SubmitCall},
 };
 
 use driver::{Driver, DriverEnd};
@@ -78,7 +78,7 @@
     /// What others tell it.
     pub inputs: flume::Receiver<ReplicaInput>,
     /// Messages to other routers.
-    pub outbox: flume::Sender<Addressed>,
+    pub outbox: flume::Sender<Envelope>,
     /// Where other routers listen.
     pub directory: Directory,
     /// Takes each configuration that is committed.
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -15,7 +15,7 @@
     clock::Clock,
     configurations::{Configuration, Configurations},
     directory::Directory,
-    peers::{Addressed, GossipCall, Outgoing},
+    peers::{Envelope, GossipCall, Outgoing},
     replica::{ReplicaInput, ReplicaState, ReplicaView},
 };
 
@@ -51,9 +51,9 @@
 
 /// The newest roster, for threads that only look now and then.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Latest(Arc<Mutex<Option<Arc<Roster>>>>);
+pub(crate) struct LatestRoster(Arc<Mutex<Option<Arc<Roster>>>>);
 
-impl Latest {
+impl LatestRoster {
     pub(crate) fn load(&self) -> Option<Arc<Roster>> {
         self.lock().clone()
     }
@@ -78,9 +78,9 @@
     /// The other end of `rosters`, to take an older roster out of a full ring.
     pub older_rosters: flume::Receiver<Arc<Roster>>,
     /// Shows the newest roster.
-    pub latest: Latest,
+    pub latest: LatestRoster,
     /// Messages to other routers.
-    pub outbox: flume::Sender<Addressed>,
+    pub outbox: flume::Sender<Envelope>,
     /// Learns where other routers listen.
     pub directory: Directory,
     /// The configuration in force.
@@ -231,7 +231,7 @@
                 timeout: outgoing.timeout,
                 reply: self.rings.answers.clone(),
             };
-            let _ = self.rings.outbox.try_send(Addressed { to: outgoing.to, message });
+            let _ = self.rings.outbox.try_send(Envelope { to: outgoing.to, message });
         }
     }
 
@@ -248,7 +248,7 @@
         let to = peer.update.address;
         let message =
             Outgoing::Configuration { above: in_force, reply: self.rings.answers.clone() };
-        if self.rings.outbox.try_send(Addressed { to, message }).is_ok() {
+        if self.rings.outbox.try_send(Envelope { to, message }).is_ok() {
             self.asked = now;
         }
     }
