--- a/crates/daemon/src/edge/router/feedback.rs
+++ b/crates/daemon/src/edge/router/feedback.rs
@@ -23,7 +23,7 @@
         }
         let took = now.saturating_since(chosen.sent);
         chosen.begun.set(Some(took));
-        chosen.in_flight.prefilled();
+        chosen.in_flight.mark_prefilled();
         let change = self.engine_outliers.record(now, &chosen.endpoint, Outcome::Answered(took));
         log_change(&chosen.endpoint, change);
         Some(took)
--- a/crates/daemon/src/edge/targets.rs
+++ b/crates/daemon/src/edge/targets.rs
@@ -9,7 +9,7 @@
 use member::{Announcement, EndpointKind, Known, Load, ServedModel};
 use prefix::Slot;
 
-use crate::in_flight::{self, Busy, Work};
+use crate::in_flight::{self, CountsInFlight, InFlightCounts};
 
 use super::upstream::Pool;
 
@@ -21,15 +21,15 @@
     drained: Cell<bool>,
     /// Most requests that it ran while others waited.
     slots: Cell<u32>,
-    work: Work,
+    work: InFlightCounts,
     pool: Pool,
 }
 
 /// A request under way at an endpoint; ends on drop.
 pub(super) type InFlight = in_flight::InFlight<Target>;
 
-impl Busy for Target {
-    fn work(&self) -> &Work {
+impl CountsInFlight for Target {
+    fn in_flight_counts(&self) -> &InFlightCounts {
         &self.work
     }
 }
@@ -44,7 +44,7 @@
             slot,
             drained: Cell::new(false),
             slots: Cell::new(slots_of(&known.announcement)),
-            work: Work::default(),
+            work: InFlightCounts::default(),
             pool,
         }
     }
--- a/crates/daemon/src/gateway/relay.rs
+++ b/crates/daemon/src/gateway/relay.rs
@@ -270,7 +270,7 @@
             continue;
         }
         let now = exchange.gateway.clock.now();
-        opened.in_flight.prefilled();
+        opened.in_flight.mark_prefilled();
         if !std::mem::replace(begun, true) {
             note_outdated_start(exchange, opened, now);
         }
--- a/crates/daemon/src/gateway/targets.rs
+++ b/crates/daemon/src/gateway/targets.rs
@@ -14,7 +14,7 @@
 use routes::KvStore;
 use wire::leader::PublishedView;
 
-use crate::in_flight::{self, Busy, Work};
+use crate::in_flight::{self, CountsInFlight, InFlightCounts};
 
 /// Longest time for which an endpoint that can't be reached gets no requests.
 const MAX_AVOIDANCE: Duration = Duration::from_secs(5);
@@ -45,7 +45,7 @@
     version: Cell<u32>,
     /// Whether it loads weights, or loads them next.
     paused: Cell<bool>,
-    work: Work,
+    work: InFlightCounts,
     memory: RefCell<PartMemory>,
     /// When the announcement was written that was heard last.
     heard: Cell<MonotonicTime>,
@@ -97,8 +97,8 @@
 /// A request under way at an endpoint; ends on drop.
 pub(super) type InFlight = in_flight::InFlight<Target>;
 
-impl Busy for Target {
-    fn work(&self) -> &Work {
+impl CountsInFlight for Target {
+    fn in_flight_counts(&self) -> &InFlightCounts {
         &self.work
     }
 }
@@ -117,7 +117,7 @@
             version: Cell::new(model.as_ref().map_or(0, |(_, version)| *version)),
             model: model.map(|(model, _)| model),
             paused: Cell::new(false),
-            work: Work::default(),
+            work: InFlightCounts::default(),
             memory: RefCell::new(PartMemory::new(cached(kv_tokens))),
             heard: Cell::new(written),
             stale_after: Cell::default(),
--- a/crates/daemon/src/in_flight.rs
+++ b/crates/daemon/src/in_flight.rs
@@ -6,25 +6,25 @@
 
 /// Counts of what is under way.
 #[derive(Debug, Default)]
-pub(crate) struct Work {
+pub(crate) struct InFlightCounts {
     requests: Cell<u32>,
     prefill_tokens: Cell<u64>,
 }
 
 /// An endpoint that counts what is under way there.
-pub(crate) trait Busy {
+pub(crate) trait CountsInFlight {
     /// Returns the counts.
-    fn work(&self) -> &Work;
+    fn in_flight_counts(&self) -> &InFlightCounts;
 }
 
 /// A request under way at an endpoint; ends on drop.
-pub(crate) struct InFlight<T: Busy> {
+pub(crate) struct InFlight<T: CountsInFlight> {
     target: Rc<T>,
     /// Tokens of the request that wait for prefill.
     prefill_tokens: Cell<u64>,
 }
 
-impl Work {
+impl InFlightCounts {
     /// Returns the requests under way.
     pub(crate) fn requests(&self) -> u32 {
         self.requests.get()
@@ -36,10 +36,10 @@
     }
 }
 
-impl<T: Busy> InFlight<T> {
+impl<T: CountsInFlight> InFlight<T> {
     /// Counts a request with so many tokens to prefill.
     pub(crate) fn begin(target: &Rc<T>, prefill_tokens: TokenCount) -> Self {
-        let (work, tokens) = (target.work(), prefill_tokens.as_u64());
+        let (work, tokens) = (target.in_flight_counts(), prefill_tokens.as_u64());
         work.requests.set(work.requests.get() + 1);
         work.prefill_tokens.set(work.prefill_tokens.get() + tokens);
         Self { target: Rc::clone(target), prefill_tokens: Cell::new(tokens) }
@@ -50,17 +50,17 @@
     }
 
     /// Notes that the prompt has been prefilled.
-    pub(crate) fn prefilled(&self) {
+    pub(crate) fn mark_prefilled(&self) {
         let tokens = self.prefill_tokens.take();
-        let work = self.target.work();
+        let work = self.target.in_flight_counts();
         work.prefill_tokens.set(work.prefill_tokens.get() - tokens);
     }
 }
 
-impl<T: Busy> Drop for InFlight<T> {
+impl<T: CountsInFlight> Drop for InFlight<T> {
     fn drop(&mut self) {
-        self.prefilled();
-        let work = self.target.work();
+        self.mark_prefilled();
+        let work = self.target.in_flight_counts();
         work.requests.set(work.requests.get() - 1);
     }
 }
