--- a/crates/daemon/src/edge/body.rs
+++ b/crates/daemon/src/edge/body.rs
@@ -87,7 +87,7 @@
     let max_bytes = usize::try_from(edge.cfg.limits.body_bytes.as_u64()).unwrap_or(usize::MAX);
     let reading = Limited::new(body, max_bytes).collect();
     match tokio::time::timeout(edge.cfg.timeouts.body, reading).await {
-        Err(_) => Err(Failure::slow_body(edge.cfg.timeouts.body)),
+        Err(_) => Err(Failure::body_timeout(edge.cfg.timeouts.body)),
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(e)) if e.is::<LengthLimitError>() => Err(Failure::body_too_large(max_bytes)),
         Ok(Err(_)) => Err(Failure::bad_request("the body is cut or malformed")),
--- a/crates/daemon/src/edge/claims.rs
+++ b/crates/daemon/src/edge/claims.rs
@@ -261,7 +261,7 @@
                 Doubt::OutcomeLost => "the endpoint was lost after the call had been sent",
                 Doubt::OwnerGone => "the host that sent the call has ended",
             };
-            Err(Failure::broken(why, Verdict::MayHaveRun))
+            Err(Failure::bad_gateway(why, Verdict::MayHaveRun))
         }
         ClaimReply::NotRun => {
             Err(Failure::conflict("an operator settled the key as not run; use a new key"))
--- a/crates/daemon/src/edge/completions.rs
+++ b/crates/daemon/src/edge/completions.rs
@@ -215,5 +215,5 @@
 }
 
 fn lost_relay() -> Failure {
-    Failure::broken("the relay ended without an answer", base::Verdict::MayHaveRun)
+    Failure::bad_gateway("the relay ended without an answer", base::Verdict::MayHaveRun)
 }
--- a/crates/daemon/src/edge/listen.rs
+++ b/crates/daemon/src/edge/listen.rs
@@ -7,7 +7,7 @@
 };
 use tokio::{net::TcpListener, sync::watch};
 
-use crate::serve::{self, ConnectionBounds, Drain, Serve};
+use crate::serve::{self, ConnectionLimits, Drain, Serve};
 
 use crate::failure::Failure;
 
@@ -27,7 +27,7 @@
     let listener = TcpListener::from_std(listener).expect("the listener is in non-blocking mode");
     let (drain_tx, drain_rx) = watch::channel(false);
     let accepting = tokio::task::spawn_local(serve::accept(Rc::clone(&edge), listener, drain_rx));
-    serve::until_ended(&*edge, &control, &drain_tx, None).await;
+    serve::wait_for_shutdown(&*edge, &control, &drain_tx, None).await;
     accepting.abort();
     let active = edge.active.borrow();
     active.log_cut(edge.clock.now());
@@ -47,9 +47,9 @@
 impl Serve for Edge {
     type Body = Body;
 
-    fn bounds(&self) -> ConnectionBounds {
+    fn connection_limits(&self) -> ConnectionLimits {
         let header_bytes = self.cfg.limits.header_bytes.as_u64();
-        ConnectionBounds {
+        ConnectionLimits {
             header_timeout: self.cfg.timeouts.header,
             header_bytes: usize::try_from(header_bytes).unwrap_or(usize::MAX),
             headers: MAX_HEADERS,
--- a/crates/daemon/src/edge/relay/attempt.rs
+++ b/crates/daemon/src/edge/relay/attempt.rs
@@ -41,7 +41,7 @@
 
     /// A stream that was cut on its way.
     pub(super) fn cut(detail: impl Into<String>) -> Self {
-        let failure = Failure::broken(detail, Verdict::MayHaveRun);
+        let failure = Failure::bad_gateway(detail, Verdict::MayHaveRun);
         Self { failure, held: true, final_answer: false }
     }
 
@@ -149,7 +149,7 @@
             let failure = Failure::new(status, "refused by the engine", detail, Verdict::NotRun);
             return Broken { failure, held: false, final_answer: true };
         }
-        Failure::broken(detail, Verdict::MayHaveRun).into()
+        Failure::bad_gateway(detail, Verdict::MayHaveRun).into()
     }
 
     fn resume_refusal(&self, status: StatusCode, detail: String) -> Broken {
@@ -161,6 +161,6 @@
         if caller_resumes && !self.progress.knows_text() {
             return Broken::not_held();
         }
-        Failure::broken(detail, Verdict::MayHaveRun).into()
+        Failure::bad_gateway(detail, Verdict::MayHaveRun).into()
     }
 }
--- a/crates/daemon/src/edge/services.rs
+++ b/crates/daemon/src/edge/services.rs
@@ -76,7 +76,7 @@
     // A task of its own, so that a caller who hangs up cuts no call that may not be repeated.
     let sending = tokio::task::spawn_local(send(Rc::clone(edge), call, active, counted));
     let mut answer = sending.await.unwrap_or_else(|_| {
-        Err(Failure::broken("the call ended without an answer", Verdict::MayHaveRun))
+        Err(Failure::bad_gateway("the call ended without an answer", Verdict::MayHaveRun))
     })?;
     shown_id.show(&mut answer);
     Ok(answer)
@@ -274,7 +274,7 @@
     let (parts, body) = response.into_parts();
     let max_bytes = usize::try_from(edge.cfg.limits.body_bytes.as_u64()).unwrap_or(usize::MAX);
     let body = Limited::new(body, max_bytes).collect().await.map_err(|e| {
-        Failure::broken(format!("the service's answer was cut: {e}"), Verdict::MayHaveRun)
+        Failure::bad_gateway(format!("the service's answer was cut: {e}"), Verdict::MayHaveRun)
     })?;
     Ok(ServiceAnswer {
         status: parts.status,
--- a/crates/daemon/src/edge/upstream.rs
+++ b/crates/daemon/src/edge/upstream.rs
@@ -39,8 +39,9 @@
     /// Returns a failure with the verdict that nothing has run.
     pub(super) async fn connect(&self, timeout: Duration) -> Result<Connection, Failure> {
         let connected = net::connect_http(self.source, self.address, timeout).await;
-        let fresh = connected
-            .map_err(|why| Failure::broken(format!("no connection: {why}"), Verdict::NotRun))?;
+        let fresh = connected.map_err(|why| {
+            Failure::bad_gateway(format!("no connection: {why}"), Verdict::NotRun)
+        })?;
         Ok(fresh.sender)
     }
 
@@ -92,5 +93,5 @@
     connection
         .send_request(req)
         .await
-        .map_err(|e| Failure::broken(format!("no answer: {e}"), Verdict::MayHaveRun))
+        .map_err(|e| Failure::bad_gateway(format!("no answer: {e}"), Verdict::MayHaveRun))
 }
--- a/crates/daemon/src/edge/whole_answer.rs
+++ b/crates/daemon/src/edge/whole_answer.rs
@@ -29,8 +29,9 @@
     ///
     /// Returns a failure if the chunk is malformed.
     pub(super) fn add(&mut self, data: &str) -> Result<(), Failure> {
-        let chunk = Chunk::parse(data)
-            .map_err(|e| Failure::broken(format!("a malformed chunk: {e}"), Verdict::MayHaveRun))?;
+        let chunk = Chunk::parse(data).map_err(|e| {
+            Failure::bad_gateway(format!("a malformed chunk: {e}"), Verdict::MayHaveRun)
+        })?;
         for piece in &chunk.choices {
             let choice = self.choices.entry(piece.index).or_default();
             choice.text.push_str(piece.text().unwrap_or_default());
--- a/crates/daemon/src/failure.rs
+++ b/crates/daemon/src/failure.rs
@@ -81,7 +81,7 @@
         Self::refused(StatusCode::PAYLOAD_TOO_LARGE, "prompt too large", detail)
     }
 
-    pub(crate) fn slow_body(timeout: Duration) -> Self {
+    pub(crate) fn body_timeout(timeout: Duration) -> Self {
         let timeout = humantime::format_duration(timeout);
         let detail = format!("the body did not arrive within {timeout}");
         Self::refused(StatusCode::REQUEST_TIMEOUT, "body timeout", detail)
@@ -94,7 +94,7 @@
         failure
     }
 
-    pub(crate) fn broken(detail: impl Into<String>, verdict: Verdict) -> Self {
+    pub(crate) fn bad_gateway(detail: impl Into<String>, verdict: Verdict) -> Self {
         Self::new(StatusCode::BAD_GATEWAY, "endpoint failed", detail, verdict)
     }
 
--- a/crates/daemon/src/gateway/exchange.rs
+++ b/crates/daemon/src/gateway/exchange.rs
@@ -223,7 +223,7 @@
 
     fn failure(&self, why: String, is_run: bool) -> Failure {
         if is_run || self.verdict() != Verdict::NotRun {
-            return Failure::broken(why, Verdict::MayHaveRun);
+            return Failure::bad_gateway(why, Verdict::MayHaveRun);
         }
         Failure::unavailable(why, self.gateway.retry_after())
     }
--- a/crates/daemon/src/gateway/forward.rs
+++ b/crates/daemon/src/gateway/forward.rs
@@ -114,7 +114,7 @@
     let leaves = started + arrival.deadline.unwrap_or(DEFAULT_DEADLINE);
     let deadline = leaves.min(started + route.timeout);
     let body = tokio::time::timeout_at(deadline, read(&in_force.table, body)).await;
-    let body = body.map_err(|_| Failure::slow_body(route.timeout))??;
+    let body = body.map_err(|_| Failure::body_timeout(route.timeout))??;
     gateway.count_request(&route);
     let exchange = Exchange {
         chain: arrival.prompt.as_ref().map(|prompt| chain(prompt, organisation.as_deref())),
@@ -236,7 +236,7 @@
 impl Fetch {
     fn into_failure(self) -> Failure {
         match self {
-            Self::Broken(why) => Failure::broken(why, Verdict::MayHaveRun),
+            Self::Broken(why) => Failure::bad_gateway(why, Verdict::MayHaveRun),
             Self::Failed(failure) => failure,
         }
     }
--- a/crates/daemon/src/gateway/listen.rs
+++ b/crates/daemon/src/gateway/listen.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     edge::{Control, EdgeEnd},
-    serve::{self, ConnectionBounds, Drain, Serve},
+    serve::{self, ConnectionLimits, Drain, Serve},
 };
 
 use super::{Dialect, Gateway, GatewayListeners, body::Body, control, forward};
@@ -37,9 +37,9 @@
 impl<D: Dialect> Serve for Callers<D> {
     type Body = Body;
 
-    fn bounds(&self) -> ConnectionBounds {
+    fn connection_limits(&self) -> ConnectionLimits {
         let limits = self.0.in_force().map(|held| *held.table.limits()).unwrap_or_default();
-        ConnectionBounds {
+        ConnectionLimits {
             // The library counts the time between two requests as time for the second one's head.
             header_timeout: limits.header_timeout.max(limits.idle_timeout),
             header_bytes: usize::try_from(limits.header_bytes.as_u64()).unwrap_or(usize::MAX),
@@ -59,7 +59,7 @@
 impl<D: Dialect> Serve for Controllers<D> {
     type Body = Body;
 
-    fn bounds(&self) -> ConnectionBounds {
+    fn connection_limits(&self) -> ConnectionLimits {
         control_bounds()
     }
 
@@ -75,7 +75,7 @@
 impl<D: Dialect> Serve for Balancer<D> {
     type Body = Body;
 
-    fn bounds(&self) -> ConnectionBounds {
+    fn connection_limits(&self) -> ConnectionLimits {
         control_bounds()
     }
 
@@ -92,8 +92,8 @@
     }
 }
 
-fn control_bounds() -> ConnectionBounds {
-    ConnectionBounds {
+fn control_bounds() -> ConnectionLimits {
+    ConnectionLimits {
         header_timeout: CONTROL_IDLE,
         header_bytes: CONTROL_HEADER_BYTES,
         headers: MAX_HEADERS,
@@ -113,7 +113,7 @@
     let balancer = Balancer { gateway: Rc::clone(&gateway), connections: Cell::new(0) };
     start(balancer, readiness, &drain_rx);
     let limit = gateway.cfg.drain_limit(gateway.drain_notice);
-    serve::until_ended(&*gateway, &orders, &drain_tx, Some(limit)).await;
+    serve::wait_for_shutdown(&*gateway, &orders, &drain_tx, Some(limit)).await;
     EdgeEnd { cut: gateway.active.get() }
 }
 
--- a/crates/daemon/src/serve.rs
+++ b/crates/daemon/src/serve.rs
@@ -34,7 +34,7 @@
 
 /// Bounds on one connection.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ConnectionBounds {
+pub(crate) struct ConnectionLimits {
     /// Longest time from the connection, or the request before, to the end of a request's head.
     pub header_timeout: Duration,
     /// Largest head of a request, in bytes.
@@ -49,7 +49,7 @@
     type Body: HttpBody<Data = Bytes, Error: Error + Send + Sync + 'static> + 'static;
 
     /// Returns the bounds on a new connection.
-    fn bounds(&self) -> ConnectionBounds;
+    fn connection_limits(&self) -> ConnectionLimits;
 
     /// Returns the number of open connections, which is kept here.
     fn connections(&self) -> &Cell<u64>;
@@ -113,7 +113,7 @@
 }
 
 /// Follows orders until told to abort, or to drain and that is done or has taken `limit`.
-pub(crate) async fn until_ended(
+pub(crate) async fn wait_for_shutdown(
     service: &impl Drain,
     orders: &flume::Receiver<Control>,
     draining: &watch::Sender<bool>,
@@ -153,7 +153,7 @@
     _open: OpenConnection<S>,
 ) {
     let _ = stream.set_nodelay(true);
-    let bounds = service.bounds();
+    let bounds = service.connection_limits();
     let service = service_fn(move |req| {
         let service = Rc::clone(&service);
         async move { Ok::<_, Infallible>(service.handle(req).await) }
