--- a/crates/daemon/src/configurations.rs
+++ b/crates/daemon/src/configurations.rs
@@ -54,14 +54,14 @@
         let (document, content) = Document::open(&data_dir.join(FOLDER), RealDisk)?;
         let configurations = Self::default();
         if let Some(content) = content {
-            configurations.offer(Configuration::from_bytes(&content)?);
+            configurations.apply_if_newer(Configuration::from_bytes(&content)?);
         }
         *configurations.lock_kept() = Some(document);
         Ok(configurations)
     }
 
     /// Takes a configuration, unless one as new is in force; returns whether it was taken.
-    pub(crate) fn offer(&self, configuration: Configuration) -> bool {
+    pub(crate) fn apply_if_newer(&self, configuration: Configuration) -> bool {
         if configuration.revision <= self.revision() {
             return false;
         }
--- a/crates/daemon/src/replica/driver.rs
+++ b/crates/daemon/src/replica/driver.rs
@@ -450,7 +450,7 @@
     fn offer_configuration(&self) {
         let configuration = self.fleet.configuration();
         let Some(last) = configuration.history().next_back() else { return };
-        self.rings.configurations.offer(Configuration {
+        self.rings.configurations.apply_if_newer(Configuration {
             revision: configuration.revision(),
             declaration: configuration.text().clone(),
             author: last.author.clone(),
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -166,7 +166,7 @@
             RosterInput::Gossip(call) => self.take_gossip(now, &call),
             RosterInput::Answer { sent, message } => self.take_answer(now, sent, &message),
             RosterInput::Configuration(configuration) => {
-                self.rings.configurations.offer(configuration);
+                self.rings.configurations.apply_if_newer(configuration);
             }
             RosterInput::Draining => self.membership.set_draining(true),
             RosterInput::Seeds(seeds) => self.membership.set_seeds(seeds),
