--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -49,6 +49,7 @@
     peers::{PeerClient, PeerResponse},
     run::{exit_code, gateway_exit_code, main, run, run_gateway},
     settings::{
-        Faults, Limits, OrganisationKey, Settings, SettingsError, TelemetrySettings, Timeouts,
+        InvalidSettings, Limits, OrganisationKey, Settings, SettingsError, TelemetrySettings,
+        Timeouts,
     },
 };
--- a/crates/daemon/src/settings/check.rs
+++ b/crates/daemon/src/settings/check.rs
@@ -12,7 +12,7 @@
 use telemetry::{LogFormat, SampleRatio};
 
 use super::{
-    Faults, Limits, Settings, TelemetrySettings, Timeouts,
+    InvalidSettings, Limits, Settings, TelemetrySettings, Timeouts,
     raw::{Many, One, Raw, RawLimits, RawTelemetry, RawTimeouts, Setting},
 };
 
@@ -38,8 +38,8 @@
 /// Start of a collector's address; spans travel without encryption.
 const TRACE_SCHEME: &str = "http://";
 
-pub(super) fn check(raw: Raw) -> Result<Settings, Faults> {
-    let mut faults = Faults::default();
+pub(super) fn check(raw: Raw) -> Result<Settings, InvalidSettings> {
+    let mut faults = InvalidSettings::default();
     let peer_listen = address(&raw.addresses.peer_listen, DEFAULT_PEER_PORT, &mut faults);
     let settings = Settings {
         host: parsed(&raw.identity.host, &mut faults)
@@ -76,7 +76,7 @@
 }
 
 /// Checks what no setting shows alone.
-fn check_together(settings: &Settings, faults: &mut Faults) {
+fn check_together(settings: &Settings, faults: &mut InvalidSettings) {
     if settings.voter && settings.data_dir.is_none() {
         faults.add("--voter", "DOTTERELREACH_VOTER", "a voter needs --data-dir");
     }
@@ -105,16 +105,16 @@
     }
 }
 
-fn parsed<T: FromStr<Err: Display>>(setting: &One, faults: &mut Faults) -> Option<T> {
+fn parsed<T: FromStr<Err: Display>>(setting: &One, faults: &mut InvalidSettings) -> Option<T> {
     parse_text(setting, setting.text.as_deref()?, faults)
 }
 
-fn all_parsed<T: FromStr<Err: Display>>(setting: &Many, faults: &mut Faults) -> Vec<T> {
+fn all_parsed<T: FromStr<Err: Display>>(setting: &Many, faults: &mut InvalidSettings) -> Vec<T> {
     setting.text.iter().filter_map(|text| parse_text(setting, text, faults)).collect()
 }
 
 /// Parses values that must not reach a terminal or a log: a plain key may stand for its digest.
-fn all_hidden<T: FromStr>(setting: &Many, allowed: &str, faults: &mut Faults) -> Vec<T> {
+fn all_hidden<T: FromStr>(setting: &Many, allowed: &str, faults: &mut InvalidSettings) -> Vec<T> {
     let mut parsed = Vec::with_capacity(setting.text.len());
     for (i, text) in setting.text.iter().enumerate() {
         match text.parse() {
@@ -128,7 +128,7 @@
     parsed
 }
 
-fn switch(setting: &One, faults: &mut Faults) -> bool {
+fn switch(setting: &One, faults: &mut InvalidSettings) -> bool {
     let Some(text) = &setting.text else { return false };
     text.parse().unwrap_or_else(|_| {
         let message = format!("{text:?} is neither true nor false");
@@ -137,7 +137,7 @@
     })
 }
 
-fn parse_text<S, T>(setting: &Setting<S>, text: &str, faults: &mut Faults) -> Option<T>
+fn parse_text<S, T>(setting: &Setting<S>, text: &str, faults: &mut InvalidSettings) -> Option<T>
 where
     T: FromStr<Err: Display>,
 {
@@ -157,7 +157,7 @@
     }
 }
 
-fn address(setting: &One, default_port: u16, faults: &mut Faults) -> SocketAddr {
+fn address(setting: &One, default_port: u16, faults: &mut InvalidSettings) -> SocketAddr {
     let default = SocketAddr::from((Ipv4Addr::LOCALHOST, default_port));
     let Some(text) = &setting.text else { return default };
     text.parse().unwrap_or_else(|_| {
@@ -167,7 +167,7 @@
     })
 }
 
-fn fleet_key(setting: &One, faults: &mut Faults) -> std::sync::Arc<str> {
+fn fleet_key(setting: &One, faults: &mut InvalidSettings) -> std::sync::Arc<str> {
     let text = setting.text.as_deref().unwrap_or_default();
     if text.len() < MIN_FLEET_KEY_BYTES {
         let message = format!("needed, with at least {MIN_FLEET_KEY_BYTES} bytes");
@@ -176,14 +176,14 @@
     text.into()
 }
 
-fn healing(setting: &One, faults: &mut Faults) -> Option<HealingSettings> {
+fn healing(setting: &One, faults: &mut InvalidSettings) -> Option<HealingSettings> {
     setting.text.as_ref()?;
     let lost_disks = number(setting, 0, 0..=MAX_LOST_DISKS, faults);
     let lost_disks = usize::try_from(lost_disks).unwrap_or_default();
     Some(HealingSettings { lost_disks, ..HealingSettings::default() })
 }
 
-fn limits(raw: &RawLimits, faults: &mut Faults) -> Limits {
+fn limits(raw: &RawLimits, faults: &mut InvalidSettings) -> Limits {
     Limits {
         header_bytes: ByteCount::new(number(
             &raw.header_bytes,
@@ -197,7 +197,12 @@
     }
 }
 
-fn number(setting: &One, default: u64, allowed: RangeInclusive<u64>, faults: &mut Faults) -> u64 {
+fn number(
+    setting: &One,
+    default: u64,
+    allowed: RangeInclusive<u64>,
+    faults: &mut InvalidSettings,
+) -> u64 {
     let Some(text) = &setting.text else { return default };
     match text.parse() {
         Ok(number) if allowed.contains(&number) => number,
@@ -210,7 +215,7 @@
     }
 }
 
-fn timeouts(raw: &RawTimeouts, faults: &mut Faults) -> Timeouts {
+fn timeouts(raw: &RawTimeouts, faults: &mut InvalidSettings) -> Timeouts {
     Timeouts {
         header: duration(&raw.header, Duration::from_secs(10), faults),
         body: duration(&raw.body, Duration::from_secs(30), faults),
@@ -221,7 +226,7 @@
     }
 }
 
-fn duration(setting: &One, default: Duration, faults: &mut Faults) -> Duration {
+fn duration(setting: &One, default: Duration, faults: &mut InvalidSettings) -> Duration {
     let Some(text) = &setting.text else { return default };
     let message = match humantime::parse_duration(text) {
         Ok(duration) if TIMEOUT_RANGE.contains(&duration) => return duration,
@@ -239,7 +244,7 @@
     default
 }
 
-fn telemetry(raw: &RawTelemetry, faults: &mut Faults) -> TelemetrySettings {
+fn telemetry(raw: &RawTelemetry, faults: &mut InvalidSettings) -> TelemetrySettings {
     TelemetrySettings {
         log_format: parsed(&raw.log_format, faults).unwrap_or(LogFormat::Text),
         log_level: log_level(&raw.log_level, faults),
@@ -248,7 +253,7 @@
     }
 }
 
-fn log_level(setting: &One, faults: &mut Faults) -> LevelFilter {
+fn log_level(setting: &One, faults: &mut InvalidSettings) -> LevelFilter {
     let Some(text) = &setting.text else { return LevelFilter::Info };
     text.parse().unwrap_or_else(|_| {
         let message =
@@ -258,7 +263,7 @@
     })
 }
 
-fn trace_endpoint(setting: &One, faults: &mut Faults) -> Option<std::sync::Arc<str>> {
+fn trace_endpoint(setting: &One, faults: &mut InvalidSettings) -> Option<std::sync::Arc<str>> {
     let text = setting.text.as_deref()?;
     let host = text.strip_prefix(TRACE_SCHEME).filter(|host| !host.is_empty());
     if host.is_none() || !text.bytes().all(|byte| byte.is_ascii_graphic()) {
--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -113,7 +113,7 @@
     /// Returns every fault found, or what the command line asks to be printed.
     pub fn from_args(args: &[&str]) -> Result<Self, SettingsError> {
         let raw = raw::parse(args)?;
-        check::check(raw).map_err(SettingsError::Faults)
+        check::check(raw).map_err(SettingsError::Invalid)
     }
 
     /// Reads settings from this process's arguments and environment.
@@ -136,14 +136,14 @@
     /// The command line can't be understood.
     Usage(String),
     /// Some settings are not valid.
-    Faults(Faults),
+    Invalid(InvalidSettings),
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Print(text) | Self::Usage(text) => f.write_str(text),
-            Self::Faults(faults) => faults.fmt(f),
+            Self::Invalid(faults) => faults.fmt(f),
         }
     }
 }
@@ -152,11 +152,11 @@
 
 /// All faults found in the settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Faults {
+pub struct InvalidSettings {
     lines: Vec<String>,
 }
 
-impl Faults {
+impl InvalidSettings {
     fn add(&mut self, flag: &str, env: &str, message: &str) {
         self.lines.push(format!("{flag}: {message} (environment: {env})"));
     }
@@ -167,13 +167,13 @@
     }
 }
 
-impl fmt::Display for Faults {
+impl fmt::Display for InvalidSettings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.lines.join("\n"))
     }
 }
 
-impl error::Error for Faults {}
+impl error::Error for InvalidSettings {}
 
 impl FromStr for OrganisationKey {
     type Err = ParseError;
