--- a/crates/daemon/src/admin/auth.rs
+++ b/crates/daemon/src/admin/auth.rs
@@ -2,7 +2,7 @@
 use rouille::Request;
 use subtle::{Choice, ConstantTimeEq as _};
 
-use super::problems::Refused;
+use super::problems::ApiError;
 
 /// The operators' keys, kept as digests.
 pub(super) struct OperatorKeys(Vec<Digest>);
@@ -13,21 +13,21 @@
     }
 
     /// Checks that the request shows one of the keys, in a time that doesn't depend on which.
-    pub(super) fn check(&self, req: &Request) -> Result<(), Refused> {
+    pub(super) fn check(&self, req: &Request) -> Result<(), ApiError> {
         if self.0.is_empty() {
-            return Err(Refused::closed());
+            return Err(ApiError::closed());
         }
-        let mut shown =
+        let mut presented =
             req.headers().filter(|(name, _)| name.eq_ignore_ascii_case("authorization"));
-        let (Some((_, shown)), None) = (shown.next(), shown.next()) else {
-            return Err(Refused::unauthorised());
+        let (Some((_, presented)), None) = (presented.next(), presented.next()) else {
+            return Err(ApiError::unauthorised());
         };
-        let key = shown.strip_prefix("Bearer ").ok_or_else(Refused::unauthorised)?;
-        let shown = Digest::of(key.as_bytes());
+        let key = presented.strip_prefix("Bearer ").ok_or_else(ApiError::unauthorised)?;
+        let presented = Digest::of(key.as_bytes());
         let known = self
             .0
             .iter()
-            .fold(Choice::from(0), |known, key| known | key.as_bytes().ct_eq(shown.as_bytes()));
-        if bool::from(known) { Ok(()) } else { Err(Refused::unauthorised()) }
+            .fold(Choice::from(0), |known, key| known | key.as_bytes().ct_eq(presented.as_bytes()));
+        if bool::from(known) { Ok(()) } else { Err(ApiError::unauthorised()) }
     }
 }
--- a/crates/daemon/src/admin/calls.rs
+++ b/crates/daemon/src/admin/calls.rs
@@ -8,27 +8,27 @@
     },
 };
 
-use super::{Pages, body, problems::Refused};
+use super::{AdminApi, body, problems::ApiError};
 
 /// Shows a call that may not be repeated.
-pub(super) fn show(pages: &Pages, path: CallPath) -> Result<Call, Refused> {
-    read(pages, CallKey { organisation: path.organisation, key: path.key })
+pub(super) fn show(api: &AdminApi, path: CallPath) -> Result<Call, ApiError> {
+    read(api, CallKey { organisation: path.organisation, key: path.key })
 }
 
 /// Lists the calls that are open or whose outcome is unknown.
-pub(super) fn unsettled(pages: &Pages) -> Result<UnsettledCalls, Refused> {
-    match pages.leader.submit(&LeaderRequest::ReadUnsettled)? {
+pub(super) fn unsettled(api: &AdminApi) -> Result<UnsettledCalls, ApiError> {
+    match api.leader.submit(&LeaderRequest::ReadUnsettled)? {
         LeaderAnswer::Unsettled(calls) => {
             let calls = calls.into_iter().map(|unsettled| to_wire(unsettled.key, unsettled.call));
             Ok(UnsettledCalls { calls: calls.collect() })
         }
-        _ => Err(Refused::unavailable("the leader's answer can't be read")),
+        _ => Err(ApiError::unavailable("the leader's answer can't be read")),
     }
 }
 
 /// Settles a call by an operator's word; the same word again finds it settled.
-pub(super) fn resolve(pages: &Pages, req: &Request, path: CallPath) -> Result<Call, Refused> {
-    let req: ResolveRequest = body::read(req, body::SMALL_BYTES)?;
+pub(super) fn resolve(api: &AdminApi, req: &Request, path: CallPath) -> Result<Call, ApiError> {
+    let req: ResolveRequest = body::read(req, body::MAX_SMALL_BODY_BYTES)?;
     let key = CallKey { organisation: path.organisation, key: path.key };
     let resolve = Command::Resolve(Resolve {
         call: key.clone(),
@@ -41,46 +41,50 @@
         // The leader sets its own time.
         at: UnixMillis::new(0),
     });
-    let answer = pages.leader.submit(&LeaderRequest::Command(resolve))?;
-    let LeaderAnswer::Reply(Reply::Resolve(reply)) = answer else {
-        return Err(Refused::unknown());
+    let response = api.leader.submit(&LeaderRequest::Command(resolve))?;
+    let LeaderAnswer::Reply(Reply::Resolve(reply)) = response else {
+        return Err(ApiError::unknown());
     };
     match reply {
         ResolveReply::Resolved => {
             let verdict = Verdict::from(req.verdict);
             log::info!(call:% = key, verdict:%, author:% = req.author; "call settled");
-            read(pages, key).map_err(|_| Refused::unknown())
+            read(api, key).map_err(|_| ApiError::unknown())
         }
-        ResolveReply::AlreadySettled => settled_before(pages, key, req.verdict),
+        ResolveReply::AlreadySettled => already_settled(api, key, req.verdict),
         ResolveReply::TooEarly { wait } => {
             let shown = humantime::format_duration(wait);
             let detail = format!("its owner may still send the call; try again in {shown}");
-            Err(Refused::conflict(detail).retry_after(wait))
+            Err(ApiError::conflict(detail).retry_after(wait))
         }
-        ResolveReply::InvalidReason => Err(Refused::invalid("the reason is empty or too long")),
+        ResolveReply::InvalidReason => Err(ApiError::invalid("the reason is empty or too long")),
         ResolveReply::Unknown => Err(unknown(&key)),
     }
 }
 
-fn settled_before(pages: &Pages, key: CallKey, verdict: ResolvedVerdict) -> Result<Call, Refused> {
-    let call = read(pages, key)?;
+fn already_settled(
+    api: &AdminApi,
+    key: CallKey,
+    verdict: ResolvedVerdict,
+) -> Result<Call, ApiError> {
+    let call = read(api, key)?;
     if call.state == CallState::Resolved && call.verdict == Verdict::from(verdict) {
         return Ok(call);
     }
-    Err(Refused::conflict(format!("the call is settled already: {}", call.verdict)))
+    Err(ApiError::conflict(format!("the call is settled already: {}", call.verdict)))
 }
 
-fn read(pages: &Pages, key: CallKey) -> Result<Call, Refused> {
-    match pages.leader.submit(&LeaderRequest::ReadCall(key.clone()))? {
+fn read(api: &AdminApi, key: CallKey) -> Result<Call, ApiError> {
+    match api.leader.submit(&LeaderRequest::ReadCall(key.clone()))? {
         LeaderAnswer::Call(Some(call)) => Ok(to_wire(key, *call)),
         LeaderAnswer::Call(None) => Err(unknown(&key)),
-        _ => Err(Refused::unavailable("the leader's answer can't be read")),
+        _ => Err(ApiError::unavailable("the leader's answer can't be read")),
     }
 }
 
-fn unknown(key: &CallKey) -> Refused {
+fn unknown(key: &CallKey) -> ApiError {
     let CallKey { organisation, key } = key;
-    Refused::not_found(format!("no call {key} of {organisation} is known"))
+    ApiError::not_found(format!("no call {key} of {organisation} is known"))
 }
 
 fn to_wire(key: CallKey, call: fleet::Call) -> Call {
@@ -102,8 +106,8 @@
     };
     match call.state {
         State::Claimed(held) => shown(CallState::Open, Verdict::MayHaveRun, Some(held)),
-        State::Finished(held, answer) => {
-            let status = Some(answer.status);
+        State::Finished(held, response) => {
+            let status = Some(response.status);
             Call { status, ..shown(CallState::Answered, Verdict::Ran, Some(held)) }
         }
         State::MayHaveRun(held, _) => shown(CallState::Failed, Verdict::MayHaveRun, Some(held)),
--- a/crates/daemon/src/admin/declaration.rs
+++ b/crates/daemon/src/admin/declaration.rs
@@ -11,21 +11,21 @@
     operator::{ChangeAnswer, ChangeRequest, CurrentDeclaration, History, HistoryEntry},
 };
 
-use super::{Pages, body, json, problems::Refused};
+use super::{AdminApi, body, json, problems::ApiError};
 
 /// Largest body of a change, in bytes: a declaration with each quote escaped.
-const CHANGE_BYTES: u64 = 6 << 20;
+const MAX_CHANGE_BODY_BYTES: u64 = 6 << 20;
 
 /// Longest wait until an accepted change is in force here too.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time between looks at the revision in force.
-const IN_FORCE_POLL: Duration = Duration::from_millis(5);
+const IN_FORCE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Returns the declaration that is in force at this router.
-pub(super) fn current(pages: &Pages) -> CurrentDeclaration {
-    let in_force = pages.sources.configurations.in_force();
-    match in_force.as_ref().and_then(|held| held.configuration.as_ref()) {
+pub(super) fn current(api: &AdminApi) -> CurrentDeclaration {
+    let in_force = api.context.configurations.in_force();
+    match in_force.as_ref().and_then(|active| active.configuration.as_ref()) {
         None => CurrentDeclaration {
             revision: Revision::ZERO,
             toml: "".into(),
@@ -33,19 +33,19 @@
             at: None,
             reason: None,
         },
-        Some(held) => CurrentDeclaration {
-            revision: held.revision,
-            toml: held.declaration.clone(),
-            author: Some(held.author.clone()),
-            at: Some(held.at),
-            reason: Some(held.reason.clone()),
+        Some(active) => CurrentDeclaration {
+            revision: active.revision,
+            toml: active.declaration.clone(),
+            author: Some(active.author.clone()),
+            at: Some(active.at),
+            reason: Some(active.reason.clone()),
         },
     }
 }
 
 /// Replaces the declaration if its revision is still the expected one.
-pub(super) fn change(pages: &Pages, req: &Request) -> Result<Response, Refused> {
-    let req: ChangeRequest = body::read(req, CHANGE_BYTES)?;
+pub(super) fn change(api: &AdminApi, req: &Request) -> Result<Response, ApiError> {
+    let req: ChangeRequest = body::read(req, MAX_CHANGE_BODY_BYTES)?;
     let (id, author) = (req.id.clone(), req.author.clone());
     let change = Command::Change(ConfigChange {
         id: req.id,
@@ -56,34 +56,36 @@
         at: UnixMillis::new(0),
         declaration: req.toml,
     });
-    let answer = pages.leader.submit(&LeaderRequest::Command(change))?;
-    let LeaderAnswer::Reply(Reply::Change(reply)) = answer else { return Err(Refused::unknown()) };
-    let answer = to_answer(pages, &id, reply)?;
-    if let ChangeAnswer::Applied { revision } = answer {
+    let response = api.leader.submit(&LeaderRequest::Command(change))?;
+    let LeaderAnswer::Reply(Reply::Change(reply)) = response else {
+        return Err(ApiError::unknown());
+    };
+    let response = to_answer(api, &id, reply)?;
+    if let ChangeAnswer::Applied { revision } = response {
         log::info!(change:% = id, author:%, revision:%; "configuration changed");
-        wait_in_force(pages, revision);
+        wait_in_force(api, revision);
     }
-    Ok(json(&answer).with_status_code(answer.status()))
+    Ok(json(&response).with_status_code(response.status()))
 }
 
 /// Lists the changes that are kept.
-pub(super) fn history(pages: &Pages) -> Result<History, Refused> {
-    let records = match pages.leader.submit(&LeaderRequest::ReadHistory) {
+pub(super) fn history(api: &AdminApi) -> Result<History, ApiError> {
+    let records = match api.leader.submit(&LeaderRequest::ReadHistory) {
         Ok(LeaderAnswer::History(records)) => records,
-        Ok(_) => return Err(Refused::unavailable("the leader's answer can't be read")),
-        Err(refused) => pages.sources.replica.load().ok_or(refused)?.history,
+        Ok(_) => return Err(ApiError::unavailable("the leader's answer can't be read")),
+        Err(error) => api.context.replica.load().ok_or(error)?.history,
     };
     Ok(History { changes: records.into_iter().map(entry).collect() })
 }
 
-fn to_answer(pages: &Pages, id: &ChangeId, reply: ChangeReply) -> Result<ChangeAnswer, Refused> {
+fn to_answer(api: &AdminApi, id: &ChangeId, reply: ChangeReply) -> Result<ChangeAnswer, ApiError> {
     Ok(match reply {
         ChangeReply::Changed(revision) => ChangeAnswer::Applied { revision },
         ChangeReply::Conflict { winner: Some(winner), .. } => {
             ChangeAnswer::Conflict { winner: entry(winner) }
         }
         ChangeReply::Conflict { winner: None, current } => {
-            return Err(Refused::conflict(format!("revision {current} is in force")));
+            return Err(ApiError::conflict(format!("revision {current} is in force")));
         }
         ChangeReply::Invalid(e) => {
             ChangeAnswer::Invalid { line: Some(e.line()), message: e.to_string().into() }
@@ -93,9 +95,9 @@
             ChangeAnswer::Invalid { line: None, message }
         }
         ChangeReply::IdReused => {
-            let first = history(pages)?.changes.into_iter().find(|change| change.id == *id);
+            let first = history(api)?.changes.into_iter().find(|change| change.id == *id);
             let first = first.ok_or_else(|| {
-                Refused::conflict(format!("change id {id} stands for another change"))
+                ApiError::conflict(format!("change id {id} stands for another change"))
             })?;
             ChangeAnswer::ReusedId { first }
         }
@@ -113,9 +115,9 @@
 }
 
 /// Waits until `revision` is in force here, so that the operator's next question finds it.
-fn wait_in_force(pages: &Pages, revision: Revision) {
+fn wait_in_force(api: &AdminApi, revision: Revision) {
     let deadline = Instant::now() + IN_FORCE_TIMEOUT;
-    while pages.sources.configurations.revision() < revision && Instant::now() < deadline {
-        thread::sleep(IN_FORCE_POLL);
+    while api.context.configurations.revision() < revision && Instant::now() < deadline {
+        thread::sleep(IN_FORCE_POLL_INTERVAL);
     }
 }
--- a/crates/daemon/src/admin/explain.rs
+++ b/crates/daemon/src/admin/explain.rs
@@ -5,19 +5,19 @@
 
 use crate::edge::Inquiry;
 
-use super::{Pages, body, problems::Refused};
+use super::{AdminApi, body, problems::ApiError};
 
 /// Longest wait for the edge thread.
-const EDGE_TIMEOUT: Duration = Duration::from_secs(2);
+const EDGE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Asks the edge thread where a request would go.
-pub(super) fn explain(pages: &Pages, req: &Request) -> Result<Explanation, Refused> {
-    let request: ExplainRequest = body::read(req, pages.sources.cfg.limits.body_bytes.as_u64())?;
+pub(super) fn explain(api: &AdminApi, req: &Request) -> Result<Explanation, ApiError> {
+    let request: ExplainRequest = body::read(req, api.context.cfg.limits.body_bytes.as_u64())?;
     let nowhere = format!("no endpoint serves model {}", request.model);
-    let (reply, answer) = flume::bounded(1);
-    let asked = pages.sources.inquiries.try_send(Inquiry::Explain { request, reply });
-    let busy = || Refused::unavailable("the router is busy or ending");
-    asked.map_err(|_| busy())?;
-    let explanation = answer.recv_timeout(EDGE_TIMEOUT).map_err(|_| busy())?;
-    explanation.ok_or_else(|| Refused::not_found(nowhere))
+    let (reply, response) = flume::bounded(1);
+    let sent = api.context.inquiries.try_send(Inquiry::Explain { request, reply });
+    let busy = || ApiError::unavailable("the router is busy or ending");
+    sent.map_err(|_| busy())?;
+    let explanation = response.recv_timeout(EDGE_RESPONSE_TIMEOUT).map_err(|_| busy())?;
+    explanation.ok_or_else(|| ApiError::not_found(nowhere))
 }
--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -26,22 +26,22 @@
 };
 
 use auth::OperatorKeys;
-use leader::Leader;
-use problems::Refused;
+use leader::BlockingLeaderClient;
+use problems::ApiError;
 
 /// Threads that serve the pages; more than may wait for the leader, so that the health pages stay.
 const POOL_THREADS: usize = 16;
 
 /// Time between looks for a request.
-const POLL: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Start of every operator path.
 const OPERATOR_PREFIX: &str = "/operator/";
 
-const METRICS_TYPE: &str = "text/plain; version=0.0.4";
+const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4";
 
 /// What the pages show and change.
-pub(crate) struct Sources {
+pub(crate) struct AdminContext {
     pub cfg: Arc<Settings>,
     pub clock: Clock,
     pub incarnation: Incarnation,
@@ -55,10 +55,10 @@
 }
 
 /// The pages.
-struct Pages {
-    sources: Sources,
+struct AdminApi {
+    context: AdminContext,
     keys: OperatorKeys,
-    leader: Leader,
+    leader: BlockingLeaderClient,
 }
 
 /// Starts the thread that serves the pages.
@@ -66,39 +66,39 @@
 /// # Errors
 ///
 /// Returns an error if the address can't be bound or the thread can't be made.
-pub(crate) fn spawn(address: SocketAddr, sources: Sources) -> io::Result<()> {
-    let pages = Pages {
-        keys: OperatorKeys::new(&sources.cfg.operator_keys),
-        leader: Leader::new(sources.leader.clone()),
-        sources,
+pub(crate) fn spawn(address: SocketAddr, context: AdminContext) -> io::Result<()> {
+    let api = AdminApi {
+        keys: OperatorKeys::new(&context.cfg.operator_keys),
+        leader: BlockingLeaderClient::new(context.leader.clone()),
+        context,
     };
-    let server = rouille::Server::new(address, move |req| pages.answer(req))
+    let server = rouille::Server::new(address, move |req| api.handle(req))
         .map_err(|e| io::Error::other(format!("{address}: {e}")))?
         .pool_size(POOL_THREADS);
     std::thread::Builder::new().name("admin".into()).spawn(move || {
         loop {
-            server.poll_timeout(POLL);
+            server.poll_timeout(POLL_INTERVAL);
         }
     })?;
     Ok(())
 }
 
-impl Pages {
-    fn answer(&self, req: &Request) -> Response {
+impl AdminApi {
+    fn handle(&self, req: &Request) -> Response {
         // Decoded, a slash in an idempotency key would pass for one of the path.
         let path = req.raw_url().split('?').next().unwrap_or_default();
-        let answer = match (req.method(), path) {
+        let response = match (req.method(), path) {
             ("GET", "/healthz") => Ok(Response::text("alive\n")),
             ("GET", "/readyz") => Ok(self.readiness()),
             ("GET", "/metrics") => Ok(self.metrics()),
-            (_, "/healthz" | "/readyz" | "/metrics") => Err(Refused::method_not_allowed("GET")),
+            (_, "/healthz" | "/readyz" | "/metrics") => Err(ApiError::method_not_allowed("GET")),
             _ if path.starts_with(OPERATOR_PREFIX) => self.operator(req, path),
-            _ => Err(Refused::not_found("no such page")),
+            _ => Err(ApiError::not_found("no such page")),
         };
-        answer.unwrap_or_else(|refused| refused.into_response())
+        response.unwrap_or_else(|error| error.into_response())
     }
 
-    fn operator(&self, req: &Request, path: &str) -> Result<Response, Refused> {
+    fn operator(&self, req: &Request, path: &str) -> Result<Response, ApiError> {
         self.keys.check(req)?;
         match (req.method(), path) {
             ("GET", STATUS_PATH) => Ok(json(&status::status(self))),
@@ -111,32 +111,32 @@
             ("POST", VOTERS_PATH) => voters::change(self, req).map(|voters| json(&voters)),
             ("GET", CALLS_PATH) => calls::unsettled(self).map(|calls| json(&calls)),
             (_, STATUS_PATH | ENDPOINTS_PATH | HISTORY_PATH | CALLS_PATH) => {
-                Err(Refused::method_not_allowed("GET"))
+                Err(ApiError::method_not_allowed("GET"))
             }
-            (_, EXPLAIN_PATH) => Err(Refused::method_not_allowed("POST")),
-            (_, DECLARATION_PATH | VOTERS_PATH) => Err(Refused::method_not_allowed("GET, POST")),
+            (_, EXPLAIN_PATH) => Err(ApiError::method_not_allowed("POST")),
+            (_, DECLARATION_PATH | VOTERS_PATH) => Err(ApiError::method_not_allowed("GET, POST")),
             _ => self.call(req, path),
         }
     }
 
-    fn call(&self, req: &Request, path: &str) -> Result<Response, Refused> {
+    fn call(&self, req: &Request, path: &str) -> Result<Response, ApiError> {
         let (path, resolves) = match path.strip_suffix(RESOLVE_SUFFIX) {
             Some(path) if path.parse::<CallPath>().is_ok() => (path, true),
             _ => (path, false),
         };
         let Ok(call) = path.parse::<CallPath>() else {
-            return Err(Refused::not_found("no such page"));
+            return Err(ApiError::not_found("no such page"));
         };
         match (req.method(), resolves) {
             ("GET", false) => calls::show(self, call).map(|call| json(&call)),
             ("POST", true) => calls::resolve(self, req, call).map(|call| json(&call)),
-            (_, false) => Err(Refused::method_not_allowed("GET")),
-            (_, true) => Err(Refused::method_not_allowed("POST")),
+            (_, false) => Err(ApiError::method_not_allowed("GET")),
+            (_, true) => Err(ApiError::method_not_allowed("POST")),
         }
     }
 
     fn readiness(&self) -> Response {
-        match self.sources.readiness.state() {
+        match self.context.readiness.state() {
             ServingState::Ready => Response::text("ready\n"),
             ServingState::Starting => Response::text("starting\n").with_status_code(503),
             _ => Response::text("draining\n").with_status_code(503),
@@ -144,7 +144,7 @@
     }
 
     fn metrics(&self) -> Response {
-        Response::from_data(METRICS_TYPE, self.sources.metrics.render())
+        Response::from_data(METRICS_CONTENT_TYPE, self.context.metrics.render())
     }
 }
 
--- a/crates/daemon/src/admin/problems.rs
+++ b/crates/daemon/src/admin/problems.rs
@@ -4,14 +4,14 @@
 use rouille::Response;
 use wire::problem::{CONTENT_TYPE, Problem};
 
-/// An operator's request that was not answered as asked.
+/// An operator's request that was not answered as sent.
 #[derive(Debug)]
-pub(super) struct Refused {
+pub(super) struct ApiError {
     problem: Problem,
     headers: Vec<(&'static str, String)>,
 }
 
-impl Refused {
+impl ApiError {
     /// Describes a request that changed nothing.
     pub(super) fn not_run(status: u16, title: &str, detail: impl AsRef<str>) -> Self {
         Self::new(status, title, detail, Verdict::NotRun)
--- a/crates/daemon/src/admin/status.rs
+++ b/crates/daemon/src/admin/status.rs
@@ -14,48 +14,48 @@
     roster::{is_laggard, role},
 };
 
-use super::Pages;
+use super::AdminApi;
 
 /// Longest wait for the edge thread.
-const EDGE_TIMEOUT: Duration = Duration::from_millis(500);
+const EDGE_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Describes the router, its peers and the quorum.
-pub(super) fn status(pages: &Pages) -> Status {
-    let sources = &pages.sources;
-    let roster = sources.roster.load();
-    let view = sources.replica.load();
-    let revision = sources.configurations.revision();
+pub(super) fn status(api: &AdminApi) -> Status {
+    let context = &api.context;
+    let roster = context.roster.load();
+    let view = context.replica.load();
+    let revision = context.configurations.revision();
     let newest = roster.as_ref().map_or(revision, |roster| roster.newest.revision).max(revision);
     let ready_endpoints = roster.iter().flat_map(|roster| &roster.endpoints);
     let ready_endpoints =
         ready_endpoints.filter(|known| known.state == member::EndpointState::Ready).count();
     Status {
-        host: sources.cfg.host.clone(),
-        incarnation: sources.incarnation,
-        data_centre: sources.cfg.data_centre.clone(),
+        host: context.cfg.host.clone(),
+        incarnation: context.incarnation,
+        data_centre: context.cfg.data_centre.clone(),
         version: env!("CARGO_PKG_VERSION").into(),
-        state: sources.readiness.state(),
+        state: context.readiness.state(),
         revision,
         newest,
-        peers: roster.iter().flat_map(|roster| peers(pages, roster)).collect(),
+        peers: roster.iter().flat_map(|roster| peers(api, roster)).collect(),
         counts: Counts {
-            in_flight: load(pages).requests,
+            in_flight: load(api).requests,
             queued: 0,
             ready_endpoints: ready_endpoints as u64,
             open_calls: view.as_ref().map(|view| view.unsettled as u64),
         },
         quorum: match &view {
-            Some(view) => quorum_of(pages, view),
+            Some(view) => quorum_of(api, view),
             None => observer(roster.as_deref()),
         },
     }
 }
 
 /// Lists the endpoints whose lease runs.
-pub(super) fn endpoints(pages: &Pages) -> Endpoints {
-    let Some(roster) = pages.sources.roster.load() else { return Endpoints::default() };
-    let load = load(pages);
-    let shown = roster.endpoints.iter().filter_map(|known| endpoint(pages, known, &load));
+pub(super) fn endpoints(api: &AdminApi) -> Endpoints {
+    let Some(roster) = api.context.roster.load() else { return Endpoints::default() };
+    let load = load(api);
+    let shown = roster.endpoints.iter().filter_map(|known| endpoint(api, known, &load));
     Endpoints { endpoints: shown.collect() }
 }
 
@@ -71,14 +71,14 @@
         .collect()
 }
 
-fn load(pages: &Pages) -> Load {
-    let (reply, answer) = flume::bounded(1);
-    let asked = pages.sources.inquiries.try_send(Inquiry::Load { reply });
-    asked.ok().and_then(|()| answer.recv_timeout(EDGE_TIMEOUT).ok()).unwrap_or_default()
+fn load(api: &AdminApi) -> Load {
+    let (reply, response) = flume::bounded(1);
+    let sent = api.context.inquiries.try_send(Inquiry::Load { reply });
+    sent.ok().and_then(|()| response.recv_timeout(EDGE_RESPONSE_TIMEOUT).ok()).unwrap_or_default()
 }
 
-fn peers(pages: &Pages, roster: &Roster) -> Vec<Peer> {
-    let now = pages.sources.clock.now();
+fn peers(api: &AdminApi, roster: &Roster) -> Vec<Peer> {
+    let now = api.context.clock.now();
     let newest = roster.newest.revision;
     let peer = |peer: &member::Peer| Peer {
         host: peer.update.host.clone(),
@@ -97,10 +97,10 @@
     roster.peers.iter().map(peer).collect()
 }
 
-fn quorum_of(pages: &Pages, view: &ReplicaView) -> QuorumStatus {
+fn quorum_of(api: &AdminApi, view: &ReplicaView) -> QuorumStatus {
     let node = &view.node;
     QuorumStatus {
-        role: match role(view, &pages.sources.cfg.host) {
+        role: match role(view, &api.context.cfg.host) {
             Role::Observer => QuorumRole::Observer,
             Role::Follower => QuorumRole::Follower,
             Role::Candidate => QuorumRole::Candidate,
@@ -134,8 +134,8 @@
     }
 }
 
-fn endpoint(pages: &Pages, known: &Known, load: &Load) -> Option<EndpointStatus> {
-    let now = pages.sources.clock.now();
+fn endpoint(api: &AdminApi, known: &Known, load: &Load) -> Option<EndpointStatus> {
+    let now = api.context.clock.now();
     let announcement = &known.announcement;
     let state = match known.state {
         member::EndpointState::Ready => EndpointState::Ready,
--- a/crates/daemon/src/admin/voters.rs
+++ b/crates/daemon/src/admin/voters.rs
@@ -5,30 +5,31 @@
     operator::{Voter, VoterChange, VoterChangeRequest, Voters},
 };
 
-use super::{Pages, body, problems::Refused, status};
+use super::{AdminApi, body, problems::ApiError, status};
 
 /// Lists the voters; a leader knows how far each has come.
-pub(super) fn list(pages: &Pages) -> Result<Voters, Refused> {
-    let view = pages.sources.replica.load();
+pub(super) fn list(api: &AdminApi) -> Result<Voters, ApiError> {
+    let view = api.context.replica.load();
     if let Some(view) = view.as_ref().filter(|view| view.node.role == quorum::Role::Leader) {
         return Ok(Voters { voters: status::voters(view) });
     }
-    match pages.leader.submit(&LeaderRequest::ReadVoters) {
-        Ok(answer) => voters(answer),
-        Err(refused) => Ok(Voters { voters: status::voters(&view.ok_or(refused)?) }),
+    match api.leader.submit(&LeaderRequest::ReadVoters) {
+        Ok(response) => voters(response),
+        Err(error) => Ok(Voters { voters: status::voters(&view.ok_or(error)?) }),
     }
 }
 
 /// Takes one voter in or out.
-pub(super) fn change(pages: &Pages, req: &Request) -> Result<Voters, Refused> {
-    let VoterChangeRequest { change, author, reason } = body::read(req, body::SMALL_BYTES)?;
+pub(super) fn change(api: &AdminApi, req: &Request) -> Result<Voters, ApiError> {
+    let VoterChangeRequest { change, author, reason } =
+        body::read(req, body::MAX_SMALL_BODY_BYTES)?;
     if reason.trim().is_empty() {
-        return Err(Refused::invalid("the reason is empty"));
+        return Err(ApiError::invalid("the reason is empty"));
     }
     let request = match change {
         VoterChange::Add { host, folder } => {
             let folder =
-                folder.parse().map_err(|e: base::ParseError| Refused::malformed(e.to_string()))?;
+                folder.parse().map_err(|e: base::ParseError| ApiError::malformed(e.to_string()))?;
             log::info!(host:%, folder:%, author:%, reason; "a voter is to be taken in");
             LeaderRequest::AddVoter { host, folder }
         }
@@ -37,11 +38,13 @@
             LeaderRequest::RemoveVoter { host }
         }
     };
-    pages.leader.submit(&request).and_then(voters)
+    api.leader.submit(&request).and_then(voters)
 }
 
-fn voters(answer: LeaderAnswer) -> Result<Voters, Refused> {
-    let LeaderAnswer::Voters(VoterSet { folders }) = answer else { return Err(Refused::unknown()) };
+fn voters(response: LeaderAnswer) -> Result<Voters, ApiError> {
+    let LeaderAnswer::Voters(VoterSet { folders }) = response else {
+        return Err(ApiError::unknown());
+    };
     let voter = |(host, folder): (_, quorum::FolderId)| Voter {
         host,
         folder: folder.to_string().into(),
--- a/crates/daemon/src/configurations.rs
+++ b/crates/daemon/src/configurations.rs
@@ -10,20 +10,20 @@
 pub(crate) use wire::peer::Configuration;
 
 /// Folder of the newest configuration in force, under the data folder.
-const FOLDER: &str = "configuration";
+const FOLDER_NAME: &str = "configuration";
 
 /// The configuration in force; its revision only rises.
 ///
 /// On a host with a data folder it is durable before it is in force, so that no restart goes back.
 #[derive(Clone, Default)]
 pub(crate) struct Configurations {
-    held: Arc<Mutex<Held>>,
+    state: Arc<Mutex<ConfigurationState>>,
     /// Locked before `held`, so that no reader waits for the disk.
-    kept: Arc<Mutex<Option<Document<RealDisk>>>>,
+    stored: Arc<Mutex<Option<Document<RealDisk>>>>,
 }
 
 #[derive(Default)]
-struct Held {
+struct ConfigurationState {
     in_force: Option<Arc<InForce>>,
     subscribers: Vec<flume::Sender<Arc<InForce>>>,
 }
@@ -40,7 +40,7 @@
 impl InForce {
     /// Returns the revision.
     pub(crate) fn revision(&self) -> Revision {
-        self.configuration.as_ref().map_or(Revision::ZERO, |held| held.revision)
+        self.configuration.as_ref().map_or(Revision::ZERO, |active| active.revision)
     }
 }
 
@@ -51,12 +51,12 @@
     ///
     /// Returns an error if the folder can't be used or what it keeps can't be read.
     pub(crate) fn open(data_dir: &Path) -> eyre::Result<Self> {
-        let (document, content) = Document::open(&data_dir.join(FOLDER), RealDisk)?;
+        let (document, content) = Document::open(&data_dir.join(FOLDER_NAME), RealDisk)?;
         let configurations = Self::default();
         if let Some(content) = content {
             configurations.apply_if_newer(Configuration::from_bytes(&content)?);
         }
-        *configurations.lock_kept() = Some(document);
+        *configurations.lock_stored() = Some(document);
         Ok(configurations)
     }
 
@@ -72,18 +72,19 @@
                 return false;
             }
         };
-        let kept = self.lock_kept();
+        let stored = self.lock_stored();
         if configuration.revision <= self.revision() {
             return false;
         }
-        if let Some(Err(e)) = kept.as_ref().map(|kept| kept.write(&configuration.to_bytes())) {
+        if let Some(Err(e)) = stored.as_ref().map(|stored| stored.write(&configuration.to_bytes()))
+        {
             log::error!("revision={} in force, but not kept: {e}", configuration.revision);
         }
-        let mut held = self.lock();
+        let mut state = self.lock();
         log::info!("revision={} in force", configuration.revision);
         let in_force = Arc::new(InForce { configuration: Some(configuration), declaration });
-        held.subscribers.retain(|tx| tx.send(Arc::clone(&in_force)).is_ok());
-        held.in_force = Some(in_force);
+        state.subscribers.retain(|tx| tx.send(Arc::clone(&in_force)).is_ok());
+        state.in_force = Some(in_force);
         true
     }
 
@@ -100,25 +101,25 @@
     /// Returns a ring that gets each configuration from now on, first the one in force.
     pub(crate) fn subscribe(&self) -> flume::Receiver<Arc<InForce>> {
         let (tx, rx) = flume::unbounded();
-        let mut held = self.lock();
-        if let Some(in_force) = &held.in_force {
+        let mut state = self.lock();
+        if let Some(in_force) = &state.in_force {
             let _ = tx.send(Arc::clone(in_force));
         }
-        held.subscribers.push(tx);
+        state.subscribers.push(tx);
         rx
     }
 
-    fn lock(&self) -> MutexGuard<'_, Held> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, ConfigurationState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn lock_kept(&self) -> MutexGuard<'_, Option<Document<RealDisk>>> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_stored(&self) -> MutexGuard<'_, Option<Document<RealDisk>>> {
+        self.stored.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Held {
+impl ConfigurationState {
     fn revision(&self) -> Revision {
-        self.in_force.as_ref().map_or(Revision::ZERO, |held| held.revision())
+        self.in_force.as_ref().map_or(Revision::ZERO, |active| active.revision())
     }
 }
--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -15,35 +15,35 @@
     clock: Clock,
     /// Port of hosts that are named by their addresses, if they are.
     port: Option<u16>,
-    known: Arc<Mutex<Known>>,
+    state: Arc<Mutex<DirectoryState>>,
 }
 
 #[derive(Debug, Default)]
-struct Known {
+struct DirectoryState {
     addresses: BTreeMap<HostId, SocketAddr>,
     hints: LeaderHints,
 }
 
 impl Directory {
     pub(crate) fn new(clock: Clock, port: Option<u16>) -> Self {
-        Self { clock, port, known: Arc::default() }
+        Self { clock, port, state: Arc::default() }
     }
 
     /// Returns where a router listens.
     pub(crate) fn address(&self, host: &HostId) -> Option<SocketAddr> {
-        let told = self.lock().addresses.get(host).copied();
-        told.or_else(|| Some(SocketAddr::new(host.as_str().parse().ok()?, self.port?)))
+        let known = self.lock().addresses.get(host).copied();
+        known.or_else(|| Some(SocketAddr::new(host.as_str().parse().ok()?, self.port?)))
     }
 
     /// Notes where a router listens, and whether it votes.
     pub(crate) fn insert(&self, host: HostId, address: SocketAddr, votes: bool) {
-        let mut known = self.lock();
-        known.addresses.insert(host.clone(), address);
-        known.hints.set_voter(host, votes);
+        let mut state = self.lock();
+        state.addresses.insert(host.clone(), address);
+        state.hints.set_voter(host, votes);
     }
 
     /// Notes that a voter just named the leader.
-    pub(crate) fn named(&self, leader: &HostId) {
+    pub(crate) fn confirm_leader(&self, leader: &HostId) {
         let now = self.clock.now();
         self.lock().hints.named(now, leader);
     }
@@ -59,22 +59,22 @@
     }
 
     /// Notes that a host answered a request to the leader.
-    pub(crate) fn answered(&self, host: &HostId) {
+    pub(crate) fn record_response(&self, host: &HostId) {
         self.lock().hints.answered(host);
     }
 
     /// Notes that a host did not answer a request to the leader in time.
-    pub(crate) fn timed_out(&self, host: &HostId) {
+    pub(crate) fn record_timeout(&self, host: &HostId) {
         let now = self.clock.now();
         self.lock().hints.timed_out(now, host);
     }
 
     /// Returns the hosts that may take a request to the leader, the likeliest first.
-    pub(crate) fn voters(&self) -> Vec<HostId> {
+    pub(crate) fn leader_candidates(&self) -> Vec<HostId> {
         self.lock().hints.order(self.clock.now())
     }
 
-    fn lock(&self) -> MutexGuard<'_, Known> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, DirectoryState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/daemon/src/leader_client.rs
+++ b/crates/daemon/src/leader_client.rs
@@ -10,11 +10,11 @@
     replica::ReplicaInput,
 };
 
-/// Longest wait for one host's answer.
+/// Longest wait for one host's response.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Shortest and longest pause between rounds over all voters.
-const PAUSE_MS: std::ops::RangeInclusive<u64> = 20..=60;
+const ROUND_PAUSE_MS: std::ops::RangeInclusive<u64> = 20..=60;
 
 /// Brings requests to the quorum's leader, wherever it is.
 #[derive(Clone)]
@@ -25,7 +25,7 @@
     directory: Directory,
 }
 
-/// Why a request has no answer.
+/// Why a request has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LeaderRequestError {
     /// No leader took it; it won't be carried out.
@@ -52,44 +52,44 @@
     ) -> Result<LeaderAnswer, LeaderRequestError> {
         let bytes = request.to_bytes();
         let worst = Cell::new(LeaderRequestError::NotAccepted);
-        let asking = async {
+        let attempts = async {
             loop {
-                for host in self.directory.voters() {
+                for host in self.directory.leader_candidates() {
                     // An attempt that the timeout cuts short may be carried out.
                     let before = worst.replace(LeaderRequestError::Unknown);
                     match self.attempt(&host, bytes.clone()).await {
-                        SubmitOutcome::Reply(answer) => {
-                            self.directory.answered(&host);
+                        SubmitOutcome::Reply(response) => {
+                            self.directory.record_response(&host);
                             self.directory.set_leader(Some(host));
-                            return LeaderAnswer::from_bytes(&answer)
+                            return LeaderAnswer::from_bytes(&response)
                                 .map_err(|_| LeaderRequestError::Unknown);
                         }
                         SubmitOutcome::NotWritten { leader } => {
                             worst.set(before);
-                            self.directory.answered(&host);
+                            self.directory.record_response(&host);
                             if let Some(leader) = leader.filter(|leader| *leader != host) {
-                                self.directory.named(&leader);
+                                self.directory.confirm_leader(&leader);
                             }
                         }
-                        SubmitOutcome::Unknown => self.directory.timed_out(&host),
+                        SubmitOutcome::Unknown => self.directory.record_timeout(&host),
                     }
                 }
-                let pause = rand::rng().random_range(PAUSE_MS);
+                let pause = rand::rng().random_range(ROUND_PAUSE_MS);
                 tokio::time::sleep(Duration::from_millis(pause)).await;
             }
         };
-        match tokio::time::timeout(timeout, asking).await {
-            Ok(answer) => answer,
+        match tokio::time::timeout(timeout, attempts).await {
+            Ok(response) => response,
             Err(_) => Err(worst.get()),
         }
     }
 
     async fn attempt(&self, host: &HostId, request: Vec<u8>) -> SubmitOutcome {
-        let (reply, answer) = flume::bounded(1);
+        let (reply, response) = flume::bounded(1);
         if !self.send(host, request, reply) {
             return SubmitOutcome::NotWritten { leader: None };
         }
-        match tokio::time::timeout(ATTEMPT_TIMEOUT, answer.recv_async()).await {
+        match tokio::time::timeout(ATTEMPT_TIMEOUT, response.recv_async()).await {
             Ok(Ok(submitted)) => submitted,
             Ok(Err(_)) | Err(_) => SubmitOutcome::Unknown,
         }
--- a/crates/daemon/src/net.rs
+++ b/crates/daemon/src/net.rs
@@ -19,14 +19,14 @@
 
 /// Connections that may wait to be accepted; with fewer, a burst of callers waits for a second,
 /// the time after which TCP asks again.
-const BACKLOG: i32 = 4096;
+const LISTEN_BACKLOG: i32 = 4096;
 
 /// Listens on `address`.
 pub(crate) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     Ok(socket.into())
 }
 
--- a/crates/daemon/src/peers/client.rs
+++ b/crates/daemon/src/peers/client.rs
@@ -67,8 +67,8 @@
         timeout: Duration,
     ) -> eyre::Result<PeerResponse> {
         let request = request.to_bytes();
-        let asked = self.session.submit(&request);
-        let Ok(Ok(submitted)) = tokio::time::timeout(timeout, asked).await else {
+        let submission = self.session.submit(&request);
+        let Ok(Ok(submitted)) = tokio::time::timeout(timeout, submission).await else {
             return Ok(PeerResponse::Unknown);
         };
         Ok(match submitted {
--- a/crates/daemon/src/peers/handshake.rs
+++ b/crates/daemon/src/peers/handshake.rs
@@ -49,7 +49,7 @@
     }
 
     /// Returns whether `proof` is that of `side`.
-    pub(super) fn check(&self, side: Side<'_>, nonces: &Nonces, proof: &[u8]) -> bool {
+    pub(super) fn verify(&self, side: Side<'_>, nonces: &Nonces, proof: &[u8]) -> bool {
         self.prove(side, nonces).as_slice().ct_eq(proof).into()
     }
 }
--- a/crates/daemon/src/peers/link.rs
+++ b/crates/daemon/src/peers/link.rs
@@ -23,7 +23,7 @@
 
 /// Time for the connection alone; a host without power answers nothing, and TCP asks again only
 /// after a second.
-const OPEN_TIMEOUT: Duration = Duration::from_millis(250);
+const TCP_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Time for a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
@@ -34,7 +34,7 @@
 /// A connection to another router, after the handshake.
 pub(super) struct Session {
     router: router::Client,
-    broken: Rc<std::cell::Cell<bool>>,
+    disconnected: Rc<std::cell::Cell<bool>>,
     driver: JoinHandle<()>,
 }
 
@@ -55,7 +55,7 @@
     loop {
         let next = tokio::time::timeout(IDLE_TIMEOUT, messages.recv_async()).await;
         let Ok(Ok(message)) = next else { return };
-        if session.as_ref().is_some_and(|session| session.broken.get()) {
+        if session.as_ref().is_some_and(|session| session.disconnected.get()) {
             session = None;
         }
         if session.is_none() {
@@ -90,27 +90,28 @@
     address: SocketAddr,
     secret: &FleetSecret,
 ) -> Result<Session, capnp::Error> {
-    let opening = tokio::time::timeout(OPEN_TIMEOUT, net::connect(cfg.source, address)).await;
-    let stream = opening
-        .map_err(|_| capnp::Error::disconnected("the host does not answer".into()))?
+    let connecting =
+        tokio::time::timeout(TCP_CONNECT_TIMEOUT, net::connect(cfg.source, address)).await;
+    let stream = connecting
+        .map_err(|_| capnp::Error::disconnected("the host does not respond".into()))?
         .map_err(|e| capnp::Error::disconnected(e.to_string()))?;
     let (rx, tx) = stream.compat().split();
     let network = VatNetwork::new(rx, tx, RpcSide::Client, reader_options());
     let mut system = RpcSystem::new(Box::new(network), None);
     let gate: gate::Client = system.bootstrap(RpcSide::Server);
-    let broken = Rc::new(std::cell::Cell::new(false));
+    let disconnected = Rc::new(std::cell::Cell::new(false));
     let driver = {
-        let broken = Rc::clone(&broken);
+        let disconnected = Rc::clone(&disconnected);
         tokio::task::spawn_local(async move {
             let _ = system.await;
-            broken.set(true);
+            disconnected.set(true);
         })
     };
-    let router = log_in(&cfg.host, &gate, secret).await?;
-    Ok(Session { router, broken, driver })
+    let router = authenticate(&cfg.host, &gate, secret).await?;
+    Ok(Session { router, disconnected, driver })
 }
 
-async fn log_in(
+async fn authenticate(
     host: &HostId,
     gate: &gate::Client,
     secret: &FleetSecret,
@@ -119,14 +120,14 @@
     let mut hello = gate.hello_request();
     hello.get().set_version(PROTOCOL_VERSION);
     hello.get().set_nonce(&client);
-    let answer = hello.send().promise.await?;
-    let answer = answer.get()?;
-    if answer.get_version() != PROTOCOL_VERSION {
-        let version = answer.get_version();
+    let response = hello.send().promise.await?;
+    let response = response.get()?;
+    if response.get_version() != PROTOCOL_VERSION {
+        let version = response.get_version();
         return Err(capnp::Error::failed(format!("the peer speaks version {version}")));
     }
-    let nonces = Nonces { client, server: read_nonce(answer.get_nonce()?)? };
-    if !secret.check(Side::Server, &nonces, answer.get_proof()?) {
+    let nonces = Nonces { client, server: read_nonce(response.get_nonce()?)? };
+    if !secret.verify(Side::Server, &nonces, response.get_proof()?) {
         return Err(capnp::Error::failed("the peer doesn't know the fleet's key".into()));
     }
     let mut login = gate.login_request();
@@ -155,21 +156,21 @@
 
     /// Sends a message; calls on one connection arrive in the order in which they were sent.
     fn send(&self, message: Outgoing) {
-        let broken = Rc::clone(&self.broken);
+        let disconnected = Rc::clone(&self.disconnected);
         let timeout = message.timeout();
-        let call = Call::new(&self.router, message);
+        let call = PendingCall::new(&self.router, message);
         tokio::task::spawn_local(async move {
             match tokio::time::timeout(timeout, call.finish()).await {
                 Ok(Ok(())) => {}
                 Ok(Err(e)) if e.kind == capnp::ErrorKind::Overloaded => {}
-                Ok(Err(_)) | Err(_) => broken.set(true),
+                Ok(Err(_)) | Err(_) => disconnected.set(true),
             }
         });
     }
 }
 
 impl Outgoing {
-    /// Returns how long the answer may take before the connection counts as broken.
+    /// Returns how long the response may take before the connection counts as disconnected.
     fn timeout(&self) -> Duration {
         match self {
             Self::Gossip { timeout, .. } => *timeout,
@@ -179,26 +180,29 @@
 }
 
 /// A call that has been sent.
-enum Call {
+enum PendingCall {
     Gossip {
-        answer: Sent<router::gossip_results::Owned>,
+        response: PendingResponse<router::gossip_results::Owned>,
         sent: MonotonicTime,
         reply: flume::Sender<RosterInput>,
     },
-    Quorum(Sent<router::quorum_results::Owned>),
-    Submit(Sent<router::submit_results::Owned>, flume::Sender<SubmitOutcome>),
-    Configuration(Sent<router::configuration_results::Owned>, flume::Sender<RosterInput>),
+    Quorum(PendingResponse<router::quorum_results::Owned>),
+    Submit(PendingResponse<router::submit_results::Owned>, flume::Sender<SubmitOutcome>),
+    Configuration(
+        PendingResponse<router::configuration_results::Owned>,
+        flume::Sender<RosterInput>,
+    ),
 }
 
-type Sent<T> = capnp::capability::Promise<capnp::capability::Response<T>, capnp::Error>;
+type PendingResponse<T> = capnp::capability::Promise<capnp::capability::Response<T>, capnp::Error>;
 
-impl Call {
+impl PendingCall {
     fn new(router: &router::Client, message: Outgoing) -> Self {
         match message {
             Outgoing::Gossip { message, sent, reply, .. } => {
                 let mut req = router.gossip_request();
                 req.get().set_message(&message);
-                Self::Gossip { answer: req.send().promise, sent, reply }
+                Self::Gossip { response: req.send().promise, sent, reply }
             }
             Outgoing::Quorum { message } => {
                 let mut req = router.quorum_request();
@@ -220,17 +224,17 @@
 
     async fn finish(self) -> Result<(), capnp::Error> {
         match self {
-            Self::Gossip { answer, sent, reply } => {
-                let answer = answer.await?;
-                let message = answer.get()?.get_reply()?.to_vec();
-                let _ = reply.try_send(RosterInput::Answer { sent, message });
+            Self::Gossip { response, sent, reply } => {
+                let response = response.await?;
+                let message = response.get()?.get_reply()?.to_vec();
+                let _ = reply.try_send(RosterInput::GossipResponse { sent, message });
             }
-            Self::Quorum(sent) => {
-                sent.await?;
+            Self::Quorum(response) => {
+                response.await?;
             }
-            Self::Submit(sent, reply) => {
-                let submitted = match sent.await {
-                    Ok(answer) => read_submitted(answer.get()?.get_submitted()?)?,
+            Self::Submit(response, reply) => {
+                let submitted = match response.await {
+                    Ok(response) => read_submitted(response.get()?.get_submitted()?)?,
                     Err(e) => {
                         let _ = reply.try_send(SubmitOutcome::Unknown);
                         return Err(e);
@@ -238,9 +242,9 @@
                 };
                 let _ = reply.try_send(submitted);
             }
-            Self::Configuration(sent, reply) => {
-                let answer = sent.await?;
-                if let Some(newer) = read_newer(answer.get()?)? {
+            Self::Configuration(response, reply) => {
+                let response = response.await?;
+                if let Some(newer) = read_newer(response.get()?)? {
                     let _ = reply.try_send(RosterInput::Configuration(newer));
                 }
             }
@@ -250,9 +254,13 @@
 }
 
 fn read_newer(
-    answer: router::configuration_results::Reader<'_>,
+    response: router::configuration_results::Reader<'_>,
 ) -> Result<Option<Configuration>, capnp::Error> {
-    if answer.has_newer() { Configuration::read(answer.get_newer()?).map(Some) } else { Ok(None) }
+    if response.has_newer() {
+        Configuration::read(response.get_newer()?).map(Some)
+    } else {
+        Ok(None)
+    }
 }
 
 fn read_submitted(submitted: submitted::Reader<'_>) -> Result<SubmitOutcome, capnp::Error> {
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -32,7 +32,7 @@
 const MAX_MESSAGE_WORDS: usize = 1 << 20;
 
 /// Messages that wait for one peer; more are dropped.
-const LINK_RING: usize = 256;
+const LINK_CHANNEL_CAPACITY: usize = 256;
 
 /// What the thread needs.
 #[derive(Clone)]
@@ -171,9 +171,9 @@
 async fn dispatch(cfg: PeersConfig, secret: Rc<FleetSecret>, outbox: flume::Receiver<Envelope>) {
     let mut links: HashMap<SocketAddr, flume::Sender<Outgoing>> = HashMap::new();
     while let Ok(Envelope { to, message }) = outbox.recv_async().await {
-        let known = links.get(&to).filter(|link| !link.is_disconnected());
-        let link = known.cloned().unwrap_or_else(|| {
-            let (tx, rx) = flume::bounded(LINK_RING);
+        let open = links.get(&to).filter(|link| !link.is_disconnected());
+        let link = open.cloned().unwrap_or_else(|| {
+            let (tx, rx) = flume::bounded(LINK_CHANNEL_CAPACITY);
             tokio::task::spawn_local(link::run(cfg.clone(), to, Rc::clone(&secret), rx));
             links.insert(to, tx.clone());
             tx
--- a/crates/daemon/src/peers/server.rs
+++ b/crates/daemon/src/peers/server.rs
@@ -16,7 +16,7 @@
 };
 
 /// Time to wait after a failure to accept, such as too many open files.
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Answers other routers until the thread ends.
 pub(super) async fn run(listener: std::net::TcpListener, secret: Rc<FleetSecret>, inbox: Inbox) {
@@ -37,7 +37,7 @@
             }
             Err(e) => {
                 log::warn!("could not accept a router's connection: {e}");
-                tokio::time::sleep(ACCEPT_RETRY).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -89,9 +89,9 @@
             .to_str()?
             .parse()
             .map_err(|e: base::ParseError| capnp::Error::failed(e.to_string()))?;
-        let nonces = self.nonces.take().ok_or_else(|| refused("login before hello"))?;
-        if !self.secret.check(Side::Client(&host), &nonces, params.get_proof()?) {
-            return Err(refused("the proof doesn't fit the fleet's key"));
+        let nonces = self.nonces.take().ok_or_else(|| rejected("login before hello"))?;
+        if !self.secret.verify(Side::Client(&host), &nonces, params.get_proof()?) {
+            return Err(rejected("the proof doesn't fit the fleet's key"));
         }
         let router = Router { host, inbox: self.inbox.clone() };
         results.get().set_router(capnp_rpc::new_client(router));
@@ -99,8 +99,8 @@
     }
 }
 
-fn refused(why: &str) -> capnp::Error {
-    capnp::Error::failed(why.to_owned())
+fn rejected(reason: &str) -> capnp::Error {
+    capnp::Error::failed(reason.to_owned())
 }
 
 /// What a router of the fleet can reach.
@@ -116,11 +116,11 @@
         mut results: router::GossipResults,
     ) -> Result<(), capnp::Error> {
         let message = params.get()?.get_message()?.to_vec();
-        let (reply, answer) = flume::bounded(1);
+        let (reply, response) = flume::bounded(1);
         let call = RosterInput::Gossip(GossipCall { message, reply });
         self.inbox.roster.try_send(call).map_err(|_| overloaded())?;
-        let answer = answer.recv_async().await.map_err(|_| overloaded())?;
-        results.get().set_reply(&answer);
+        let response = response.recv_async().await.map_err(|_| overloaded())?;
+        results.get().set_reply(&response);
         Ok(())
     }
 
@@ -132,7 +132,7 @@
         let message = params.get()?.get_message()?.to_vec();
         let call = QuorumCall { from: self.host.clone(), message };
         let replica =
-            self.inbox.replica.as_ref().ok_or_else(|| refused("this host has no vote"))?;
+            self.inbox.replica.as_ref().ok_or_else(|| rejected("this host has no vote"))?;
         replica.try_send(ReplicaInput::Quorum(call)).map_err(|_| overloaded())
     }
 
@@ -142,11 +142,11 @@
         mut results: router::SubmitResults,
     ) -> Result<(), capnp::Error> {
         let request = params.get()?.get_request()?.to_vec();
-        let (reply, answer) = flume::bounded(1);
+        let (reply, response) = flume::bounded(1);
         let input = ReplicaInput::Submit(SubmitCall { request, reply });
         let replica = self.inbox.replica.as_ref();
         let submitted = match replica.map(|replica| replica.try_send(input)) {
-            Some(Ok(())) => answer.recv_async().await.unwrap_or(SubmitOutcome::Unknown),
+            Some(Ok(())) => response.recv_async().await.unwrap_or(SubmitOutcome::Unknown),
             Some(Err(_)) | None => SubmitOutcome::NotWritten { leader: None },
         };
         let mut result = results.get().init_submitted();
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     Settings,
-    admin::{self, Sources},
+    admin::{self, AdminContext},
     clock::Clock,
     configurations::Configurations,
     directory::Directory,
@@ -20,27 +20,27 @@
     leader_client::LeaderClient,
     net,
     peers::{self, Envelope, Inbox, PeersConfig},
-    readiness::{self, News, Readiness},
+    readiness::{self, Readiness, StartupSync},
     replica::{self, ReplicaConfig, ReplicaInput, ReplicaRings, ReplicaState},
-    roster::{self, LatestRoster, RosterInput, RosterRings},
+    roster::{self, LatestRoster, RosterChannels, RosterInput},
 };
 
 /// Messages in a ring between two threads.
-pub(crate) const RING: usize = 4096;
+pub(crate) const CHANNEL_CAPACITY: usize = 4096;
 
 /// Rosters in the ring to the edge thread.
-const ROSTER_RING: usize = 1;
+const ROSTER_CHANNEL_CAPACITY: usize = 1;
 
 /// Operators' questions in the ring to the edge thread.
-const INQUIRY_RING: usize = 16;
+const INQUIRY_CHANNEL_CAPACITY: usize = 16;
 
 /// The process's threads, as far as its end needs them.
 pub(crate) struct Process {
     pub edge: JoinHandle<EdgeEnd>,
     pub control: flume::Sender<Control>,
     pub readiness: Readiness,
-    /// News of peers to wait for, where readiness depends on it.
-    pub news: Option<News>,
+    /// StartupSync of peers to wait for, where readiness depends on it.
+    pub startup_sync: Option<StartupSync>,
     pub roster: flume::Sender<RosterInput>,
     pub replica: Option<flume::Sender<ReplicaInput>>,
     /// Sends the last spans on drop.
@@ -63,7 +63,7 @@
 }
 
 /// The ways to the threads that keep to the other hosts.
-struct Common {
+struct CoreThreads {
     replica: Option<flume::Sender<ReplicaInput>>,
     leader: LeaderClient,
     rosters: flume::Receiver<Arc<Roster>>,
@@ -72,19 +72,19 @@
 impl Process {
     /// Binds the addresses, opens the data folder and starts the threads.
     pub(crate) fn start(cfg: &Arc<Settings>) -> eyre::Result<Self> {
-        let (outbox, outbox_rx) = flume::bounded(RING);
-        let (roster, roster_inputs) = flume::bounded(RING);
+        let (outbox, outbox_rx) = flume::bounded(CHANNEL_CAPACITY);
+        let (roster, roster_inputs) = flume::bounded(CHANNEL_CAPACITY);
         let shared = Shared::new(cfg, outbox, roster)?;
         let (tracer, exporter) = tracing(cfg, &shared.metrics)?;
         let edge_listener = bind(cfg.listen)?;
         let peer_listener = bind(cfg.peer_listen)?;
 
-        let Common { replica, leader, rosters } =
-            shared.start_common(peer_listener, outbox_rx, roster_inputs)?;
-        let news = shared.news(leader.clone())?;
+        let CoreThreads { replica, leader, rosters } =
+            shared.start_core_threads(peer_listener, outbox_rx, roster_inputs)?;
+        let startup_sync = shared.startup_sync(leader.clone())?;
         let inquiries = shared.start_admin(leader.clone())?;
-        let (control, control_rx) = flume::bounded(RING);
-        let rings = Rings {
+        let (control, control_rx) = flume::bounded(CHANNEL_CAPACITY);
+        let channels = Rings {
             rosters,
             announcements: shared.roster.clone(),
             control: control_rx,
@@ -95,12 +95,12 @@
             metrics: Arc::clone(&shared.metrics),
             tracer,
         };
-        let edge = edge::spawn(Arc::clone(cfg), shared.clock, edge_listener, rings)?;
+        let edge = edge::spawn(Arc::clone(cfg), shared.clock, edge_listener, channels)?;
         Ok(Self {
             edge,
             control,
             readiness: shared.readiness,
-            news: Some(news),
+            startup_sync: Some(startup_sync),
             roster: shared.roster,
             replica,
             _exporter: exporter,
@@ -114,8 +114,8 @@
         gateway_cfg: GatewaySettings,
         dialect: D,
     ) -> eyre::Result<Self> {
-        let (outbox, outbox_rx) = flume::bounded(RING);
-        let (roster, roster_inputs) = flume::bounded(RING);
+        let (outbox, outbox_rx) = flume::bounded(CHANNEL_CAPACITY);
+        let (roster, roster_inputs) = flume::bounded(CHANNEL_CAPACITY);
         let shared = Shared::new(cfg, outbox, roster)?;
         let listeners = GatewayListeners {
             callers: gateway_cfg.callers.map(bind_nonblocking).transpose()?,
@@ -123,12 +123,12 @@
             control: gateway_cfg.control.map(bind_nonblocking).transpose()?,
         };
         let peer_listener = bind(cfg.peer_listen)?;
-        let Common { replica, leader, rosters } =
-            shared.start_common(peer_listener, outbox_rx, roster_inputs)?;
+        let CoreThreads { replica, leader, rosters } =
+            shared.start_core_threads(peer_listener, outbox_rx, roster_inputs)?;
         // Questions that need the own interface stay without an answer.
         let _ = shared.start_admin(leader.clone())?;
-        let (control, control_rx) = flume::bounded(RING);
-        let rings = GatewayRings {
+        let (control, control_rx) = flume::bounded(CHANNEL_CAPACITY);
+        let channels = GatewayRings {
             rosters,
             latest: shared.latest.clone(),
             roster: shared.roster.clone(),
@@ -144,12 +144,13 @@
             source: cfg.listen.ip(),
             drain_notice: cfg.timeouts.drain_notice,
         };
-        let edge = gateway::spawn(gateway_cfg, dialect, identity, shared.clock, listeners, rings)?;
+        let edge =
+            gateway::spawn(gateway_cfg, dialect, identity, shared.clock, listeners, channels)?;
         Ok(Self {
             edge,
             control,
             readiness: shared.readiness,
-            news: None,
+            startup_sync: None,
             roster: shared.roster,
             replica,
             _exporter: None,
@@ -190,37 +191,37 @@
     }
 
     /// Starts the threads that keep to the other hosts.
-    fn start_common(
+    fn start_core_threads(
         &self,
         peer_listener: TcpListener,
         outbox: flume::Receiver<Envelope>,
         roster_inputs: flume::Receiver<RosterInput>,
-    ) -> eyre::Result<Common> {
+    ) -> eyre::Result<CoreThreads> {
         let replica = self.start_replica()?;
         let leader = self.leader_client(replica.clone());
         let rosters = self.start_roster(roster_inputs, replica.clone())?;
         self.start_peers(peer_listener, outbox, replica.clone())?;
-        Ok(Common { replica, leader, rosters })
+        Ok(CoreThreads { replica, leader, rosters })
     }
 
     /// Starts the replica thread on a host with a vote.
     fn start_replica(&self) -> eyre::Result<Option<flume::Sender<ReplicaInput>>> {
         let (Some(data_dir), true) = (&self.cfg.data_dir, self.cfg.voter) else { return Ok(None) };
-        let (tx, inputs) = flume::bounded(RING);
+        let (tx, inputs) = flume::bounded(CHANNEL_CAPACITY);
         let replica_cfg = ReplicaConfig {
             host: self.cfg.host.clone(),
             founders: self.cfg.founders.clone(),
             data_dir: data_dir.clone(),
             healing: self.cfg.healing,
         };
-        let rings = ReplicaRings {
+        let channels = ReplicaRings {
             inputs,
             outbox: self.outbox.clone(),
             directory: self.directory.clone(),
             configurations: self.configurations.clone(),
             state: self.replica_state.clone(),
         };
-        replica::spawn(replica_cfg, self.clock, rings)?;
+        replica::spawn(replica_cfg, self.clock, channels)?;
         Ok(Some(tx))
     }
 
@@ -235,11 +236,11 @@
         inputs: flume::Receiver<RosterInput>,
         replica: Option<flume::Sender<ReplicaInput>>,
     ) -> eyre::Result<flume::Receiver<Arc<Roster>>> {
-        let (rosters, rosters_rx) = flume::bounded(ROSTER_RING);
-        let me = self.myself(replica.is_some());
-        let rings = RosterRings {
+        let (rosters, rosters_rx) = flume::bounded(ROSTER_CHANNEL_CAPACITY);
+        let me = self.own_peer_update(replica.is_some());
+        let channels = RosterChannels {
             inputs,
-            answers: self.roster.clone(),
+            responses: self.roster.clone(),
             rosters,
             older_rosters: rosters_rx.clone(),
             latest: self.latest.clone(),
@@ -250,11 +251,11 @@
             replica_state: self.replica_state.clone(),
             metrics: Arc::clone(&self.metrics),
         };
-        roster::spawn(self.clock, me, self.cfg.seeds.clone(), rings)?;
+        roster::spawn(self.clock, me, self.cfg.seeds.clone(), channels)?;
         Ok(rosters_rx)
     }
 
-    fn myself(&self, votes: bool) -> PeerUpdate {
+    fn own_peer_update(&self, votes: bool) -> PeerUpdate {
         PeerUpdate {
             host: self.cfg.host.clone(),
             data_centre: self.cfg.data_centre.clone(),
@@ -290,19 +291,19 @@
         Ok(())
     }
 
-    fn news(&self, leader: LeaderClient) -> eyre::Result<News> {
-        Ok(News {
-            awaited: self.cfg.seeds.iter().any(|seed| *seed != self.cfg.peer_advertise),
+    fn startup_sync(&self, leader: LeaderClient) -> eyre::Result<StartupSync> {
+        Ok(StartupSync {
+            has_peers: self.cfg.seeds.iter().any(|seed| *seed != self.cfg.peer_advertise),
             roster: self.latest.clone(),
             configurations: self.configurations.clone(),
-            committed: readiness::ask_leader(leader)?,
+            committed: readiness::fetch_committed_revision(leader)?,
         })
     }
 
     /// Starts the operator's pages; returns the ring of their questions to the edge thread.
     fn start_admin(&self, leader: LeaderClient) -> eyre::Result<flume::Receiver<Inquiry>> {
-        let (inquiries, inquiries_rx) = flume::bounded(INQUIRY_RING);
-        let sources = Sources {
+        let (inquiries, inquiries_rx) = flume::bounded(INQUIRY_CHANNEL_CAPACITY);
+        let context = AdminContext {
             cfg: Arc::clone(&self.cfg),
             clock: self.clock,
             incarnation: self.incarnation,
@@ -314,7 +315,7 @@
             inquiries,
             metrics: Arc::clone(&self.metrics),
         };
-        admin::spawn(self.cfg.admin_listen, sources)
+        admin::spawn(self.cfg.admin_listen, context)
             .wrap_err("could not serve the operator's pages")?;
         Ok(inquiries_rx)
     }
--- a/crates/daemon/src/readiness.rs
+++ b/crates/daemon/src/readiness.rs
@@ -17,7 +17,7 @@
 use crate::{configurations::Configurations, leader_client::LeaderClient, roster::LatestRoster};
 
 /// Longest time that a starting router waits for news from its peers and the leader.
-pub(crate) const NEWS_TIMEOUT: Duration = Duration::from_secs(2);
+pub(crate) const STARTUP_SYNC_TIMEOUT: Duration = Duration::from_secs(2);
 
 const STARTING: u8 = 0;
 const READY: u8 = 1;
@@ -49,9 +49,9 @@
 }
 
 /// What a starting router has heard of the fleet.
-pub(crate) struct News {
+pub(crate) struct StartupSync {
     /// Whether there are peers to hear from.
-    pub awaited: bool,
+    pub has_peers: bool,
     /// The newest roster.
     pub roster: LatestRoster,
     /// The configuration in force here.
@@ -60,18 +60,18 @@
     pub committed: Arc<OnceLock<Revision>>,
 }
 
-impl News {
+impl StartupSync {
     /// Returns whether a peer has spoken and no newer configuration is committed than the one in
     /// force here.
     ///
     /// The peer that speaks first may lag; only the leader knows the newest revision.
-    pub(crate) fn is_here(&self) -> bool {
-        if !self.awaited {
+    pub(crate) fn is_complete(&self) -> bool {
+        if !self.has_peers {
             return true;
         }
         let Some(committed) = self.committed.get() else { return false };
-        let heard = self.roster.load().is_some_and(|roster| has_spoken(&roster));
-        heard && *committed <= self.configurations.revision()
+        let has_contact = self.roster.load().is_some_and(|roster| has_contact(&roster));
+        has_contact && *committed <= self.configurations.revision()
     }
 }
 
@@ -80,19 +80,21 @@
 /// # Errors
 ///
 /// Returns an error if the thread or its runtime can't be made.
-pub(crate) fn ask_leader(leader: LeaderClient) -> io::Result<Arc<OnceLock<Revision>>> {
+pub(crate) fn fetch_committed_revision(
+    leader: LeaderClient,
+) -> io::Result<Arc<OnceLock<Revision>>> {
     let committed = Arc::new(OnceLock::new());
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build()?;
-    let answer = Arc::clone(&committed);
+    let result = Arc::clone(&committed);
     std::thread::Builder::new().name("news".into()).spawn(move || {
-        let asking = leader.submit(&LeaderRequest::ReadRevision, NEWS_TIMEOUT);
-        if let Ok(LeaderAnswer::Revision(revision)) = runtime.block_on(asking) {
-            let _ = answer.set(revision);
+        let request = leader.submit(&LeaderRequest::ReadRevision, STARTUP_SYNC_TIMEOUT);
+        if let Ok(LeaderAnswer::Revision(revision)) = runtime.block_on(request) {
+            let _ = result.set(revision);
         }
     })?;
     Ok(committed)
 }
 
-fn has_spoken(roster: &Roster) -> bool {
+fn has_contact(roster: &Roster) -> bool {
     roster.peers.iter().any(|p| p.heard.is_some() && p.update.state != PeerState::Dead)
 }
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -20,13 +20,13 @@
 };
 
 /// Time to wait for a newer configuration before asking for it again.
-const CONFIGURATION_RETRY: Duration = Duration::from_millis(300);
+const CONFIGURATION_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Pause between two ticks from which the process, or its host, was suspended or starved.
-const STANDSTILL: Duration = Duration::from_secs(1);
+const STALL_THRESHOLD: Duration = Duration::from_secs(1);
 
 /// Time between looks at which hosts may become voters.
-const LEARNERS_PERIOD: Duration = Duration::from_millis(500);
+const LEARNERS_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What other threads tell the roster thread.
 pub(crate) enum RosterInput {
@@ -35,7 +35,7 @@
     /// Another router gossips.
     Gossip(GossipCall),
     /// Another router answered gossip.
-    Answer {
+    GossipResponse {
         /// When the message that it answers was sent.
         sent: MonotonicTime,
         /// The answer.
@@ -68,11 +68,11 @@
 }
 
 /// What joins the roster thread to the others.
-pub(crate) struct RosterRings {
+pub(crate) struct RosterChannels {
     /// What others tell it.
     pub inputs: flume::Receiver<RosterInput>,
     /// The other end of `inputs`, for answers.
-    pub answers: flume::Sender<RosterInput>,
+    pub responses: flume::Sender<RosterInput>,
     /// Takes each roster.
     pub rosters: flume::Sender<Arc<Roster>>,
     /// The other end of `rosters`, to take an older roster out of a full ring.
@@ -102,7 +102,7 @@
     clock: Clock,
     me: PeerUpdate,
     seeds: Vec<std::net::SocketAddr>,
-    rings: RosterRings,
+    channels: RosterChannels,
 ) -> io::Result<()> {
     let membership = Membership::new(clock.now(), me, seeds, Budget::default());
     let rng = Pcg64Mcg::seed_from_u64(rand::random());
@@ -110,11 +110,11 @@
         clock,
         membership,
         rng,
-        rings,
+        channels,
         next_tick: clock.now(),
-        ticked: MonotonicTime::ZERO,
-        asked: MonotonicTime::ZERO,
-        learners_told: MonotonicTime::ZERO,
+        last_tick: MonotonicTime::ZERO,
+        last_configuration_request: MonotonicTime::ZERO,
+        learners_sent_at: MonotonicTime::ZERO,
     };
     std::thread::Builder::new().name("roster".into()).spawn(move || driver.run())?;
     Ok(())
@@ -124,24 +124,24 @@
     clock: Clock,
     membership: Membership,
     rng: Pcg64Mcg,
-    rings: RosterRings,
+    channels: RosterChannels,
     next_tick: MonotonicTime,
-    ticked: MonotonicTime,
-    asked: MonotonicTime,
-    learners_told: MonotonicTime,
+    last_tick: MonotonicTime,
+    last_configuration_request: MonotonicTime,
+    learners_sent_at: MonotonicTime,
 }
 
 impl Driver {
     fn run(mut self) {
         loop {
             let wait = self.next_tick.saturating_since(self.clock.now());
-            match self.rings.inputs.recv_timeout(wait) {
-                Ok(input) => self.take(input),
+            match self.channels.inputs.recv_timeout(wait) {
+                Ok(input) => self.handle(input),
                 Err(flume::RecvTimeoutError::Timeout) => {}
                 Err(flume::RecvTimeoutError::Disconnected) => return,
             }
-            while let Ok(input) = self.rings.inputs.try_recv() {
-                self.take(input);
+            while let Ok(input) = self.channels.inputs.try_recv() {
+                self.handle(input);
             }
             let now = self.clock.now();
             let ticked = self.next_tick <= now;
@@ -155,7 +155,7 @@
         }
     }
 
-    fn take(&mut self, input: RosterInput) {
+    fn handle(&mut self, input: RosterInput) {
         let now = self.clock.now();
         match input {
             RosterInput::Announced(announcement) => {
@@ -163,33 +163,35 @@
                     log::debug!(endpoint:% = stale.endpoint; "stale announcement dropped");
                 }
             }
-            RosterInput::Gossip(call) => self.take_gossip(now, &call),
-            RosterInput::Answer { sent, message } => self.take_answer(now, sent, &message),
+            RosterInput::Gossip(call) => self.handle_gossip(now, &call),
+            RosterInput::GossipResponse { sent, message } => {
+                self.handle_gossip_response(now, sent, &message)
+            }
             RosterInput::Configuration(configuration) => {
-                self.rings.configurations.apply_if_newer(configuration);
+                self.channels.configurations.apply_if_newer(configuration);
             }
             RosterInput::Draining => self.membership.set_draining(true),
             RosterInput::Seeds(seeds) => self.membership.set_seeds(seeds),
         }
-        self.ask_for_configuration(now);
+        self.request_configuration(now);
     }
 
-    fn take_gossip(&mut self, now: MonotonicTime, call: &GossipCall) {
-        self.rings.metrics.gossip_received(byte_count(&call.message));
+    fn handle_gossip(&mut self, now: MonotonicTime, call: &GossipCall) {
+        self.channels.metrics.gossip_received(byte_count(&call.message));
         match gossip_from_bytes(&call.message) {
             Ok(message) => {
                 // A router that starts takes the first answers for what its peers hold.
-                self.membership.set_revision(self.rings.configurations.revision());
-                let answer = gossip_to_bytes(&self.membership.request(now, message));
-                self.rings.metrics.gossip_sent(byte_count(&answer));
-                let _ = call.reply.try_send(answer);
+                self.membership.set_revision(self.channels.configurations.revision());
+                let response = gossip_to_bytes(&self.membership.request(now, message));
+                self.channels.metrics.gossip_sent(byte_count(&response));
+                let _ = call.reply.try_send(response);
             }
             Err(e) => log::warn!(error:% = e; "gossip dropped"),
         }
     }
 
-    fn take_answer(&mut self, now: MonotonicTime, sent: MonotonicTime, message: &[u8]) {
-        self.rings.metrics.gossip_received(byte_count(message));
+    fn handle_gossip_response(&mut self, now: MonotonicTime, sent: MonotonicTime, message: &[u8]) {
+        self.channels.metrics.gossip_received(byte_count(message));
         match gossip_from_bytes(message) {
             Ok(message) => {
                 let follow_ups = self.membership.response(now, sent, message);
@@ -200,61 +202,62 @@
     }
 
     fn tick(&mut self, now: MonotonicTime) {
-        let stood_still = now.saturating_since(self.ticked);
-        if STANDSTILL <= stood_still && self.ticked != MonotonicTime::ZERO {
-            log::warn!(stood_still_ms = stood_still.as_millis() as u64; "the process stood still");
+        let stall = now.saturating_since(self.last_tick);
+        if STALL_THRESHOLD <= stall && self.last_tick != MonotonicTime::ZERO {
+            log::warn!(stall_ms = stall.as_millis() as u64; "the process stood still");
         }
-        self.ticked = now;
-        let revision = self.rings.configurations.revision();
+        self.last_tick = now;
+        let revision = self.channels.configurations.revision();
         self.membership.set_revision(revision);
-        self.rings.metrics.revision(revision);
-        let mut part = (QuorumRole::Observer, Term::ZERO);
-        if let Some(view) = self.rings.replica_state.load() {
+        self.channels.metrics.revision(revision);
+        let mut quorum_state = (QuorumRole::Observer, Term::ZERO);
+        if let Some(view) = self.channels.replica_state.load() {
             self.membership.set_leader(view.node.leader.clone());
-            self.tell_learners(now, &view.node.voters);
-            part = (role(&view, &self.membership.peers().me().host), view.node.term);
+            self.send_learners(now, &view.node.voters);
+            quorum_state = (role(&view, &self.membership.peers().me().host), view.node.term);
         }
-        self.rings.metrics.quorum(part.0, part.1);
+        self.channels.metrics.quorum(quorum_state.0, quorum_state.1);
         let messages = self.membership.tick(now, &mut self.rng);
         self.send(now, messages);
-        self.ask_for_configuration(now);
-        self.note_peers();
+        self.request_configuration(now);
+        self.update_directory();
     }
 
     fn send(&self, now: MonotonicTime, messages: Vec<member::Outgoing>) {
         for outgoing in messages {
             let message = gossip_to_bytes(&outgoing.message);
-            self.rings.metrics.gossip_sent(byte_count(&message));
+            self.channels.metrics.gossip_sent(byte_count(&message));
             let message = Outgoing::Gossip {
                 message,
                 sent: now,
                 timeout: outgoing.timeout,
-                reply: self.rings.answers.clone(),
+                reply: self.channels.responses.clone(),
             };
-            let _ = self.rings.outbox.try_send(Envelope { to: outgoing.to, message });
+            let _ = self.channels.outbox.try_send(Envelope { to: outgoing.to, message });
         }
     }
 
     /// Asks the router that has the newest configuration for it, if it isn't in force here.
-    fn ask_for_configuration(&mut self, now: MonotonicTime) {
-        let in_force = self.rings.configurations.revision();
+    fn request_configuration(&mut self, now: MonotonicTime) {
+        let in_force = self.channels.configurations.revision();
         let newest = self.membership.newest_revision();
-        let asked_lately = now.saturating_since(self.asked) < CONFIGURATION_RETRY;
-        let never_asked = self.asked == MonotonicTime::ZERO;
-        if newest.revision <= in_force || (asked_lately && !never_asked) {
+        let requested_recently =
+            now.saturating_since(self.last_configuration_request) < CONFIGURATION_RETRY_INTERVAL;
+        let never_requested = self.last_configuration_request == MonotonicTime::ZERO;
+        if newest.revision <= in_force || (requested_recently && !never_requested) {
             return;
         }
         let Some(peer) = self.membership.peers().find(&newest.host) else { return };
         let to = peer.update.address;
         let message =
-            Outgoing::Configuration { above: in_force, reply: self.rings.answers.clone() };
-        if self.rings.outbox.try_send(Envelope { to, message }).is_ok() {
-            self.asked = now;
+            Outgoing::Configuration { above: in_force, reply: self.channels.responses.clone() };
+        if self.channels.outbox.try_send(Envelope { to, message }).is_ok() {
+            self.last_configuration_request = now;
         }
     }
 
-    fn note_peers(&self) {
-        let directory = &self.rings.directory;
+    fn update_directory(&self) {
+        let directory = &self.channels.directory;
         let me = self.membership.peers().me();
         directory.insert(me.host.clone(), me.address, me.votes);
         for peer in self.membership.peers().live() {
@@ -267,12 +270,12 @@
     }
 
     /// Tells the replica thread which hosts may become voters.
-    fn tell_learners(&mut self, now: MonotonicTime, voters: &quorum::VoterSet) {
-        let Some(replica) = &self.rings.replica else { return };
-        if now.saturating_since(self.learners_told) < LEARNERS_PERIOD {
+    fn send_learners(&mut self, now: MonotonicTime, voters: &quorum::VoterSet) {
+        let Some(replica) = &self.channels.replica else { return };
+        if now.saturating_since(self.learners_sent_at) < LEARNERS_INTERVAL {
             return;
         }
-        self.learners_told = now;
+        self.learners_sent_at = now;
         let live = self.membership.peers().live().map(|peer| &peer.update);
         let learners: Vec<HostId> = live
             .filter(|peer| peer.votes && !voters.folders.contains_key(&peer.host))
@@ -298,10 +301,10 @@
 
     fn publish(&self) {
         let roster = self.membership.roster(self.clock.now());
-        self.rings.latest.store(Arc::clone(&roster));
-        if let Err(flume::TrySendError::Full(roster)) = self.rings.rosters.try_send(roster) {
-            let _ = self.rings.older_rosters.try_recv();
-            let _ = self.rings.rosters.try_send(roster);
+        self.channels.latest.store(Arc::clone(&roster));
+        if let Err(flume::TrySendError::Full(roster)) = self.channels.rosters.try_send(roster) {
+            let _ = self.channels.older_rosters.try_recv();
+            let _ = self.channels.rosters.try_send(roster);
         }
     }
 }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -12,25 +12,25 @@
     Settings, SettingsError,
     edge::{Control, EdgeEnd},
     gateway::{Dialect, GatewaySettings},
-    process::{Process, RING},
-    readiness::NEWS_TIMEOUT,
+    process::{CHANNEL_CAPACITY, Process},
+    readiness::STARTUP_SYNC_TIMEOUT,
     replica::ReplicaInput,
     roster::RosterInput,
     signals::{self, Signal},
 };
 
 /// Time between looks at what the peers have told.
-const NEWS_POLL: Duration = Duration::from_millis(10);
+const STARTUP_SYNC_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Longest time that the end of the process waits for another voter to lead.
-const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(500);
+const LEADERSHIP_TRANSFER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time between looks at whether the settings name other seeds.
-const RELOAD_PERIOD: Duration = Duration::from_secs(1);
+const SEEDS_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 const EXIT_FAILED: u8 = 1;
-const EXIT_SETTINGS: u8 = 2;
-const EXIT_CUT: u8 = 3;
+const EXIT_INVALID_SETTINGS: u8 = 2;
+const EXIT_REQUESTS_ABORTED: u8 = 3;
 
 /// Runs the daemon with the process's settings and returns its exit code.
 pub fn main() -> ExitCode {
@@ -42,7 +42,7 @@
         }
         Err(e) => {
             eprintln!("{e}");
-            ExitCode::from(EXIT_SETTINGS)
+            ExitCode::from(EXIT_INVALID_SETTINGS)
         }
     }
 }
@@ -53,11 +53,11 @@
         println!("settings are valid");
         return ExitCode::SUCCESS;
     }
-    logged(cfg, run)
+    run_with_logs(cfg, run)
 }
 
 /// Runs the daemon with its log and turns the way it ended into an exit code.
-fn logged(cfg: Settings, run: impl FnOnce(Settings) -> eyre::Result<EdgeEnd>) -> ExitCode {
+fn run_with_logs(cfg: Settings, run: impl FnOnce(Settings) -> eyre::Result<EdgeEnd>) -> ExitCode {
     let _logs = match init_logs(cfg.telemetry.log_format, cfg.telemetry.log_level) {
         Ok(guard) => guard,
         Err(e) => {
@@ -65,15 +65,15 @@
             return ExitCode::from(EXIT_FAILED);
         }
     };
-    ended(run(cfg))
+    to_exit_code(run(cfg))
 }
 
-fn ended(end: eyre::Result<EdgeEnd>) -> ExitCode {
+fn to_exit_code(end: eyre::Result<EdgeEnd>) -> ExitCode {
     match end {
         Ok(EdgeEnd { cut: 0 }) => ExitCode::SUCCESS,
         Ok(EdgeEnd { cut }) => {
             log::error!(cut; "ended with requests cut, by a second signal or at the end of its time");
-            ExitCode::from(EXIT_CUT)
+            ExitCode::from(EXIT_REQUESTS_ABORTED)
         }
         Err(e) => {
             log::error!(error:% = format!("{e:#}"); "failed");
@@ -90,16 +90,16 @@
 /// be made.
 pub fn run(cfg: Settings) -> eyre::Result<EdgeEnd> {
     let cfg = Arc::new(cfg);
-    let (signal_tx, signals) = flume::bounded(RING);
+    let (signal_tx, signals) = flume::bounded(CHANNEL_CAPACITY);
     signals::spawn(signal_tx).wrap_err("could not watch signals")?;
     let process = Process::start(&cfg)?;
     log::info!(host:% = cfg.host, address:% = cfg.listen; "serving callers");
 
-    let signal = match wait_for_news(&process, &signals) {
+    let signal = match wait_for_startup_sync(&process, &signals) {
         Some(signal) => signal,
-        None => wait_for_end(&signals)?,
+        None => wait_for_termination(&signals)?,
     };
-    end(&cfg, process, signal, &signals)
+    shut_down(&cfg, process, signal, &signals)
 }
 
 /// Runs the daemon as a gateway in `dialect` and turns the way it ended into an exit code.
@@ -108,7 +108,7 @@
     gateway_cfg: GatewaySettings,
     dialect: D,
 ) -> ExitCode {
-    logged(cfg, |cfg| run_gateway(cfg, gateway_cfg, dialect))
+    run_with_logs(cfg, |cfg| run_gateway(cfg, gateway_cfg, dialect))
 }
 
 /// Runs the daemon as a gateway in `dialect` until a signal ends it.
@@ -123,16 +123,16 @@
     dialect: D,
 ) -> eyre::Result<EdgeEnd> {
     let cfg = Arc::new(cfg);
-    let (signal_tx, signals) = flume::bounded(RING);
+    let (signal_tx, signals) = flume::bounded(CHANNEL_CAPACITY);
     signals::spawn(signal_tx).wrap_err("could not watch signals")?;
     let process = Process::start_gateway(&cfg, gateway_cfg, dialect.clone())?;
     log::info!(host:% = cfg.host, data_centre:% = cfg.data_centre; "serving as a gateway");
-    let signal = follow_seeds(&process, &signals, &dialect, &cfg.seeds)?;
-    end(&cfg, process, signal, &signals)
+    let signal = watch_seeds(&process, &signals, &dialect, &cfg.seeds)?;
+    shut_down(&cfg, process, signal, &signals)
 }
 
 /// Reads the settings again after each signal to do so, and now and then, until one to end.
-fn follow_seeds<D: Dialect>(
+fn watch_seeds<D: Dialect>(
     process: &Process,
     signals: &flume::Receiver<Signal>,
     dialect: &D,
@@ -140,7 +140,7 @@
 ) -> eyre::Result<Signal> {
     let mut known = known.to_vec();
     loop {
-        match signals.recv_timeout(RELOAD_PERIOD) {
+        match signals.recv_timeout(SEEDS_POLL_INTERVAL) {
             Ok(Signal::Reload) => log::info!("reading the settings again"),
             Ok(signal) => return Ok(signal),
             Err(flume::RecvTimeoutError::Timeout) => {}
@@ -159,7 +159,7 @@
 }
 
 /// Waits for a signal that ends the process; flags and environment can't be read again.
-fn wait_for_end(signals: &flume::Receiver<Signal>) -> eyre::Result<Signal> {
+fn wait_for_termination(signals: &flume::Receiver<Signal>) -> eyre::Result<Signal> {
     loop {
         match signals.recv().wrap_err("the signals thread ended")? {
             Signal::Reload => log::info!("nothing to read again; flags take a restart"),
@@ -168,7 +168,7 @@
     }
 }
 
-fn end(
+fn shut_down(
     cfg: &Settings,
     process: Process,
     signal: Signal,
@@ -177,23 +177,23 @@
     log::info!(host:% = cfg.host; "draining after a termination signal");
     begin_drain(&process, signal, signals, cfg.timeouts.drain_notice);
     let end = process.edge.join().map_err(|_| eyre::eyre!("the edge thread panicked"))?;
-    hand_over(process.replica.as_ref());
+    transfer_leadership(process.replica.as_ref());
     log::info!(host:% = cfg.host, cut = end.cut; "ended");
     Ok(end)
 }
 
 /// Turns ready once the peers' news is here or has taken too long; returns an earlier signal.
-fn wait_for_news(process: &Process, signals: &flume::Receiver<Signal>) -> Option<Signal> {
-    let news = process.news.as_ref()?;
-    let deadline = Instant::now() + NEWS_TIMEOUT;
-    while !news.is_here() && Instant::now() < deadline {
-        match signals.recv_timeout(NEWS_POLL) {
+fn wait_for_startup_sync(process: &Process, signals: &flume::Receiver<Signal>) -> Option<Signal> {
+    let startup_sync = process.startup_sync.as_ref()?;
+    let deadline = Instant::now() + STARTUP_SYNC_TIMEOUT;
+    while !startup_sync.is_complete() && Instant::now() < deadline {
+        match signals.recv_timeout(STARTUP_SYNC_POLL_INTERVAL) {
             Ok(Signal::Reload) | Err(_) => {}
             Ok(signal) => return Some(signal),
         }
     }
     process.readiness.set_ready();
-    log::info!(revision:% = news.configurations.revision(); "ready");
+    log::info!(revision:% = startup_sync.configurations.revision(); "ready");
     None
 }
 
@@ -211,7 +211,7 @@
     let _ = process.roster.send(RosterInput::Draining);
     let second = match signal {
         Signal::Immediate => Some(signal),
-        _ => next_end(signals, notice),
+        _ => next_termination(signals, notice),
     };
     if second.is_some() {
         let _ = process.control.send(Control::Abort);
@@ -219,14 +219,14 @@
     let _ = process.control.send(Control::Drain);
     let (signals, control) = (signals.clone(), process.control.clone());
     std::thread::spawn(move || {
-        if wait_for_end(&signals).is_ok() {
+        if wait_for_termination(&signals).is_ok() {
             let _ = control.send(Control::Abort);
         }
     });
 }
 
 /// Returns the next signal to end that comes within `span`.
-fn next_end(signals: &flume::Receiver<Signal>, span: Duration) -> Option<Signal> {
+fn next_termination(signals: &flume::Receiver<Signal>, span: Duration) -> Option<Signal> {
     let until = Instant::now() + span;
     loop {
         let left = until.saturating_duration_since(Instant::now());
@@ -238,10 +238,10 @@
 }
 
 /// Gives another voter the lead before the process ends, so that none has to miss the leader first.
-fn hand_over(replica: Option<&flume::Sender<ReplicaInput>>) {
+fn transfer_leadership(replica: Option<&flume::Sender<ReplicaInput>>) {
     let Some(replica) = replica else { return };
-    let (done, handed_over) = flume::bounded(1);
+    let (done, transferred) = flume::bounded(1);
     if replica.send(ReplicaInput::HandOver(done)).is_ok() {
-        let _ = handed_over.recv_timeout(HAND_OVER_TIMEOUT);
+        let _ = transferred.recv_timeout(LEADERSHIP_TRANSFER_TIMEOUT);
     }
 }
--- a/crates/daemon/src/serve.rs
+++ b/crates/daemon/src/serve.rs
@@ -21,13 +21,13 @@
 /// Time from the end of accepting to the close of idle connections.
 ///
 /// A request that arrived before the close is read in that time, and then served.
-const IDLE_CLOSE: Duration = Duration::from_millis(500);
+const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(500);
 
 /// Time to wait after a failure to accept, such as too many open files.
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Time between looks at whether all requests have ended, while draining.
-const DRAIN_POLL: Duration = Duration::from_millis(10);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Smallest bound on a request's head that the HTTP library takes, in bytes.
 const MIN_HEADER_BYTES: usize = 8 << 10;
@@ -97,7 +97,7 @@
             }
             Err(e) => {
                 log::warn!(error:% = e; "could not accept a connection");
-                tokio::time::sleep(ACCEPT_RETRY).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -112,36 +112,36 @@
     fn is_idle(&self) -> bool;
 }
 
-/// Follows orders until told to abort, or to drain and that is done or has taken `limit`.
+/// Follows commands until told to abort, or to drain and that is done or has taken `limit`.
 pub(crate) async fn wait_for_shutdown(
     service: &impl Drain,
-    orders: &flume::Receiver<Control>,
+    commands: &flume::Receiver<Control>,
     draining: &watch::Sender<bool>,
     limit: Option<Duration>,
 ) {
-    while let Ok(order) = orders.recv_async().await {
-        match order {
+    while let Ok(command) = commands.recv_async().await {
+        match command {
             Control::Leave => service.leave(),
             Control::Drain => {
                 service.leave();
                 let _ = draining.send(true);
-                return drain(service, orders, limit).await;
+                return drain(service, commands, limit).await;
             }
             Control::Abort => return,
         }
     }
 }
 
-async fn drain(service: &impl Drain, orders: &flume::Receiver<Control>, limit: Option<Duration>) {
-    let until = limit.map(|limit| Instant::now() + limit);
-    while !service.is_idle() && until.is_none_or(|until| Instant::now() < until) {
+async fn drain(service: &impl Drain, commands: &flume::Receiver<Control>, limit: Option<Duration>) {
+    let deadline = limit.map(|limit| Instant::now() + limit);
+    while !service.is_idle() && deadline.is_none_or(|deadline| Instant::now() < deadline) {
         tokio::select! {
-            order = orders.recv_async() => {
-                if !matches!(order, Ok(Control::Drain | Control::Leave)) {
+            command = commands.recv_async() => {
+                if !matches!(command, Ok(Control::Drain | Control::Leave)) {
                     return;
                 }
             }
-            () = tokio::time::sleep(DRAIN_POLL) => {}
+            () = tokio::time::sleep(DRAIN_POLL_INTERVAL) => {}
         }
     }
 }
@@ -153,32 +153,32 @@
     _open: OpenConnection<S>,
 ) {
     let _ = stream.set_nodelay(true);
-    let bounds = service.connection_limits();
+    let limits = service.connection_limits();
     let service = service_fn(move |req| {
         let service = Rc::clone(&service);
         async move { Ok::<_, Infallible>(service.handle(req).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(bounds.header_timeout)
-        .max_buf_size(bounds.header_bytes.max(MIN_HEADER_BYTES))
-        .max_headers(bounds.headers)
+        .header_read_timeout(limits.header_timeout)
+        .max_buf_size(limits.header_bytes.max(MIN_HEADER_BYTES))
+        .max_headers(limits.headers)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     let close = async {
         let _ = drain.wait_for(|draining| *draining).await;
-        tokio::time::sleep(IDLE_CLOSE).await;
+        tokio::time::sleep(IDLE_CLOSE_DELAY).await;
     };
     tokio::select! {
         biased;
-        end = connection.as_mut() => return log_end(end),
+        end = connection.as_mut() => return log_connection_end(end),
         () = close => {}
     }
     connection.as_mut().graceful_shutdown();
-    log_end(connection.await);
+    log_connection_end(connection.await);
 }
 
-fn log_end(end: hyper::Result<()>) {
+fn log_connection_end(end: hyper::Result<()>) {
     if let Err(e) = end {
         log::debug!("a caller's connection ended: {e}");
     }
--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -143,7 +143,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Print(text) | Self::Usage(text) => f.write_str(text),
-            Self::Invalid(faults) => faults.fmt(f),
+            Self::Invalid(errors) => errors.fmt(f),
         }
     }
 }
@@ -179,8 +179,8 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let wrong = || ParseError::new("organisation key", text, "ORGANISATION=DIGEST");
-        let (organisation, digest) = text.rsplit_once('=').ok_or_else(wrong)?;
+        let error = || ParseError::new("organisation key", text, "ORGANISATION=DIGEST");
+        let (organisation, digest) = text.rsplit_once('=').ok_or_else(error)?;
         Ok(Self { organisation: organisation.parse()?, digest: digest.parse()? })
     }
 }
--- a/crates/daemon/src/settings/raw.rs
+++ b/crates/daemon/src/settings/raw.rs
@@ -12,8 +12,8 @@
     pub text: T,
 }
 
-pub(super) type One = Setting<Option<String>>;
-pub(super) type Many = Setting<Vec<String>>;
+pub(super) type SingleSetting = Setting<Option<String>>;
+pub(super) type ListSetting = Setting<Vec<String>>;
 
 /// The settings' texts, not yet checked, so that all faults can be told at once.
 #[derive(Clone, Debug)]
@@ -30,59 +30,59 @@
 
 #[derive(Clone, Debug)]
 pub(super) struct RawIdentity {
-    pub host: One,
-    pub data_centre: One,
+    pub host: SingleSetting,
+    pub data_centre: SingleSetting,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct RawAddresses {
-    pub listen: One,
-    pub peer_listen: One,
-    pub peer_advertise: One,
-    pub admin_listen: One,
-    pub seeds: Many,
-    pub hosts_by_address: One,
+    pub listen: SingleSetting,
+    pub peer_listen: SingleSetting,
+    pub peer_advertise: SingleSetting,
+    pub admin_listen: SingleSetting,
+    pub seeds: ListSetting,
+    pub hosts_by_address: SingleSetting,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct RawState {
-    pub data_dir: One,
-    pub voter: One,
-    pub founders: Many,
-    pub lost_disks: One,
+    pub data_dir: SingleSetting,
+    pub voter: SingleSetting,
+    pub founders: ListSetting,
+    pub lost_disks: SingleSetting,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct RawKeys {
-    pub fleet_key: One,
-    pub operator_keys: Many,
-    pub organisation_keys: Many,
+    pub fleet_key: SingleSetting,
+    pub operator_keys: ListSetting,
+    pub organisation_keys: ListSetting,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct RawLimits {
-    pub header_bytes: One,
-    pub body_bytes: One,
-    pub connections: One,
-    pub organisation_requests: One,
+    pub header_bytes: SingleSetting,
+    pub body_bytes: SingleSetting,
+    pub connections: SingleSetting,
+    pub organisation_requests: SingleSetting,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct RawTimeouts {
-    pub header: One,
-    pub body: One,
-    pub connect: One,
-    pub idle: One,
-    pub request: One,
-    pub drain_notice: One,
+    pub header: SingleSetting,
+    pub body: SingleSetting,
+    pub connect: SingleSetting,
+    pub idle: SingleSetting,
+    pub request: SingleSetting,
+    pub drain_notice: SingleSetting,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct RawTelemetry {
-    pub log_format: One,
-    pub log_level: One,
-    pub trace_endpoint: One,
-    pub trace_sample: One,
+    pub log_format: SingleSetting,
+    pub log_level: SingleSetting,
+    pub trace_endpoint: SingleSetting,
+    pub trace_sample: SingleSetting,
 }
 
 pub(super) fn parse(args: &[&str]) -> Result<Raw, SettingsError> {
@@ -113,7 +113,7 @@
         )
 }
 
-macro_rules! one {
+macro_rules! single {
     ($flag:literal, $env:literal, $value:literal, $help:literal) => {
         long($flag)
             .env($env)
@@ -124,7 +124,7 @@
     };
 }
 
-macro_rules! many {
+macro_rules! list {
     ($flag:literal, $env:literal, $value:literal, $help:literal) => {
         long($flag).env($env).help($help).argument::<String>($value).many().map(|texts| Setting {
             flag: concat!("--", $flag),
@@ -134,8 +134,8 @@
     };
 }
 
-/// Like `one!`, but its value isn't shown by the help.
-macro_rules! one_secret {
+/// Like `single!`, but its value isn't shown by the help.
+macro_rules! single_secret {
     ($flag:literal, $env:literal, $value:literal, $help:literal) => {
         long($flag)
             .help(concat!($help, " (environment: ", $env, ")"))
@@ -149,8 +149,8 @@
     };
 }
 
-/// Like `many!`, but its values aren't shown by the help.
-macro_rules! many_secret {
+/// Like `list!`, but its values aren't shown by the help.
+macro_rules! list_secret {
     ($flag:literal, $env:literal, $value:literal, $help:literal) => {
         long($flag)
             .help(concat!($help, " (environment: ", $env, ")"))
@@ -159,12 +159,12 @@
             .map(|texts| Setting {
                 flag: concat!("--", $flag),
                 env: $env,
-                text: split_list(&or_variable(texts, $env)),
+                text: split_list(&or_env(texts, $env)),
             })
     };
 }
 
-fn or_variable(texts: Vec<String>, variable: &str) -> Vec<String> {
+fn or_env(texts: Vec<String>, variable: &str) -> Vec<String> {
     if texts.is_empty() { env::var(variable).into_iter().collect() } else { texts }
 }
 
@@ -179,8 +179,8 @@
 }
 
 fn identity() -> impl Parser<RawIdentity> {
-    let host = one!("host", "DOTTERELREACH_HOST", "ID", "This host's id (default: host-1)");
-    let data_centre = one!(
+    let host = single!("host", "DOTTERELREACH_HOST", "ID", "This host's id (default: host-1)");
+    let data_centre = single!(
         "data-centre",
         "DOTTERELREACH_DATA_CENTRE",
         "ID",
@@ -190,31 +190,31 @@
 }
 
 fn addresses() -> impl Parser<RawAddresses> {
-    let listen = one!(
+    let listen = single!(
         "listen",
         "DOTTERELREACH_LISTEN",
         "ADDRESS",
         "Where callers and endpoints connect (default: 127.0.0.1:8080)"
     );
-    let peer_listen = one!(
+    let peer_listen = single!(
         "peer-listen",
         "DOTTERELREACH_PEER_LISTEN",
         "ADDRESS",
         "Where other routers connect (default: 127.0.0.1:8081)"
     );
-    let peer_advertise = one!(
+    let peer_advertise = single!(
         "peer-advertise",
         "DOTTERELREACH_PEER_ADVERTISE",
         "ADDRESS",
         "The peer address that other routers are told (default: that of --peer-listen)"
     );
-    let admin_listen = one!(
+    let admin_listen = single!(
         "admin-listen",
         "DOTTERELREACH_ADMIN_LISTEN",
         "ADDRESS",
         "Where operators and monitoring connect (default: 127.0.0.1:7400)"
     );
-    let seeds = many!(
+    let seeds = list!(
         "seed",
         "DOTTERELREACH_SEEDS",
         "ADDRESS",
@@ -247,7 +247,7 @@
 }
 
 fn state() -> impl Parser<RawState> {
-    let data_dir = one!(
+    let data_dir = single!(
         "data-dir",
         "DOTTERELREACH_DATA_DIR",
         "FOLDER",
@@ -261,14 +261,14 @@
             env: "DOTTERELREACH_VOTER",
             text: if set { Some("true".into()) } else { env::var("DOTTERELREACH_VOTER").ok() },
         });
-    let founders = many!(
+    let founders = list!(
         "founder",
         "DOTTERELREACH_FOUNDERS",
         "HOST",
         "A voter that founds the quorum's log, the same list in the same order on every voter; \
          may be given several times"
     );
-    let lost_disks = one!(
+    let lost_disks = single!(
         "heal-lost-disks",
         "DOTTERELREACH_HEAL_LOST_DISKS",
         "COUNT",
@@ -279,20 +279,20 @@
 }
 
 fn keys() -> impl Parser<RawKeys> {
-    let fleet_key = one_secret!(
+    let fleet_key = single_secret!(
         "fleet-key",
         "DOTTERELREACH_FLEET_KEY",
         "SECRET",
         "Secret that routers and endpoints share; better set by the environment"
     );
-    let operator_keys = many_secret!(
+    let operator_keys = list_secret!(
         "operator-key",
         "DOTTERELREACH_OPERATOR_KEYS",
         "DIGEST",
         "BLAKE3 digest of an operator's key; may be given several times; without one the \
          operator pages are closed"
     );
-    let organisation_keys = many_secret!(
+    let organisation_keys = list_secret!(
         "organisation-key",
         "DOTTERELREACH_ORGANISATION_KEYS",
         "ORGANISATION=DIGEST",
@@ -302,25 +302,25 @@
 }
 
 fn limits() -> impl Parser<RawLimits> {
-    let header_bytes = one!(
+    let header_bytes = single!(
         "max-header-bytes",
         "DOTTERELREACH_MAX_HEADER_BYTES",
         "BYTES",
         "Largest head of a request (default: 32768; 8192 to 1048576)"
     );
-    let body_bytes = one!(
+    let body_bytes = single!(
         "max-body-bytes",
         "DOTTERELREACH_MAX_BODY_BYTES",
         "BYTES",
         "Largest body of a request (default: 4194304; 1024 to 268435456)"
     );
-    let connections = one!(
+    let connections = single!(
         "max-connections",
         "DOTTERELREACH_MAX_CONNECTIONS",
         "COUNT",
         "Most connections of callers at once (default: 10000; 1 to 1000000)"
     );
-    let organisation_requests = one!(
+    let organisation_requests = single!(
         "max-organisation-requests",
         "DOTTERELREACH_MAX_ORGANISATION_REQUESTS",
         "COUNT",
@@ -331,37 +331,37 @@
 }
 
 fn timeouts() -> impl Parser<RawTimeouts> {
-    let header = one!(
+    let header = single!(
         "header-timeout",
         "DOTTERELREACH_HEADER_TIMEOUT",
         "DURATION",
         "Time for the head of a request (default: 10s)"
     );
-    let body = one!(
+    let body = single!(
         "body-timeout",
         "DOTTERELREACH_BODY_TIMEOUT",
         "DURATION",
         "Time for the body of a request (default: 30s)"
     );
-    let connect = one!(
+    let connect = single!(
         "connect-timeout",
         "DOTTERELREACH_CONNECT_TIMEOUT",
         "DURATION",
         "Time for a connection to an endpoint (default: 1s)"
     );
-    let idle = one!(
+    let idle = single!(
         "idle-timeout",
         "DOTTERELREACH_IDLE_TIMEOUT",
         "DURATION",
         "Time between two events of an endpoint's stream (default: 10s)"
     );
-    let request = one!(
+    let request = single!(
         "request-timeout",
         "DOTTERELREACH_REQUEST_TIMEOUT",
         "DURATION",
         "Time for a whole request (default: 10m)"
     );
-    let drain_notice = one!(
+    let drain_notice = single!(
         "drain-notice",
         "DOTTERELREACH_DRAIN_NOTICE",
         "DURATION",
@@ -373,25 +373,25 @@
 }
 
 fn telemetry() -> impl Parser<RawTelemetry> {
-    let log_format = one!(
+    let log_format = single!(
         "log-format",
         "DOTTERELREACH_LOG_FORMAT",
         "FORMAT",
         "How log lines are written: text or json (default: text)"
     );
-    let log_level = one!(
+    let log_level = single!(
         "log-level",
         "DOTTERELREACH_LOG_LEVEL",
         "LEVEL",
         "Least severe lines written: off, error, warn, info, debug or trace (default: info)"
     );
-    let trace_endpoint = one!(
+    let trace_endpoint = single!(
         "trace-endpoint",
         "DOTTERELREACH_TRACE_ENDPOINT",
         "URL",
         "OTLP collector such as http://127.0.0.1:4318/v1/traces; without it no span is exported"
     );
-    let trace_sample = one!(
+    let trace_sample = single!(
         "trace-sample",
         "DOTTERELREACH_TRACE_SAMPLE",
         "RATIO",
