--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,14 +1,14 @@
 //! The router's daemon: one process on every entry host.
 //!
-//! Each duty has a thread, and bounded rings join them:
+//! Each task has its own thread; the threads are connected by bounded channels:
 //!
-//! | thread | duty |
+//! | thread | task |
 //! |---|---|
-//! | `edge` | callers, streams from endpoints, choice of endpoint |
+//! | `edge` | callers' requests, endpoints' streams, choice of the endpoint |
 //! | `roster` | membership of endpoints and routers |
-//! | `peers` | calls between routers |
-//! | `replica` | this host's part in the quorum, on a host with a vote |
-//! | `admin` | operator, health and metrics pages |
+//! | `peers` | RPC between routers |
+//! | `replica` | replica of the quorum's log and state, on voters |
+//! | `admin` | HTTP interface for operators, health checks and metrics |
 //! | `signals` | graceful shutdown |
 //!
 //! # Example
@@ -16,8 +16,8 @@
 //! ```
 //! use daemon::Settings;
 //!
-//! let faults = Settings::from_args(&["--listen", "nowhere"]).unwrap_err();
-//! assert!(faults.to_string().contains("--listen: \"nowhere\""));
+//! let errors = Settings::from_args(&["--listen", "nowhere"]).unwrap_err();
+//! assert!(errors.to_string().contains("--listen: \"nowhere\""));
 //! ```
 
 mod admin;
--- a/crates/daemon/src/settings/check.rs
+++ b/crates/daemon/src/settings/check.rs
@@ -22,20 +22,20 @@
 const DEFAULT_PEER_PORT: u16 = 8081;
 const DEFAULT_ADMIN_PORT: u16 = 7400;
 
-/// Shortest and longest time that a timeout may be set to.
+/// Shortest and longest value of a timeout setting.
 const TIMEOUT_RANGE: RangeInclusive<Duration> =
     Duration::from_millis(1)..=Duration::from_secs(3600);
 
 /// Shortest fleet key, in bytes.
 const MIN_FLEET_KEY_BYTES: usize = 16;
 
-/// Most disks that voters may be told to outlive; each takes two voters more.
+/// Largest number of lost disks that healing can be set to tolerate; each needs two more voters.
 const MAX_LOST_DISKS: u64 = 4;
 
 const OPERATOR_KEY_RULE: &str = "a BLAKE3 digest of 64 hexadecimal digits";
 const ORGANISATION_KEY_RULE: &str = "ORGANISATION=DIGEST, with 64 hexadecimal digits";
 
-/// Start of a collector's address; spans travel without encryption.
+/// Scheme of a collector's URL; spans are sent without encryption.
 const TRACE_SCHEME: &str = "http://";
 
 pub(super) fn check(raw: Raw) -> Result<Settings, InvalidSettings> {
@@ -76,7 +76,7 @@
     Ok(settings)
 }
 
-/// Checks what no setting shows alone.
+/// Checks combinations of settings.
 fn check_combinations(settings: &Settings, errors: &mut InvalidSettings) {
     if settings.voter && settings.data_dir.is_none() {
         errors.add("--voter", "DOTTERELREACH_VOTER", "a voter needs --data-dir");
@@ -101,7 +101,7 @@
     ];
     for (flag, env, address, other) in listeners {
         if address == other && address.port() != 0 {
-            errors.add(flag, env, &format!("\"{address}\" is taken by another listener"));
+            errors.add(flag, env, &format!("\"{address}\" is used by another listener"));
         }
     }
 }
@@ -120,7 +120,8 @@
     setting.text.iter().filter_map(|text| parse_text(setting, text, errors)).collect()
 }
 
-/// Parses values that must not reach a terminal or a log: a plain key may stand for its digest.
+/// Parses values without showing them: a key may have been given in place of its digest, and must
+/// not reach a terminal or a log.
 fn parse_all_secret<T: FromStr>(
     setting: &ListSetting,
     allowed: &str,
@@ -172,7 +173,7 @@
     let default = SocketAddr::from((Ipv4Addr::LOCALHOST, default_port));
     let Some(text) = &setting.text else { return default };
     text.parse().unwrap_or_else(|_| {
-        let message = format!("{text:?} is no address; write IP:PORT such as 10.1.0.4:8080");
+        let message = format!("{text:?} is not an address; write IP:PORT such as 10.1.0.4:8080");
         errors.add(setting.flag, setting.env, &message);
         default
     })
@@ -181,7 +182,7 @@
 fn fleet_key(setting: &SingleSetting, errors: &mut InvalidSettings) -> std::sync::Arc<str> {
     let text = setting.text.as_deref().unwrap_or_default();
     if text.len() < MIN_FLEET_KEY_BYTES {
-        let message = format!("needed, with at least {MIN_FLEET_KEY_BYTES} bytes");
+        let message = format!("required, with at least {MIN_FLEET_KEY_BYTES} bytes");
         errors.add(setting.flag, setting.env, &message);
     }
     text.into()
@@ -219,7 +220,7 @@
         Ok(number) if allowed.contains(&number) => number,
         _ => {
             let (from, to) = (allowed.start(), allowed.end());
-            let message = format!("{text:?} is no whole number from {from} to {to}");
+            let message = format!("{text:?} is not a whole number from {from} to {to}");
             errors.add(setting.flag, setting.env, &message);
             default
         }
@@ -249,7 +250,7 @@
         Err(_) if text.parse::<f64>().is_ok() => {
             format!("{text:?} has no unit; write a duration such as 800ms or 5s")
         }
-        Err(_) => format!("{text:?} is no duration; write one such as 800ms or 5s"),
+        Err(_) => format!("{text:?} is not a duration; write one such as 800ms or 5s"),
     };
     errors.add(setting.flag, setting.env, &message);
     default
@@ -268,7 +269,7 @@
     let Some(text) = &setting.text else { return LevelFilter::Info };
     text.parse().unwrap_or_else(|_| {
         let message =
-            format!("{text:?} is no log level; write off, error, warn, info, debug or trace");
+            format!("{text:?} is not a log level; write off, error, warn, info, debug or trace");
         errors.add(setting.flag, setting.env, &message);
         LevelFilter::Info
     })
@@ -282,7 +283,7 @@
     let host = text.strip_prefix(TRACE_SCHEME).filter(|host| !host.is_empty());
     if host.is_none() || !text.bytes().all(|byte| byte.is_ascii_graphic()) {
         let message =
-            format!("{text:?} is no URL; write one such as http://127.0.0.1:4318/v1/traces");
+            format!("{text:?} is not a URL; write one such as http://127.0.0.1:4318/v1/traces");
         errors.add(setting.flag, setting.env, &message);
         return None;
     }
--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -8,44 +8,44 @@
 use quorum::HealingSettings;
 use telemetry::{LogFormat, SampleRatio};
 
-/// The daemon's settings, checked.
+/// The daemon's validated settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// This host.
     pub host: HostId,
-    /// The data centre it stands in.
+    /// The data centre of this host.
     pub data_centre: DataCentreId,
-    /// Where callers and endpoints connect.
+    /// Listen address for callers and endpoints.
     pub listen: SocketAddr,
-    /// Where other routers connect.
+    /// Listen address for other routers.
     pub peer_listen: SocketAddr,
-    /// The peer address that other routers are told.
+    /// The peer address advertised to other routers.
     pub peer_advertise: SocketAddr,
-    /// Where operators and monitoring connect.
+    /// Listen address for operators and monitoring.
     pub admin_listen: SocketAddr,
     /// Peer addresses of some other routers.
     pub seeds: Vec<SocketAddr>,
-    /// Whether hosts are named by their IP addresses, and listen for peers at this host's port.
+    /// Whether the ids of hosts are their IP addresses, and all have this host's peer port.
     ///
-    /// They can then be reached before any other host has told where they are.
+    /// They can then be reached before gossip has delivered their addresses.
     pub hosts_by_address: bool,
-    /// Folder for the state that must survive; only on hosts with a disk.
+    /// Folder of the durable state; only on hosts with a disk.
     pub data_dir: Option<PathBuf>,
     /// Whether this host votes in the quorum.
     pub voter: bool,
-    /// The voters that found the quorum's log, in the same order on each.
+    /// The first voters of the quorum's log, in the same order on each.
     pub founders: Vec<HostId>,
-    /// How voters heal without an operator; none leaves changes of voters to operators.
+    /// How voters are replaced automatically; `None` leaves changes of voters to operators.
     pub healing: Option<HealingSettings>,
-    /// Secret that routers and endpoints of the fleet share.
+    /// Shared secret of the fleet's routers and endpoints.
     pub fleet_key: Arc<str>,
     /// Digests of the operators' keys.
     pub operator_keys: Vec<Digest>,
     /// Digests of the organisations' keys, besides those in the declaration.
     pub organisation_keys: Vec<OrganisationKey>,
-    /// Bounds on what comes from callers.
+    /// Limits on callers' requests and connections.
     pub limits: Limits,
-    /// How long steps may take.
+    /// Timeouts of the steps of a request.
     pub timeouts: Timeouts,
     /// Logs and traces.
     pub telemetry: TelemetrySettings,
@@ -62,33 +62,33 @@
     pub digest: Digest,
 }
 
-/// Bounds on what comes from callers.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Largest head of a request.
     pub header_bytes: ByteCount,
     /// Largest body of a request.
     pub body_bytes: ByteCount,
-    /// Most connections at once.
+    /// Most concurrent connections.
     pub connections: u64,
-    /// Most requests of one organisation at once.
+    /// Most concurrent requests of one organisation.
     pub organisation_requests: u64,
 }
 
 /// Logs and traces.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TelemetrySettings {
-    /// How log lines are written.
+    /// The format of log lines.
     pub log_format: LogFormat,
     /// The least severe lines that are written.
     pub log_level: LevelFilter,
-    /// The OTLP collector's URL for traces; none exports nothing.
+    /// The OTLP collector's URL for traces; `None` disables the export.
     pub trace_endpoint: Option<Arc<str>>,
     /// The share of new traces that are recorded.
     pub trace_sample: SampleRatio,
 }
 
-/// How long steps may take.
+/// Timeouts of the steps of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timeouts {
     /// From a connection, or the request before, to the end of a request's head.
@@ -110,7 +110,7 @@
     ///
     /// # Errors
     ///
-    /// Returns every fault found, or what the command line asks to be printed.
+    /// Returns all invalid settings, or the text that the command line requests, such as the help.
     pub fn from_args(args: &[&str]) -> Result<Self, SettingsError> {
         let raw = raw::parse(args)?;
         check::check(raw).map_err(SettingsError::Invalid)
@@ -128,14 +128,14 @@
     }
 }
 
-/// Why there are no settings.
+/// Why no settings were returned.
 #[derive(Debug)]
 pub enum SettingsError {
-    /// The command line asks for a text to be printed, such as the help.
+    /// The command line requests a text, such as the help.
     Print(String),
-    /// The command line can't be understood.
+    /// The command line can't be parsed.
     Usage(String),
-    /// Some settings are not valid.
+    /// Some settings are invalid.
     Invalid(InvalidSettings),
 }
 
@@ -150,7 +150,7 @@
 
 impl error::Error for SettingsError {}
 
-/// All faults found in the settings.
+/// All errors found in the settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct InvalidSettings {
     lines: Vec<String>,
@@ -161,7 +161,7 @@
         self.lines.push(format!("{flag}: {message} (environment: {env})"));
     }
 
-    /// Returns a line for each fault.
+    /// Returns one line for each error.
     pub fn lines(&self) -> &[String] {
         &self.lines
     }
--- a/crates/daemon/src/settings/raw.rs
+++ b/crates/daemon/src/settings/raw.rs
@@ -4,7 +4,7 @@
 
 use super::SettingsError;
 
-/// A setting's text, and where to set it.
+/// A setting's unparsed text, with its flag and environment variable.
 #[derive(Clone, Debug)]
 pub(super) struct Setting<T> {
     pub flag: &'static str,
@@ -15,7 +15,7 @@
 pub(super) type SingleSetting = Setting<Option<String>>;
 pub(super) type ListSetting = Setting<Vec<String>>;
 
-/// The settings' texts, not yet checked, so that all faults can be told at once.
+/// The settings' unparsed texts, so that all errors can be reported together.
 #[derive(Clone, Debug)]
 pub(super) struct Raw {
     pub identity: RawIdentity,
@@ -101,14 +101,14 @@
     let limits = limits();
     let timeouts = timeouts();
     let telemetry = telemetry();
-    let check_only = long("check").help("Check the settings, print every fault, and exit").switch();
+    let check_only = long("check").help("Check the settings, print all errors, and exit").switch();
     construct!(Raw { identity, addresses, state, keys, limits, timeouts, telemetry, check_only })
         .to_options()
         .version(env!("CARGO_PKG_VERSION"))
         .descr("Routes language-model traffic with long shared prompts to warm endpoints")
         .footer(
-            "Exit codes: 0 ended as asked, 1 failed while running, 2 settings not valid, \
-             3 ended with requests cut, by a second signal or at the end of its time.\n\
+            "Exit codes: 0 shut down as requested, 1 failed while running, 2 invalid settings, \
+             3 shut down with requests aborted, by a second signal or a drain timeout.\n\
              Lists in environment variables are separated by commas.",
         )
 }
@@ -184,7 +184,7 @@
         "data-centre",
         "DOTTERELREACH_DATA_CENTRE",
         "ID",
-        "The data centre this host stands in (default: local)"
+        "This host's data centre (default: local)"
     );
     construct!(RawIdentity { host, data_centre }).group_help("Identity")
 }
@@ -194,25 +194,25 @@
         "listen",
         "DOTTERELREACH_LISTEN",
         "ADDRESS",
-        "Where callers and endpoints connect (default: 127.0.0.1:8080)"
+        "Listen address for callers and endpoints (default: 127.0.0.1:8080)"
     );
     let peer_listen = single!(
         "peer-listen",
         "DOTTERELREACH_PEER_LISTEN",
         "ADDRESS",
-        "Where other routers connect (default: 127.0.0.1:8081)"
+        "Listen address for other routers (default: 127.0.0.1:8081)"
     );
     let peer_advertise = single!(
         "peer-advertise",
         "DOTTERELREACH_PEER_ADVERTISE",
         "ADDRESS",
-        "The peer address that other routers are told (default: that of --peer-listen)"
+        "The peer address advertised to other routers (default: that of --peer-listen)"
     );
     let admin_listen = single!(
         "admin-listen",
         "DOTTERELREACH_ADMIN_LISTEN",
         "ADDRESS",
-        "Where operators and monitoring connect (default: 127.0.0.1:7400)"
+        "Listen address for operators and monitoring (default: 127.0.0.1:7400)"
     );
     let seeds = list!(
         "seed",
@@ -222,7 +222,7 @@
     );
     let hosts_by_address = long("hosts-by-address")
         .help(
-            "Hosts are named by their IP addresses and listen for peers at this host's port \
+            "The ids of hosts are their IP addresses, and all have this host's peer port \
              (environment: DOTTERELREACH_HOSTS_BY_ADDRESS, true or false)",
         )
         .switch()
@@ -251,7 +251,7 @@
         "data-dir",
         "DOTTERELREACH_DATA_DIR",
         "FOLDER",
-        "Folder for the state that must survive, on hosts with a disk; used by a voter"
+        "Folder of the durable state, on hosts with a disk; needed by a voter"
     );
     let voter = long("voter")
         .help("Vote in the quorum; needs --data-dir (environment: DOTTERELREACH_VOTER, true or false)")
@@ -265,15 +265,15 @@
         "founder",
         "DOTTERELREACH_FOUNDERS",
         "HOST",
-        "A voter that founds the quorum's log, the same list in the same order on every voter; \
-         may be given several times"
+        "One of the first voters of the quorum's log; the same list in the same order on every \
+         voter; may be given several times"
     );
     let lost_disks = single!(
         "heal-lost-disks",
         "DOTTERELREACH_HEAL_LOST_DISKS",
         "COUNT",
-        "Let the leader replace lost and silent voters without an operator, and keep so many voters \
-         that COUNT disks may be lost at once"
+        "Let the leader replace lost and silent voters without an operator, and keep enough voters \
+         to tolerate the loss of COUNT disks at once"
     );
     construct!(RawState { data_dir, voter, founders, lost_disks }).group_help("State")
 }
@@ -283,7 +283,7 @@
         "fleet-key",
         "DOTTERELREACH_FLEET_KEY",
         "SECRET",
-        "Secret that routers and endpoints share; better set by the environment"
+        "Shared secret of routers and endpoints; better set by the environment"
     );
     let operator_keys = list_secret!(
         "operator-key",
@@ -318,13 +318,13 @@
         "max-connections",
         "DOTTERELREACH_MAX_CONNECTIONS",
         "COUNT",
-        "Most connections of callers at once (default: 10000; 1 to 1000000)"
+        "Most concurrent connections of callers (default: 10000; 1 to 1000000)"
     );
     let organisation_requests = single!(
         "max-organisation-requests",
         "DOTTERELREACH_MAX_ORGANISATION_REQUESTS",
         "COUNT",
-        "Most requests of one organisation at once (default: 1000; 1 to 1000000)"
+        "Most concurrent requests of one organisation (default: 1000; 1 to 1000000)"
     );
     construct!(RawLimits { header_bytes, body_bytes, connections, organisation_requests })
         .group_help("Limits")
@@ -335,31 +335,31 @@
         "header-timeout",
         "DOTTERELREACH_HEADER_TIMEOUT",
         "DURATION",
-        "Time for the head of a request (default: 10s)"
+        "Timeout for the head of a request (default: 10s)"
     );
     let body = single!(
         "body-timeout",
         "DOTTERELREACH_BODY_TIMEOUT",
         "DURATION",
-        "Time for the body of a request (default: 30s)"
+        "Timeout for the body of a request (default: 30s)"
     );
     let connect = single!(
         "connect-timeout",
         "DOTTERELREACH_CONNECT_TIMEOUT",
         "DURATION",
-        "Time for a connection to an endpoint (default: 1s)"
+        "Timeout for a connection to an endpoint (default: 1s)"
     );
     let idle = single!(
         "idle-timeout",
         "DOTTERELREACH_IDLE_TIMEOUT",
         "DURATION",
-        "Time between two events of an endpoint's stream (default: 10s)"
+        "Longest time between two events of an endpoint's stream (default: 10s)"
     );
     let request = single!(
         "request-timeout",
         "DOTTERELREACH_REQUEST_TIMEOUT",
         "DURATION",
-        "Time for a whole request (default: 10m)"
+        "Timeout for a whole request (default: 10m)"
     );
     let drain_notice = single!(
         "drain-notice",
@@ -377,7 +377,7 @@
         "log-format",
         "DOTTERELREACH_LOG_FORMAT",
         "FORMAT",
-        "How log lines are written: text or json (default: text)"
+        "Format of log lines: text or json (default: text)"
     );
     let log_level = single!(
         "log-level",
@@ -389,7 +389,7 @@
         "trace-endpoint",
         "DOTTERELREACH_TRACE_ENDPOINT",
         "URL",
-        "OTLP collector such as http://127.0.0.1:4318/v1/traces; without it no span is exported"
+        "OTLP collector such as http://127.0.0.1:4318/v1/traces; without it no spans are exported"
     );
     let trace_sample = single!(
         "trace-sample",
--- a/crates/daemon/tests/operations_page.rs
+++ b/crates/daemon/tests/operations_page.rs
@@ -1,4 +1,4 @@
-//! The settings that the operators' page gives for both sites are valid.
+//! Checks that the settings in `docs/OPERATIONS.md` for both sites are valid.
 
 use std::process::{Command, Stdio};
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn every_host_of_both_sites_passes_the_check() {
+fn settings_of_every_host_of_both_sites_are_valid() {
     let blocks = blocks();
     assert_eq!(blocks.len(), SITES * (1 + HOSTS));
     for site in blocks.chunks(1 + HOSTS) {
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the real program: defaults, variables, faults, help and exit codes.
+//! Settings of the built program: defaults, variables, errors, help and exit codes.
 
 use std::{
     net::SocketAddr,
@@ -14,7 +14,7 @@
 const KEY: &str = "fleet-key-for-tests-only";
 const DIGEST: &str = "2f7d8c4a66fb8eea7f73331c17a5af824e8f26278b31701969eea211defd15e9";
 
-/// How the program ended.
+/// Exit code and output of the program.
 #[derive(Debug)]
 struct Run {
     code: Option<i32>,
@@ -37,30 +37,30 @@
     }
 }
 
-/// Checks settings that are right but for `args` and returns the faults.
-fn faults(args: &[&str], variables: &[(&str, &str)]) -> Vec<String> {
+/// Checks settings that are valid except for `args` and `variables`, and returns the error lines.
+fn errors(args: &[&str], variables: &[(&str, &str)]) -> Vec<String> {
     let args = [&["--check", "--fleet-key", KEY][..], args].concat();
     let run = run(&args, variables);
     assert_eq!((run.code, run.stdout.as_str()), (Some(2), ""), "{run:?}");
     run.stderr.lines().map(str::to_owned).collect()
 }
 
-macro_rules! faults {
+macro_rules! errors {
     ($($name:ident: $args:expr, $variables:expr => $expected:expr;)*) => {$(
         #[test]
         fn $name() {
-            assert_eq!(faults(&$args, &$variables), $expected);
+            assert_eq!(errors(&$args, &$variables), $expected);
         }
     )*};
 }
 
-faults! {
+errors! {
     address_without_a_port: ["--listen", "10.0.0.1"], [] => [
-        "--listen: \"10.0.0.1\" is no address; write IP:PORT such as 10.1.0.4:8080 \
+        "--listen: \"10.0.0.1\" is not an address; write IP:PORT such as 10.1.0.4:8080 \
          (environment: DOTTERELREACH_LISTEN)"
     ];
     address_by_variable: [], [("DOTTERELREACH_ADMIN_LISTEN", "x")] => [
-        "--admin-listen: \"x\" is no address; write IP:PORT such as 10.1.0.4:8080 \
+        "--admin-listen: \"x\" is not an address; write IP:PORT such as 10.1.0.4:8080 \
          (environment: DOTTERELREACH_ADMIN_LISTEN)"
     ];
     duration_without_a_unit: ["--idle-timeout", "5"], [] => [
@@ -68,7 +68,7 @@
          (environment: DOTTERELREACH_IDLE_TIMEOUT)"
     ];
     number_out_of_range: ["--max-header-bytes", "1"], [] => [
-        "--max-header-bytes: \"1\" is no whole number from 8192 to 1048576 \
+        "--max-header-bytes: \"1\" is not a whole number from 8192 to 1048576 \
          (environment: DOTTERELREACH_MAX_HEADER_BYTES)"
     ];
     voter_without_a_folder: ["--voter"], [] => [
@@ -77,7 +77,7 @@
     founder_without_a_vote: ["--founder", "host-1", "--data-dir", "d"], [] => [
         "--founder: only a voter can be given founders (environment: DOTTERELREACH_FOUNDERS)"
     ];
-    vote_that_is_no_switch: [], [("DOTTERELREACH_VOTER", "yes")] => [
+    voter_variable_that_is_not_a_boolean: [], [("DOTTERELREACH_VOTER", "yes")] => [
         "--voter: \"yes\" is neither true nor false (environment: DOTTERELREACH_VOTER)"
     ];
     plain_operator_key_is_not_shown: ["--operator-key", "secret"], [] => [
@@ -90,44 +90,44 @@
          digits (environment: DOTTERELREACH_ORGANISATION_KEYS)"
     ];
     unknown_log_level: ["--log-level", "loud"], [] => [
-        "--log-level: \"loud\" is no log level; write off, error, warn, info, debug or trace \
+        "--log-level: \"loud\" is not a log level; write off, error, warn, info, debug or trace \
          (environment: DOTTERELREACH_LOG_LEVEL)"
     ];
     collector_by_https: ["--trace-endpoint", "https://collector/v1/traces"], [] => [
-        "--trace-endpoint: \"https://collector/v1/traces\" is no URL; write one such as \
+        "--trace-endpoint: \"https://collector/v1/traces\" is not a URL; write one such as \
          http://127.0.0.1:4318/v1/traces (environment: DOTTERELREACH_TRACE_ENDPOINT)"
     ];
-    peers_are_told_no_address: ["--peer-listen", "0.0.0.0:8081"], [] => [
+    wildcard_peer_address_is_not_advertised: ["--peer-listen", "0.0.0.0:8081"], [] => [
         "--peer-advertise: \"0.0.0.0:8081\" can't be connected to; write this host's own IP:PORT \
          (environment: DOTTERELREACH_PEER_ADVERTISE)"
     ];
     two_listeners_on_one_address: ["--admin-listen", "127.0.0.1:8080"], [] => [
-        "--admin-listen: \"127.0.0.1:8080\" is taken by another listener \
+        "--admin-listen: \"127.0.0.1:8080\" is used by another listener \
          (environment: DOTTERELREACH_ADMIN_LISTEN)"
     ];
 }
 
 #[test]
-fn all_faults_are_listed_at_once() {
+fn all_errors_are_reported_together() {
     let args = ["--host", "a b", "--listen", "x", "--body-timeout", "0s", "--trace-sample", "2"];
     let variables = [("DOTTERELREACH_SEEDS", "127.0.0.1:1, y"), ("DOTTERELREACH_LOG_FORMAT", "z")];
-    let faults = faults(&args, &variables);
-    let flags: Vec<_> = faults.iter().map(|line| line.split(':').next().unwrap()).collect();
+    let errors = errors(&args, &variables);
+    let flags: Vec<_> = errors.iter().map(|line| line.split(':').next().unwrap()).collect();
     let expected =
         ["--host", "--listen", "--seed", "--body-timeout", "--log-format", "--trace-sample"];
-    assert_eq!(flags, expected, "{faults:?}");
+    assert_eq!(flags, expected, "{errors:?}");
 }
 
 #[test]
-fn fleet_key_is_needed_and_its_text_not_shown() {
+fn fleet_key_is_required_and_not_shown() {
     let run = run(&["--check"], &[("DOTTERELREACH_FLEET_KEY", "too-short")]);
     assert_eq!(run.code, Some(2));
-    assert!(run.stderr.starts_with("--fleet-key: needed, with at least 16 bytes"), "{run:?}");
+    assert!(run.stderr.starts_with("--fleet-key: required, with at least 16 bytes"), "{run:?}");
     assert!(!run.stderr.contains("too-short"), "{run:?}");
 }
 
 #[test]
-fn check_of_valid_settings_ends_with_code_0() {
+fn check_of_valid_settings_exits_with_code_0() {
     let run = run(
         &["--check", "--data-dir", "folder"],
         &[
@@ -141,14 +141,14 @@
 }
 
 #[test]
-fn unknown_flag_ends_with_code_2() {
+fn unknown_flag_exits_with_code_2() {
     let run = run(&["--no-such-flag"], &[]);
     assert_eq!(run.code, Some(2), "{run:?}");
     assert!(run.stderr.contains("--no-such-flag"), "{run:?}");
 }
 
 #[test]
-fn address_in_use_ends_with_code_1() {
+fn address_in_use_exits_with_code_1() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = taken.local_addr().unwrap().to_string();
     let run = run(&["--fleet-key", KEY, "--listen", &address], &[]);
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn log_lines_have_the_format_and_level_that_are_set() {
+fn log_lines_follow_the_format_and_level_settings() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = taken.local_addr().unwrap().to_string();
     let failing = |args: &[&str]| {
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn defaults_stand_where_nothing_is_set() {
+fn defaults_apply_to_unset_settings() {
     let settings = Settings::from_args(&["--fleet-key", KEY]).unwrap();
     let address = |port| SocketAddr::from(([127, 0, 0, 1], port));
     let addresses = (settings.listen, settings.peer_listen, settings.admin_listen);
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn voter_is_given_its_founders() {
+fn founders_come_from_lists_and_repeated_flags() {
     let args = ["--fleet-key", KEY, "--voter", "--data-dir", "d", "--founder", "a,b"];
     let settings = Settings::from_args(&[&args[..], &["--founder", "c"]].concat()).unwrap();
     let founders: Vec<_> = settings.founders.iter().map(|host| host.as_str()).collect();
