--- a/crates/daemon/src/admin/auth.rs
+++ b/crates/daemon/src/admin/auth.rs
@@ -4,7 +4,7 @@
 
 use super::problems::ApiError;
 
-/// The operators' keys, kept as digests.
+/// Digests of the operators' keys.
 pub(super) struct OperatorKeys(Vec<Digest>);
 
 impl OperatorKeys {
@@ -12,7 +12,7 @@
         Self(digests.to_vec())
     }
 
-    /// Checks that the request shows one of the keys, in a time that doesn't depend on which.
+    /// Checks that the request carries one of the keys, in a time that doesn't depend on which.
     pub(super) fn check(&self, req: &Request) -> Result<(), ApiError> {
         if self.0.is_empty() {
             return Err(ApiError::closed());
--- a/crates/daemon/src/admin/body.rs
+++ b/crates/daemon/src/admin/body.rs
@@ -13,7 +13,7 @@
     let content_length = req.header("content-length").map(str::parse::<u64>);
     let content_length = content_length
         .transpose()
-        .map_err(|_| ApiError::malformed("the length of the body is no whole number"))?;
+        .map_err(|_| ApiError::malformed("the content-length is not a whole number"))?;
     if content_length.is_some_and(|content_length| max_bytes < content_length) {
         return Err(ApiError::too_large(max_bytes));
     }
@@ -27,7 +27,7 @@
         return Err(ApiError::too_large(max_bytes));
     }
     if content_length.is_some_and(|content_length| content_length != read) {
-        return Err(ApiError::malformed("the body is shorter than announced"));
+        return Err(ApiError::malformed("the body's length differs from its content-length"));
     }
     serde_json::from_slice(&bytes).map_err(|e| ApiError::malformed(e.to_string()))
 }
--- a/crates/daemon/src/admin/calls.rs
+++ b/crates/daemon/src/admin/calls.rs
@@ -10,7 +10,7 @@
 
 use super::{AdminApi, body, problems::ApiError};
 
-/// Shows a call that may not be repeated.
+/// Returns a non-idempotent call.
 pub(super) fn show(api: &AdminApi, path: CallPath) -> Result<Call, ApiError> {
     read(api, CallKey { organisation: path.organisation, key: path.key })
 }
@@ -26,7 +26,7 @@
     }
 }
 
-/// Settles a call by an operator's word; the same word again finds it settled.
+/// Records the operator's verdict on a call; the same verdict again succeeds.
 pub(super) fn resolve(api: &AdminApi, req: &Request, path: CallPath) -> Result<Call, ApiError> {
     let req: ResolveRequest = body::read(req, body::MAX_SMALL_BODY_BYTES)?;
     let key = CallKey { organisation: path.organisation, key: path.key };
@@ -38,7 +38,7 @@
         },
         author: req.author.clone(),
         reason: req.reason,
-        // The leader sets its own time.
+        // The leader sets the time.
         at: UnixMillis::new(0),
     });
     let response = api.leader.submit(&LeaderRequest::Command(resolve))?;
@@ -48,13 +48,13 @@
     match reply {
         ResolveReply::Resolved => {
             let verdict = Verdict::from(req.verdict);
-            log::info!(call:% = key, verdict:%, author:% = req.author; "call settled");
+            log::info!(call:% = key, verdict:%, author:% = req.author; "call resolved");
             read(api, key).map_err(|_| ApiError::unknown())
         }
         ResolveReply::AlreadySettled => already_settled(api, key, req.verdict),
         ResolveReply::TooEarly { wait } => {
             let shown = humantime::format_duration(wait);
-            let detail = format!("its owner may still send the call; try again in {shown}");
+            let detail = format!("its owner may still send the call; retry in {shown}");
             Err(ApiError::conflict(detail).retry_after(wait))
         }
         ResolveReply::InvalidReason => Err(ApiError::invalid("the reason is empty or too long")),
--- a/crates/daemon/src/admin/declaration.rs
+++ b/crates/daemon/src/admin/declaration.rs
@@ -16,10 +16,10 @@
 /// Largest body of a change, in bytes: a declaration with each quote escaped.
 const MAX_CHANGE_BODY_BYTES: u64 = 6 << 20;
 
-/// Longest wait until an accepted change is in force here too.
+/// Longest wait until an accepted change is in force at this router.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time between looks at the revision in force.
+/// Time between checks of the revision in force.
 const IN_FORCE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Returns the declaration that is in force at this router.
@@ -52,7 +52,7 @@
         expected: req.expected,
         author: req.author,
         reason: req.reason,
-        // The leader sets its own time.
+        // The leader sets the time.
         at: UnixMillis::new(0),
         declaration: req.toml,
     });
@@ -68,7 +68,7 @@
     Ok(json(&response).with_status_code(response.status()))
 }
 
-/// Lists the changes that are kept.
+/// Lists the retained changes.
 pub(super) fn history(api: &AdminApi) -> Result<History, ApiError> {
     let records = match api.leader.submit(&LeaderRequest::ReadHistory) {
         Ok(LeaderAnswer::History(records)) => records,
@@ -97,7 +97,7 @@
         ChangeReply::IdReused => {
             let first = history(api)?.changes.into_iter().find(|change| change.id == *id);
             let first = first.ok_or_else(|| {
-                ApiError::conflict(format!("change id {id} stands for another change"))
+                ApiError::conflict(format!("change id {id} was already used for another change"))
             })?;
             ChangeAnswer::ReusedId { first }
         }
@@ -114,7 +114,7 @@
     }
 }
 
-/// Waits until `revision` is in force here, so that the operator's next question finds it.
+/// Waits until `revision` is in force here, so that the operator's next query sees it.
 fn wait_in_force(api: &AdminApi, revision: Revision) {
     let deadline = Instant::now() + IN_FORCE_TIMEOUT;
     while api.context.configurations.revision() < revision && Instant::now() < deadline {
--- a/crates/daemon/src/admin/explain.rs
+++ b/crates/daemon/src/admin/explain.rs
@@ -7,16 +7,16 @@
 
 use super::{AdminApi, body, problems::ApiError};
 
-/// Longest wait for the edge thread.
+/// Longest wait for the edge thread's response.
 const EDGE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Asks the edge thread where a request would go.
+/// Queries the edge thread for the endpoint that a request would be sent to.
 pub(super) fn explain(api: &AdminApi, req: &Request) -> Result<Explanation, ApiError> {
     let request: ExplainRequest = body::read(req, api.context.cfg.limits.body_bytes.as_u64())?;
     let nowhere = format!("no endpoint serves model {}", request.model);
     let (reply, response) = flume::bounded(1);
     let sent = api.context.inquiries.try_send(Inquiry::Explain { request, reply });
-    let busy = || ApiError::unavailable("the router is busy or ending");
+    let busy = || ApiError::unavailable("the router is busy or shutting down");
     sent.map_err(|_| busy())?;
     let explanation = response.recv_timeout(EDGE_RESPONSE_TIMEOUT).map_err(|_| busy())?;
     explanation.ok_or_else(|| ApiError::not_found(nowhere))
--- a/crates/daemon/src/admin/leader.rs
+++ b/crates/daemon/src/admin/leader.rs
@@ -9,19 +9,19 @@
 
 use super::problems::ApiError;
 
-/// Longest wait for the leader's answer; shorter than the command-line tool's own.
+/// Longest wait for the leader's response; shorter than the command-line tool's timeout.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Requests that may wait for the leader at once.
+/// Requests that may wait for the leader at the same time.
 const MAX_CONCURRENT_REQUESTS: usize = 8;
 
-/// The way to the leader for threads that wait.
+/// A blocking client of the leader, for the admin interface's threads.
 pub(super) struct BlockingLeaderClient {
     client: LeaderClient,
     waiting: AtomicUsize,
 }
 
-/// A place among those who wait; freed on drop.
+/// Permit to wait for the leader; released on drop.
 struct WaitPermit<'a>(&'a AtomicUsize);
 
 impl BlockingLeaderClient {
@@ -29,19 +29,19 @@
         Self { client, waiting: AtomicUsize::new(0) }
     }
 
-    /// Sends an idempotent request and waits for the answer.
+    /// Sends an idempotent request and waits for the response.
     pub(super) fn submit(&self, request: &LeaderRequest) -> Result<LeaderAnswer, ApiError> {
         let _permit = WaitPermit::acquire(&self.waiting)
-            .ok_or_else(|| ApiError::unavailable("too many requests wait for the leader"))?;
+            .ok_or_else(|| ApiError::unavailable("too many requests are waiting for the leader"))?;
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_time()
             .build()
-            .map_err(|e| ApiError::unavailable(format!("no runtime: {e}")))?;
+            .map_err(|e| ApiError::unavailable(format!("could not start a runtime: {e}")))?;
         match runtime.block_on(self.client.submit(request, RESPONSE_TIMEOUT)) {
             Ok(LeaderAnswer::Refused(reason)) => Err(ApiError::conflict(reason)),
             Ok(response) => Ok(response),
             Err(LeaderRequestError::NotAccepted) => Err(ApiError::unavailable(
-                "no leader took the request; the quorum has no majority or can't be reached",
+                "no leader accepted the request; the quorum has no majority or can't be reached",
             )),
             Err(LeaderRequestError::Unknown) => Err(ApiError::unknown()),
         }
--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The operator, health and metrics pages.
+//! The HTTP interface for operators, health checks and metrics.
 
 mod auth;
 mod body;
@@ -29,18 +29,19 @@
 use leader::BlockingLeaderClient;
 use problems::ApiError;
 
-/// Threads that serve the pages; more than may wait for the leader, so that the health pages stay.
+/// Threads that serve requests; more than may wait for the leader, so that health checks still get
+/// a response.
 const POOL_THREADS: usize = 16;
 
-/// Time between looks for a request.
+/// Longest wait for a request in one poll of the server.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Start of every operator path.
+/// Prefix of every operator path.
 const OPERATOR_PREFIX: &str = "/operator/";
 
 const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4";
 
-/// What the pages show and change.
+/// State that the interface reads, and channels to the threads that change it.
 pub(crate) struct AdminContext {
     pub cfg: Arc<Settings>,
     pub clock: Clock,
@@ -54,18 +55,18 @@
     pub metrics: Arc<Metrics>,
 }
 
-/// The pages.
+/// Handles the interface's requests.
 struct AdminApi {
     context: AdminContext,
     keys: OperatorKeys,
     leader: BlockingLeaderClient,
 }
 
-/// Starts the thread that serves the pages.
+/// Starts the thread that serves the interface.
 ///
 /// # Errors
 ///
-/// Returns an error if the address can't be bound or the thread can't be made.
+/// Returns an error if the address can't be bound or the thread can't be started.
 pub(crate) fn spawn(address: SocketAddr, context: AdminContext) -> io::Result<()> {
     let api = AdminApi {
         keys: OperatorKeys::new(&context.cfg.operator_keys),
@@ -85,7 +86,7 @@
 
 impl AdminApi {
     fn handle(&self, req: &Request) -> Response {
-        // Decoded, a slash in an idempotency key would pass for one of the path.
+        // Not decoded: an escaped slash in an idempotency key must not act as a path separator.
         let path = req.raw_url().split('?').next().unwrap_or_default();
         let response = match (req.method(), path) {
             ("GET", "/healthz") => Ok(Response::text("alive\n")),
@@ -106,7 +107,9 @@
             ("GET", DECLARATION_PATH) => Ok(json(&declaration::current(self))),
             ("POST", DECLARATION_PATH) => declaration::change(self, req),
             ("GET", HISTORY_PATH) => declaration::history(self).map(|history| json(&history)),
-            ("POST", EXPLAIN_PATH) => explain::explain(self, req).map(|answer| json(&answer)),
+            ("POST", EXPLAIN_PATH) => {
+                explain::explain(self, req).map(|explanation| json(&explanation))
+            }
             ("GET", VOTERS_PATH) => voters::list(self).map(|voters| json(&voters)),
             ("POST", VOTERS_PATH) => voters::change(self, req).map(|voters| json(&voters)),
             ("GET", CALLS_PATH) => calls::unsettled(self).map(|calls| json(&calls)),
--- a/crates/daemon/src/admin/problems.rs
+++ b/crates/daemon/src/admin/problems.rs
@@ -4,7 +4,7 @@
 use rouille::Response;
 use wire::problem::{CONTENT_TYPE, Problem};
 
-/// An operator's request that was not answered as sent.
+/// An error response to an operator's request.
 #[derive(Debug)]
 pub(super) struct ApiError {
     problem: Problem,
@@ -12,7 +12,7 @@
 }
 
 impl ApiError {
-    /// Describes a request that changed nothing.
+    /// Creates the error of a request that changed nothing.
     pub(super) fn not_run(status: u16, title: &str, detail: impl AsRef<str>) -> Self {
         Self::new(status, title, detail, Verdict::NotRun)
     }
@@ -43,7 +43,7 @@
     }
 
     pub(super) fn method_not_allowed(allowed: &str) -> Self {
-        let detail = format!("the page takes {allowed}");
+        let detail = format!("the path supports only {allowed}");
         Self::not_run(405, "method not allowed", detail).with_header("Allow", allowed)
     }
 
@@ -52,7 +52,7 @@
     }
 
     pub(super) fn too_large(max_bytes: u64) -> Self {
-        Self::not_run(413, "body too large", format!("the body is over {max_bytes} bytes"))
+        Self::not_run(413, "body too large", format!("the body is longer than {max_bytes} bytes"))
     }
 
     pub(super) fn invalid(detail: impl AsRef<str>) -> Self {
@@ -63,9 +63,9 @@
         Self::not_run(503, "not available", detail)
     }
 
-    /// Describes a request whose answer did not come; sending the same again is safe.
+    /// Creates the error of a request without a response; sending the same again is safe.
     pub(super) fn unknown() -> Self {
-        let detail = "no answer came in time; the request may be carried out, and the same \
+        let detail = "no response arrived in time; the request may be carried out, and the same \
                       request can be sent again";
         Self::new(504, "no answer in time", detail, Verdict::MayHaveRun)
     }
--- a/crates/daemon/src/admin/status.rs
+++ b/crates/daemon/src/admin/status.rs
@@ -16,10 +16,10 @@
 
 use super::AdminApi;
 
-/// Longest wait for the edge thread.
+/// Longest wait for the edge thread's response.
 const EDGE_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Describes the router, its peers and the quorum.
+/// Returns the status of the router, its peers and the quorum.
 pub(super) fn status(api: &AdminApi) -> Status {
     let context = &api.context;
     let roster = context.roster.load();
@@ -51,7 +51,7 @@
     }
 }
 
-/// Lists the endpoints whose lease runs.
+/// Lists the endpoints whose lease has not expired.
 pub(super) fn endpoints(api: &AdminApi) -> Endpoints {
     let Some(roster) = api.context.roster.load() else { return Endpoints::default() };
     let load = load(api);
@@ -59,7 +59,7 @@
     Endpoints { endpoints: shown.collect() }
 }
 
-/// Lists the voters that a host with a vote knows.
+/// Lists the voters according to this host's replica.
 pub(super) fn voters(view: &ReplicaView) -> Vec<Voter> {
     let folders = view.node.voters.folders.iter();
     folders
@@ -117,7 +117,7 @@
     }
 }
 
-/// Describes the quorum as gossip shows it to a host without a vote.
+/// Returns the quorum's status on a host without a vote, which knows the leader from gossip.
 fn observer(roster: Option<&Roster>) -> QuorumStatus {
     let mut peers = roster.iter().flat_map(|roster| &roster.peers);
     let leader = peers.find_map(|peer| peer.update.leader.clone());
--- a/crates/daemon/src/admin/voters.rs
+++ b/crates/daemon/src/admin/voters.rs
@@ -7,7 +7,7 @@
 
 use super::{AdminApi, body, problems::ApiError, status};
 
-/// Lists the voters; a leader knows how far each has come.
+/// Lists the voters; on the leader with the matched log index of each.
 pub(super) fn list(api: &AdminApi) -> Result<Voters, ApiError> {
     let view = api.context.replica.load();
     if let Some(view) = view.as_ref().filter(|view| view.node.role == quorum::Role::Leader) {
@@ -19,7 +19,7 @@
     }
 }
 
-/// Takes one voter in or out.
+/// Adds or removes one voter.
 pub(super) fn change(api: &AdminApi, req: &Request) -> Result<Voters, ApiError> {
     let VoterChangeRequest { change, author, reason } =
         body::read(req, body::MAX_SMALL_BODY_BYTES)?;
@@ -30,11 +30,11 @@
         VoterChange::Add { host, folder } => {
             let folder =
                 folder.parse().map_err(|e: base::ParseError| ApiError::malformed(e.to_string()))?;
-            log::info!(host:%, folder:%, author:%, reason; "a voter is to be taken in");
+            log::info!(host:%, folder:%, author:%, reason; "voter addition requested");
             LeaderRequest::AddVoter { host, folder }
         }
         VoterChange::Remove { host } => {
-            log::info!(host:%, author:%, reason; "a voter is to be taken out");
+            log::info!(host:%, author:%, reason; "voter removal requested");
             LeaderRequest::RemoveVoter { host }
         }
     };
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -3,9 +3,10 @@
 use base::{MonotonicTime, UnixMillis};
 use rustix::time::{ClockId, clock_gettime};
 
-/// The process's clocks, read here and handed to the cores as values.
+/// The process's monotonic and wall clocks; state machines get their readings as arguments.
 ///
-/// The monotonic one goes on while the host is suspended, so that no lease outlives a suspension.
+/// The monotonic clock advances while the host is suspended, so that no lease outlives a
+/// suspension.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     origin: Duration,
--- a/crates/daemon/src/configurations.rs
+++ b/crates/daemon/src/configurations.rs
@@ -9,16 +9,17 @@
 
 pub(crate) use wire::peer::Configuration;
 
-/// Folder of the newest configuration in force, under the data folder.
+/// Name of the folder of the newest configuration in force, in the data folder.
 const FOLDER_NAME: &str = "configuration";
 
-/// The configuration in force; its revision only rises.
+/// The configuration in force; its revision only increases.
 ///
-/// On a host with a data folder it is durable before it is in force, so that no restart goes back.
+/// On a host with a data folder a configuration is written to disk before it is in force, so that a
+/// restart doesn't return to an older one.
 #[derive(Clone, Default)]
 pub(crate) struct Configurations {
     state: Arc<Mutex<ConfigurationState>>,
-    /// Locked before `held`, so that no reader waits for the disk.
+    /// Locked before `state`, so that readers don't wait for the disk.
     stored: Arc<Mutex<Option<Document<RealDisk>>>>,
 }
 
@@ -28,12 +29,12 @@
     subscribers: Vec<flume::Sender<Arc<InForce>>>,
 }
 
-/// A configuration with its declaration read.
+/// A configuration with its parsed declaration.
 #[derive(Debug, Default)]
 pub(crate) struct InForce {
-    /// As it came; none for the built-in one.
+    /// The configuration as received; `None` for the built-in one.
     pub configuration: Option<Configuration>,
-    /// What it declares.
+    /// The parsed declaration.
     pub declaration: Declaration,
 }
 
@@ -45,11 +46,11 @@
 }
 
 impl Configurations {
-    /// Puts the configuration in force that `data_dir` keeps, and keeps later ones there.
+    /// Applies the configuration stored in `data_dir`, and stores later ones there.
     ///
     /// # Errors
     ///
-    /// Returns an error if the folder can't be used or what it keeps can't be read.
+    /// Returns an error if the folder can't be used or its content can't be decoded.
     pub(crate) fn open(data_dir: &Path) -> eyre::Result<Self> {
         let (document, content) = Document::open(&data_dir.join(FOLDER_NAME), RealDisk)?;
         let configurations = Self::default();
@@ -60,7 +61,7 @@
         Ok(configurations)
     }
 
-    /// Takes a configuration, unless one as new is in force; returns whether it was taken.
+    /// Applies a configuration if it is newer than the one in force; returns whether it was.
     pub(crate) fn apply_if_newer(&self, configuration: Configuration) -> bool {
         if configuration.revision <= self.revision() {
             return false;
@@ -68,7 +69,10 @@
         let declaration = match Declaration::from_toml(&configuration.declaration) {
             Ok(declaration) => declaration,
             Err(e) => {
-                log::error!("revision={} can't be read: {e}", configuration.revision);
+                log::error!(
+                    "configuration not parsed: revision={} error={e}",
+                    configuration.revision
+                );
                 return false;
             }
         };
@@ -78,10 +82,10 @@
         }
         if let Some(Err(e)) = stored.as_ref().map(|stored| stored.write(&configuration.to_bytes()))
         {
-            log::error!("revision={} in force, but not kept: {e}", configuration.revision);
+            log::error!("configuration not stored: revision={} error={e}", configuration.revision);
         }
         let mut state = self.lock();
-        log::info!("revision={} in force", configuration.revision);
+        log::info!("configuration in force: revision={}", configuration.revision);
         let in_force = Arc::new(InForce { configuration: Some(configuration), declaration });
         state.subscribers.retain(|tx| tx.send(Arc::clone(&in_force)).is_ok());
         state.in_force = Some(in_force);
@@ -98,7 +102,7 @@
         self.lock().in_force.clone()
     }
 
-    /// Returns a ring that gets each configuration from now on, first the one in force.
+    /// Returns a channel of all later configurations, first the one in force.
     pub(crate) fn subscribe(&self) -> flume::Receiver<Arc<InForce>> {
         let (tx, rx) = flume::unbounded();
         let mut state = self.lock();
--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -9,11 +9,11 @@
 
 use crate::clock::Clock;
 
-/// Where other routers listen, and which of them vote or lead.
+/// Peer addresses of other routers, and which of them are voters or the leader.
 #[derive(Clone, Debug)]
 pub(crate) struct Directory {
     clock: Clock,
-    /// Port of hosts that are named by their addresses, if they are.
+    /// Peer port of hosts whose ids are their addresses, if they are.
     port: Option<u16>,
     state: Arc<Mutex<DirectoryState>>,
 }
@@ -29,47 +29,47 @@
         Self { clock, port, state: Arc::default() }
     }
 
-    /// Returns where a router listens.
+    /// Returns a router's peer address.
     pub(crate) fn address(&self, host: &HostId) -> Option<SocketAddr> {
         let known = self.lock().addresses.get(host).copied();
         known.or_else(|| Some(SocketAddr::new(host.as_str().parse().ok()?, self.port?)))
     }
 
-    /// Notes where a router listens, and whether it votes.
+    /// Records a router's peer address and whether it votes.
     pub(crate) fn insert(&self, host: HostId, address: SocketAddr, votes: bool) {
         let mut state = self.lock();
         state.addresses.insert(host.clone(), address);
         state.hints.set_voter(host, votes);
     }
 
-    /// Notes that a voter just named the leader.
+    /// Records that a voter's response named the leader.
     pub(crate) fn confirm_leader(&self, leader: &HostId) {
         let now = self.clock.now();
         self.lock().hints.named(now, leader);
     }
 
-    /// Notes which host is said to lead, by word that may be old.
+    /// Records the leader according to information that may be outdated.
     pub(crate) fn set_leader(&self, leader: Option<HostId>) {
         self.lock().hints.set_leader(leader);
     }
 
-    /// Returns the host that was last said to lead.
+    /// Returns the last recorded leader.
     pub(crate) fn leader(&self) -> Option<HostId> {
         self.lock().hints.leader().cloned()
     }
 
-    /// Notes that a host answered a request to the leader.
+    /// Records that a host responded to a leader request.
     pub(crate) fn record_response(&self, host: &HostId) {
         self.lock().hints.answered(host);
     }
 
-    /// Notes that a host did not answer a request to the leader in time.
+    /// Records that a host didn't respond to a leader request in time.
     pub(crate) fn record_timeout(&self, host: &HostId) {
         let now = self.clock.now();
         self.lock().hints.timed_out(now, host);
     }
 
-    /// Returns the hosts that may take a request to the leader, the likeliest first.
+    /// Returns the hosts to send a leader request to, the likeliest leader first.
     pub(crate) fn leader_candidates(&self) -> Vec<HostId> {
         self.lock().hints.order(self.clock.now())
     }
--- a/crates/daemon/src/failure.rs
+++ b/crates/daemon/src/failure.rs
@@ -1,4 +1,4 @@
-//! Why a request got no answer.
+//! Failures of callers' requests, as problem responses (RFC 9457).
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use telemetry::{Recorder, Refusal};
 use wire::problem::{self, Problem};
 
-/// Why a request got no answer, and whether it may have run.
+/// Why a request failed, and whether it may have run.
 #[derive(Clone, Debug)]
 pub(crate) struct Failure {
     pub status: StatusCode,
@@ -49,7 +49,7 @@
     }
 
     pub(crate) fn method_not_allowed() -> Self {
-        let detail = "the path takes another method";
+        let detail = "the path does not support this method";
         Self::refused(StatusCode::METHOD_NOT_ALLOWED, "method not allowed", detail)
     }
 
@@ -72,12 +72,12 @@
     }
 
     pub(crate) fn body_too_large(max_bytes: usize) -> Self {
-        let detail = format!("the body is over {max_bytes} bytes");
+        let detail = format!("the body is longer than {max_bytes} bytes");
         Self::refused(StatusCode::PAYLOAD_TOO_LARGE, "body too large", detail)
     }
 
     pub(crate) fn prompt_too_large(max_bytes: usize) -> Self {
-        let detail = format!("the prompt is over {max_bytes} bytes");
+        let detail = format!("the prompt is longer than {max_bytes} bytes");
         Self::refused(StatusCode::PAYLOAD_TOO_LARGE, "prompt too large", detail)
     }
 
@@ -102,7 +102,7 @@
         Self::new(StatusCode::GATEWAY_TIMEOUT, "timeout", detail, verdict)
     }
 
-    /// Counts the failure: as refused if the request was not run, by its verdict otherwise.
+    /// Counts the failure: as a refusal if the request didn't run, by its verdict otherwise.
     pub(crate) fn record(&self, recorder: &Recorder) {
         match self.verdict {
             Verdict::NotRun => recorder.refusal(self.reason()),
--- a/crates/daemon/src/leader_client.rs
+++ b/crates/daemon/src/leader_client.rs
@@ -13,10 +13,10 @@
 /// Longest wait for one host's response.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Shortest and longest pause between rounds over all voters.
+/// Shortest and longest pause between rounds over all voters, in milliseconds.
 const ROUND_PAUSE_MS: std::ops::RangeInclusive<u64> = 20..=60;
 
-/// Brings requests to the quorum's leader, wherever it is.
+/// Sends requests to the quorum's leader, on this host or another.
 #[derive(Clone)]
 pub(crate) struct LeaderClient {
     host: HostId,
@@ -28,7 +28,7 @@
 /// Why a request has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LeaderRequestError {
-    /// No leader took it; it won't be carried out.
+    /// No leader accepted it; it won't be carried out.
     NotAccepted,
     /// It may be carried out.
     Unknown,
@@ -44,7 +44,7 @@
         Self { host, local, outbox, directory }
     }
 
-    /// Sends an idempotent request until a leader answers or `timeout` has passed.
+    /// Sends an idempotent request until a leader responds or `timeout` has passed.
     pub(crate) async fn submit(
         &self,
         request: &LeaderRequest,
@@ -55,7 +55,7 @@
         let attempts = async {
             loop {
                 for host in self.directory.leader_candidates() {
-                    // An attempt that the timeout cuts short may be carried out.
+                    // A request whose attempt is cancelled by the timeout may be carried out.
                     let before = worst.replace(LeaderRequestError::Unknown);
                     match self.attempt(&host, bytes.clone()).await {
                         SubmitOutcome::Reply(response) => {
--- a/crates/daemon/src/net.rs
+++ b/crates/daemon/src/net.rs
@@ -17,8 +17,8 @@
     task::JoinHandle,
 };
 
-/// Connections that may wait to be accepted; with fewer, a burst of callers waits for a second,
-/// the time after which TCP asks again.
+/// Connections that may wait to be accepted; with a shorter queue, callers in a burst wait a
+/// second, after which TCP retransmits.
 const LISTEN_BACKLOG: i32 = 4096;
 
 /// Listens on `address`.
@@ -30,8 +30,8 @@
     Ok(socket.into())
 }
 
-/// Opens a connection from the host's own address, so that the far side sees the address that the
-/// settings name.
+/// Opens a connection from the host's own address, so that the other side sees the address in the
+/// settings.
 pub(crate) async fn connect(source: IpAddr, address: SocketAddr) -> io::Result<TcpStream> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     if !source.is_unspecified() && source.is_ipv4() == address.is_ipv4() {
@@ -41,12 +41,12 @@
     socket.connect(address).await
 }
 
-/// Returns the `Host` field of a request to `address`.
+/// Returns the `Host` header of a request to `address`.
 pub(crate) fn host_value(address: SocketAddr) -> HeaderValue {
     HeaderValue::from_str(&address.to_string()).expect("an address is a valid header")
 }
 
-/// A task that ends when its owner is dropped.
+/// A task that is aborted on drop.
 pub(crate) struct AbortOnDrop(pub JoinHandle<()>);
 
 impl Drop for AbortOnDrop {
@@ -55,11 +55,11 @@
     }
 }
 
-/// A connection that has carried no request.
+/// A new connection, not used for a request yet.
 pub(crate) struct FreshConnection {
     /// Sends the request.
     pub sender: SendRequest<Full<Bytes>>,
-    /// Moves the connection's bytes; aborted, it closes the connection.
+    /// Drives the connection's I/O; aborting it closes the connection.
     pub driver: JoinHandle<()>,
 }
 
@@ -81,7 +81,7 @@
     let (sender, connection) = connected.map_err(|_| "timeout".to_owned())??;
     let driver = tokio::task::spawn_local(async move {
         if let Err(e) = connection.await {
-            log::debug!("a connection to {address} ended: {e}");
+            log::debug!("endpoint connection failed: address={address} error={e}");
         }
     });
     Ok(FreshConnection { sender, driver })
--- a/crates/daemon/src/peers/client.rs
+++ b/crates/daemon/src/peers/client.rs
@@ -17,19 +17,19 @@
     link::{self, Session},
 };
 
-/// A connection to a router's peer address, for tools that know the fleet's key.
+/// A connection to a router's peer address, for tools that have the fleet's key.
 ///
 /// Its methods run on a [`tokio::task::LocalSet`].
 pub struct PeerClient {
     session: Session,
 }
 
-/// A router's answer to a request to the leader.
+/// A router's response to a leader request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerResponse {
-    /// The router leads, and answered.
+    /// The router is the leader; this is its response.
     Answered(LeaderAnswer),
-    /// The router doesn't lead; the request was not written and won't be.
+    /// The router isn't the leader; the request was not written and won't be.
     NotLeader {
         /// The leader, if known.
         leader: Option<HostId>,
@@ -39,11 +39,11 @@
 }
 
 impl PeerClient {
-    /// Connects from the own address `source` to the router at `address`, under the name `host`.
+    /// Connects from the local address `source` to the router at `address`, as the host `host`.
     ///
     /// # Errors
     ///
-    /// Returns an error if the router can't be reached or another key protects the fleet.
+    /// Returns an error if the router can't be reached or the fleet has another key.
     pub async fn connect(
         source: IpAddr,
         address: SocketAddr,
@@ -52,15 +52,17 @@
     ) -> eyre::Result<Self> {
         let cfg = PeersConfig { host, source, fleet_key: fleet_key.into() };
         let secret = Rc::new(FleetSecret::new(fleet_key));
-        let session = link::connect(&cfg, address, &secret).await.wrap_err("no connection")?;
+        let session = link::connect(&cfg, address, &secret)
+            .await
+            .wrap_err("could not connect to the router")?;
         Ok(Self { session })
     }
 
-    /// Sends a request to the leader, which this router may be.
+    /// Sends a leader request to this router, which may or may not be the leader.
     ///
     /// # Errors
     ///
-    /// Returns an error if the router gives an answer that can't be read.
+    /// Returns an error if the router's response can't be decoded.
     pub async fn submit(
         &self,
         request: &LeaderRequest,
@@ -84,7 +86,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the connection is lost or the answer can't be read.
+    /// Returns an error if the connection is lost or the response can't be decoded.
     pub async fn configuration(&self, above: Revision) -> eyre::Result<Option<Configuration>> {
         Ok(self.session.configuration(above).await?)
     }
--- a/crates/daemon/src/peers/handshake.rs
+++ b/crates/daemon/src/peers/handshake.rs
@@ -4,27 +4,27 @@
 /// Length of a nonce, in bytes.
 pub(super) const NONCE_BYTES: usize = 32;
 
-/// Context for the key derivation, unique to this use.
+/// Context string of the key derivation, unique to this use.
 const KEY_CONTEXT: &str = "dotterelreach 2026-12 proofs between routers";
 
-/// A number used once.
+/// A random number used in one handshake only.
 pub(super) type Nonce = [u8; NONCE_BYTES];
 
-/// The key by which routers prove that they belong to the fleet.
+/// The derived key with which routers prove that they belong to the fleet.
 pub(super) struct FleetSecret {
     key: [u8; blake3::KEY_LEN],
 }
 
-/// Which side of a connection makes a proof.
+/// The side of a connection that proves itself.
 #[derive(Clone, Copy)]
 pub(super) enum Side<'a> {
-    /// The side that was called.
+    /// The side that accepted the connection.
     Server,
-    /// The calling side, with its host.
+    /// The side that opened the connection, with its host.
     Client(&'a HostId),
 }
 
-/// The nonces of both sides.
+/// The nonces of both sides of a handshake.
 #[derive(Clone, Copy)]
 pub(super) struct Nonces {
     pub client: Nonce,
@@ -36,7 +36,7 @@
         Self { key: blake3::derive_key(KEY_CONTEXT, fleet_key.as_bytes()) }
     }
 
-    /// Returns the proof of `side` over both nonces.
+    /// Computes the proof of `side`: a keyed hash over both nonces and the side.
     pub(super) fn prove(&self, side: Side<'_>, nonces: &Nonces) -> [u8; blake3::OUT_LEN] {
         let mut mac = blake3::Hasher::new_keyed(&self.key);
         mac.update(&nonces.client);
@@ -54,12 +54,12 @@
     }
 }
 
-/// Draws a nonce.
+/// Generates a random nonce.
 pub(super) fn new_nonce() -> Nonce {
     rand::random()
 }
 
-/// Reads a nonce of the other side.
+/// Decodes the other side's nonce.
 pub(super) fn read_nonce(bytes: &[u8]) -> Result<Nonce, capnp::Error> {
-    bytes.try_into().map_err(|_| capnp::Error::failed("a nonce has another length".into()))
+    bytes.try_into().map_err(|_| capnp::Error::failed("the nonce has the wrong length".into()))
 }
--- a/crates/daemon/src/peers/link.rs
+++ b/crates/daemon/src/peers/link.rs
@@ -18,20 +18,20 @@
     reader_options,
 };
 
-/// Time for a connection with its handshake.
+/// Timeout of a connection with its handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time for the connection alone; a host without power answers nothing, and TCP asks again only
-/// after a second.
+/// Timeout of the TCP connection alone; a host without power doesn't respond, and TCP retransmits
+/// only after a second.
 const TCP_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time for a call.
+/// Timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time without messages after which a link ends.
+/// Time without messages after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A connection to another router, after the handshake.
+/// An authenticated connection to another router.
 pub(super) struct Session {
     router: router::Client,
     disconnected: Rc<std::cell::Cell<bool>>,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Carries messages to the router at `address` until none come for a while.
+/// Sends messages to the router at `address` until none arrive for `IDLE_TIMEOUT`.
 pub(super) async fn run(
     cfg: PeersConfig,
     address: SocketAddr,
@@ -75,11 +75,11 @@
     match tokio::time::timeout(CONNECT_TIMEOUT, connect(cfg, address, secret)).await {
         Ok(Ok(session)) => Some(session),
         Ok(Err(e)) => {
-            log::debug!("peer={address} no connection: {e}");
+            log::debug!("peer connection failed: peer={address} error={e}");
             None
         }
         Err(_) => {
-            log::debug!("peer={address} no connection: timeout");
+            log::debug!("peer connection failed: peer={address} error=timeout");
             None
         }
     }
@@ -124,11 +124,11 @@
     let response = response.get()?;
     if response.get_version() != PROTOCOL_VERSION {
         let version = response.get_version();
-        return Err(capnp::Error::failed(format!("the peer speaks version {version}")));
+        return Err(capnp::Error::failed(format!("the peer has protocol version {version}")));
     }
     let nonces = Nonces { client, server: read_nonce(response.get_nonce()?)? };
     if !secret.verify(Side::Server, &nonces, response.get_proof()?) {
-        return Err(capnp::Error::failed("the peer doesn't know the fleet's key".into()));
+        return Err(capnp::Error::failed("the peer's proof does not match the fleet's key".into()));
     }
     let mut login = gate.login_request();
     login.get().set_host(host.as_str());
@@ -137,7 +137,7 @@
 }
 
 impl Session {
-    /// Sends a request to the leader and waits for what became of it.
+    /// Sends a leader request and waits for its outcome.
     pub(super) async fn submit(&self, request: &[u8]) -> Result<SubmitOutcome, capnp::Error> {
         let mut req = self.router.submit_request();
         req.get().set_request(request);
@@ -170,7 +170,7 @@
 }
 
 impl Outgoing {
-    /// Returns how long the response may take before the connection counts as disconnected.
+    /// Returns how long the response may take before the connection counts as lost.
     fn timeout(&self) -> Duration {
         match self {
             Self::Gossip { timeout, .. } => *timeout,
@@ -179,7 +179,7 @@
     }
 }
 
-/// A call that has been sent.
+/// A call that waits for its response.
 enum PendingCall {
     Gossip {
         response: PendingResponse<router::gossip_results::Owned>,
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -1,6 +1,6 @@
-//! Calls between routers: Cap'n Proto RPC on a thread of its own.
+//! RPC between routers: Cap'n Proto on a thread of its own.
 //!
-//! The thread moves bytes; what they mean is known to the threads behind the rings.
+//! The thread transports encoded messages; the roster and replica threads encode and decode them.
 
 mod client;
 mod handshake;
@@ -28,31 +28,32 @@
 /// Version of the messages between routers.
 const PROTOCOL_VERSION: u16 = 2;
 
-/// Longest message taken, in words of 8 bytes; a stranger can make the process set so much aside.
+/// Longest message accepted, in words of 8 bytes; an unauthenticated client can make the process
+/// allocate this much.
 const MAX_MESSAGE_WORDS: usize = 1 << 20;
 
-/// Messages that wait for one peer; more are dropped.
+/// Capacity of the channel of messages to one peer; when it is full, messages are dropped.
 const LINK_CHANNEL_CAPACITY: usize = 256;
 
-/// What the thread needs.
+/// Settings of the peers thread.
 #[derive(Clone)]
 pub(crate) struct PeersConfig {
     /// This host.
     pub host: HostId,
-    /// The address that calls come from.
+    /// The local address of outgoing connections.
     pub source: IpAddr,
     /// The fleet's key.
     pub fleet_key: Arc<str>,
 }
 
-/// What answers other routers.
+/// Recipients of other routers' calls.
 #[derive(Clone)]
 pub(crate) struct Inbox {
-    /// Gossip, each message answered.
+    /// The roster thread, which responds to each gossip message.
     pub roster: flume::Sender<RosterInput>,
-    /// Messages of the quorum and requests to the leader; absent on a host without a vote.
+    /// The replica thread, for quorum messages and leader requests; `None` on a non-voter.
     pub replica: Option<flume::Sender<ReplicaInput>>,
-    /// Questions for a newer configuration.
+    /// The configuration in force, for requests for a newer one.
     pub configurations: Configurations,
 }
 
@@ -60,11 +61,11 @@
 pub(crate) struct GossipCall {
     /// The message.
     pub message: Vec<u8>,
-    /// Takes the answer.
+    /// Receives the response.
     pub reply: flume::Sender<Vec<u8>>,
 }
 
-/// A message of the quorum from another router.
+/// A quorum message from another router.
 pub(crate) struct QuorumCall {
     /// The sender.
     pub from: HostId,
@@ -72,25 +73,25 @@
     pub message: Vec<u8>,
 }
 
-/// A request to the leader.
+/// A leader request.
 pub(crate) struct SubmitCall {
     /// The request.
     pub request: Vec<u8>,
-    /// Takes what became of it.
+    /// Receives the outcome.
     pub reply: flume::Sender<SubmitOutcome>,
 }
 
-/// What became of a request to the leader.
+/// The outcome of a leader request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum SubmitOutcome {
-    /// The leader answered.
+    /// The leader's encoded response.
     Reply(Vec<u8>),
-    /// It was not written, and won't be; the leader may be another host.
+    /// The request was not written, and won't be; the leader may be another host.
     NotWritten {
         /// The leader, if known.
         leader: Option<HostId>,
     },
-    /// It may or may not have been written.
+    /// The request may or may not have been written.
     Unknown,
 }
 
@@ -102,45 +103,45 @@
         message: Vec<u8>,
         /// When it was sent.
         sent: MonotonicTime,
-        /// How long the answer may take.
+        /// How long the response may take.
         timeout: Duration,
-        /// Takes the answer, if there is one.
+        /// Receives the response, if there is one.
         reply: flume::Sender<RosterInput>,
     },
-    /// A message of the quorum.
+    /// A quorum message.
     Quorum {
         /// The message.
         message: Vec<u8>,
     },
-    /// A request to the leader.
+    /// A leader request.
     Submit {
         /// The request.
         request: Vec<u8>,
-        /// Takes what became of it.
+        /// Receives the outcome.
         reply: flume::Sender<SubmitOutcome>,
     },
-    /// A question for a configuration above a revision.
+    /// A request for a configuration newer than a revision.
     Configuration {
-        /// The revision that this router has.
+        /// The revision in force at this router.
         above: Revision,
-        /// Takes a newer one, if there is one.
+        /// Receives the newer configuration, if there is one.
         reply: flume::Sender<RosterInput>,
     },
 }
 
-/// A message with its receiver.
+/// A message with its recipient's address.
 pub(crate) struct Envelope {
-    /// Where the receiver listens.
+    /// The recipient's peer address.
     pub to: SocketAddr,
     /// The message.
     pub message: Outgoing,
 }
 
-/// Starts the thread that calls other routers and answers them.
+/// Starts the thread that sends and serves calls between routers.
 ///
 /// # Errors
 ///
-/// Returns an error if the thread or its runtime can't be made.
+/// Returns an error if the thread or its runtime can't be started.
 pub(crate) fn spawn(
     cfg: PeersConfig,
     listener: std::net::TcpListener,
@@ -160,14 +161,14 @@
     Ok(())
 }
 
-/// Bounds what is taken from the other side of a connection.
+/// Limits the size of messages from the other side of a connection.
 fn reader_options() -> ReaderOptions {
     let mut options = ReaderOptions::new();
     options.traversal_limit_in_words(Some(MAX_MESSAGE_WORDS));
     options
 }
 
-/// Hands each message to the link to its receiver.
+/// Forwards each message to the connection to its recipient, opening it if needed.
 async fn dispatch(cfg: PeersConfig, secret: Rc<FleetSecret>, outbox: flume::Receiver<Envelope>) {
     let mut links: HashMap<SocketAddr, flume::Sender<Outgoing>> = HashMap::new();
     while let Ok(Envelope { to, message }) = outbox.recv_async().await {
@@ -186,7 +187,7 @@
 }
 
 impl Outgoing {
-    /// Tells the sender that the message was not sent.
+    /// Reports to a leader request's sender that the request was not sent.
     fn fail(self) {
         if let Self::Submit { reply, .. } = self {
             let _ = reply.send(SubmitOutcome::NotWritten { leader: None });
--- a/crates/daemon/src/peers/server.rs
+++ b/crates/daemon/src/peers/server.rs
@@ -18,7 +18,7 @@
 /// Time to wait after a failure to accept, such as too many open files.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Answers other routers until the thread ends.
+/// Serves other routers' calls until the thread ends.
 pub(super) async fn run(listener: std::net::TcpListener, secret: Rc<FleetSecret>, inbox: Inbox) {
     let listener = TcpListener::from_std(listener).expect("the listener is in non-blocking mode");
     loop {
@@ -31,12 +31,12 @@
                 };
                 tokio::task::spawn_local(async move {
                     if let Err(e) = serve(stream, gate).await {
-                        log::debug!("a router's connection ended: {e}");
+                        log::debug!("peer connection closed: error={e}");
                     }
                 });
             }
             Err(e) => {
-                log::warn!("could not accept a router's connection: {e}");
+                log::warn!("peer accept failed: error={e}");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -55,7 +55,7 @@
     capnp::Error::disconnected(e.to_string())
 }
 
-/// What a stranger can reach.
+/// The interface open to unauthenticated clients: the handshake.
 struct Gate {
     secret: Rc<FleetSecret>,
     inbox: Inbox,
@@ -91,7 +91,7 @@
             .map_err(|e: base::ParseError| capnp::Error::failed(e.to_string()))?;
         let nonces = self.nonces.take().ok_or_else(|| rejected("login before hello"))?;
         if !self.secret.verify(Side::Client(&host), &nonces, params.get_proof()?) {
-            return Err(rejected("the proof doesn't fit the fleet's key"));
+            return Err(rejected("the proof does not match the fleet's key"));
         }
         let router = Router { host, inbox: self.inbox.clone() };
         results.get().set_router(capnp_rpc::new_client(router));
@@ -103,7 +103,7 @@
     capnp::Error::failed(reason.to_owned())
 }
 
-/// What a router of the fleet can reach.
+/// The interface open to authenticated routers of the fleet.
 struct Router {
     host: HostId,
     inbox: Inbox,
@@ -176,5 +176,5 @@
 }
 
 fn overloaded() -> capnp::Error {
-    capnp::Error::overloaded("the router is busy or ending".into())
+    capnp::Error::overloaded("the router is busy or shutting down".into())
 }
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -25,29 +25,29 @@
     roster::{self, LatestRoster, RosterChannels, RosterInput},
 };
 
-/// Messages in a ring between two threads.
+/// Capacity of a channel between two threads, in messages.
 pub(crate) const CHANNEL_CAPACITY: usize = 4096;
 
-/// Rosters in the ring to the edge thread.
+/// Capacity of the channel of rosters to the edge thread.
 const ROSTER_CHANNEL_CAPACITY: usize = 1;
 
-/// Operators' questions in the ring to the edge thread.
+/// Capacity of the channel of operators' queries to the edge thread.
 const INQUIRY_CHANNEL_CAPACITY: usize = 16;
 
-/// The process's threads, as far as its end needs them.
+/// Handles to the process's threads that shutdown needs.
 pub(crate) struct Process {
     pub edge: JoinHandle<EdgeEnd>,
     pub control: flume::Sender<Control>,
     pub readiness: Readiness,
-    /// StartupSync of peers to wait for, where readiness depends on it.
+    /// State to receive from peers before the router is ready; `None` if it needs none.
     pub startup_sync: Option<StartupSync>,
     pub roster: flume::Sender<RosterInput>,
     pub replica: Option<flume::Sender<ReplicaInput>>,
-    /// Sends the last spans on drop.
+    /// Exports the last spans on drop.
     _exporter: Option<Exporter>,
 }
 
-/// What several threads hold.
+/// State shared by several threads.
 struct Shared {
     cfg: Arc<Settings>,
     clock: Clock,
@@ -62,8 +62,8 @@
     roster: flume::Sender<RosterInput>,
 }
 
-/// The ways to the threads that keep to the other hosts.
-struct CoreThreads {
+/// Channels to the replica and roster threads, which both interfaces for callers need.
+struct CoreChannels {
     replica: Option<flume::Sender<ReplicaInput>>,
     leader: LeaderClient,
     rosters: flume::Receiver<Arc<Roster>>,
@@ -79,7 +79,7 @@
         let edge_listener = bind(cfg.listen)?;
         let peer_listener = bind(cfg.peer_listen)?;
 
-        let CoreThreads { replica, leader, rosters } =
+        let CoreChannels { replica, leader, rosters } =
             shared.start_core_threads(peer_listener, outbox_rx, roster_inputs)?;
         let startup_sync = shared.startup_sync(leader.clone())?;
         let inquiries = shared.start_admin(leader.clone())?;
@@ -108,7 +108,7 @@
     }
 
     /// Binds the addresses, opens the data folder and starts the threads, with the gateway in place
-    /// of the own interface for callers.
+    /// of the edge thread.
     pub(crate) fn start_gateway<D: Dialect>(
         cfg: &Arc<Settings>,
         gateway_cfg: GatewaySettings,
@@ -123,9 +123,9 @@
             control: gateway_cfg.control.map(bind_nonblocking).transpose()?,
         };
         let peer_listener = bind(cfg.peer_listen)?;
-        let CoreThreads { replica, leader, rosters } =
+        let CoreChannels { replica, leader, rosters } =
             shared.start_core_threads(peer_listener, outbox_rx, roster_inputs)?;
-        // Questions that need the own interface stay without an answer.
+        // Queries to the edge thread get no response: a gateway has no edge thread.
         let _ = shared.start_admin(leader.clone())?;
         let (control, control_rx) = flume::bounded(CHANNEL_CAPACITY);
         let channels = GatewayRings {
@@ -166,12 +166,12 @@
     ) -> eyre::Result<Self> {
         let clock = Clock::start();
         let metrics = Arc::new(Metrics::new()?);
-        // Series that are there from the start can be compared between hosts.
+        // Export these series from the start, so that they can be compared between hosts.
         metrics.revision(Revision::ZERO);
         metrics.quorum(QuorumRole::Observer, Term::ZERO);
         let configurations = match &cfg.data_dir {
             Some(data_dir) => Configurations::open(data_dir)
-                .wrap_err("the configuration in the data folder can't be used")?,
+                .wrap_err("could not read the configuration in the data folder")?,
             None => Configurations::default(),
         };
         Ok(Self {
@@ -190,21 +190,21 @@
         })
     }
 
-    /// Starts the threads that keep to the other hosts.
+    /// Starts the replica, roster and peers threads.
     fn start_core_threads(
         &self,
         peer_listener: TcpListener,
         outbox: flume::Receiver<Envelope>,
         roster_inputs: flume::Receiver<RosterInput>,
-    ) -> eyre::Result<CoreThreads> {
+    ) -> eyre::Result<CoreChannels> {
         let replica = self.start_replica()?;
         let leader = self.leader_client(replica.clone());
         let rosters = self.start_roster(roster_inputs, replica.clone())?;
         self.start_peers(peer_listener, outbox, replica.clone())?;
-        Ok(CoreThreads { replica, leader, rosters })
+        Ok(CoreChannels { replica, leader, rosters })
     }
 
-    /// Starts the replica thread on a host with a vote.
+    /// Starts the replica thread if this host is a voter.
     fn start_replica(&self) -> eyre::Result<Option<flume::Sender<ReplicaInput>>> {
         let (Some(data_dir), true) = (&self.cfg.data_dir, self.cfg.voter) else { return Ok(None) };
         let (tx, inputs) = flume::bounded(CHANNEL_CAPACITY);
@@ -230,7 +230,7 @@
         LeaderClient::new(self.cfg.host.clone(), replica, outbox, directory)
     }
 
-    /// Starts the roster thread; returns the ring of its rosters.
+    /// Starts the roster thread; returns the channel of its rosters.
     fn start_roster(
         &self,
         inputs: flume::Receiver<RosterInput>,
@@ -300,7 +300,7 @@
         })
     }
 
-    /// Starts the operator's pages; returns the ring of their questions to the edge thread.
+    /// Starts the admin thread; returns the channel of its queries to the edge thread.
     fn start_admin(&self, leader: LeaderClient) -> eyre::Result<flume::Receiver<Inquiry>> {
         let (inquiries, inquiries_rx) = flume::bounded(INQUIRY_CHANNEL_CAPACITY);
         let context = AdminContext {
@@ -316,12 +316,12 @@
             metrics: Arc::clone(&self.metrics),
         };
         admin::spawn(self.cfg.admin_listen, context)
-            .wrap_err("could not serve the operator's pages")?;
+            .wrap_err("could not start the admin interface")?;
         Ok(inquiries_rx)
     }
 }
 
-/// Returns what is known of other hosts before any of them has spoken.
+/// Returns the hosts that the settings name, before any contact with them.
 fn directory(cfg: &Settings, clock: Clock) -> Directory {
     if !cfg.hosts_by_address {
         return Directory::new(clock, None);
@@ -335,7 +335,7 @@
     directory
 }
 
-/// Starts the export of spans, if an endpoint is set.
+/// Starts the export of spans if a collector is configured.
 fn tracing(cfg: &Settings, metrics: &Metrics) -> eyre::Result<(Tracer, Option<Exporter>)> {
     let Some(endpoint) = &cfg.telemetry.trace_endpoint else { return Ok((Tracer::off(), None)) };
     let trace_cfg = TraceConfig {
--- a/crates/daemon/src/readiness.rs
+++ b/crates/daemon/src/readiness.rs
@@ -16,24 +16,24 @@
 
 use crate::{configurations::Configurations, leader_client::LeaderClient, roster::LatestRoster};
 
-/// Longest time that a starting router waits for news from its peers and the leader.
+/// Longest time that a starting router waits for its peers and the leader.
 pub(crate) const STARTUP_SYNC_TIMEOUT: Duration = Duration::from_secs(2);
 
 const STARTING: u8 = 0;
 const READY: u8 = 1;
 const DRAINING: u8 = 2;
 
-/// Whether the router takes new requests.
+/// Whether the router accepts new requests.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Readiness(Arc<AtomicU8>);
 
 impl Readiness {
-    /// Takes requests from now on, unless the router drains already.
+    /// Sets the router ready, unless it is draining already.
     pub(crate) fn set_ready(&self) {
         let _ = self.0.compare_exchange(STARTING, READY, Ordering::AcqRel, Ordering::Acquire);
     }
 
-    /// Takes no new requests from now on.
+    /// Sets the router draining; it accepts no new requests from now on.
     pub(crate) fn set_draining(&self) {
         self.0.store(DRAINING, Ordering::Release);
     }
@@ -48,23 +48,22 @@
     }
 }
 
-/// What a starting router has heard of the fleet.
+/// The state that a starting router needs from its peers and the leader before it is ready.
 pub(crate) struct StartupSync {
-    /// Whether there are peers to hear from.
+    /// Whether the settings name other routers.
     pub has_peers: bool,
     /// The newest roster.
     pub roster: LatestRoster,
     /// The configuration in force here.
     pub configurations: Configurations,
-    /// The revision that the leader says is in force, once it was asked.
+    /// The committed revision, once the leader has returned it.
     pub committed: Arc<OnceLock<Revision>>,
 }
 
 impl StartupSync {
-    /// Returns whether a peer has spoken and no newer configuration is committed than the one in
-    /// force here.
+    /// Returns whether a peer has responded and the committed configuration is in force here.
     ///
-    /// The peer that speaks first may lag; only the leader knows the newest revision.
+    /// The first peer to respond may lag; only the leader has the newest revision.
     pub(crate) fn is_complete(&self) -> bool {
         if !self.has_peers {
             return true;
@@ -75,11 +74,11 @@
     }
 }
 
-/// Asks the leader for the revision in force, on a thread of its own.
+/// Requests the committed revision from the leader, on a thread of its own.
 ///
 /// # Errors
 ///
-/// Returns an error if the thread or its runtime can't be made.
+/// Returns an error if the thread or its runtime can't be started.
 pub(crate) fn fetch_committed_revision(
     leader: LeaderClient,
 ) -> io::Result<Arc<OnceLock<Revision>>> {
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -19,37 +19,38 @@
     replica::{ReplicaInput, ReplicaState, ReplicaView},
 };
 
-/// Time to wait for a newer configuration before asking for it again.
+/// Time to wait for a newer configuration before requesting it again.
 const CONFIGURATION_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Pause between two ticks from which the process, or its host, was suspended or starved.
+/// Shortest pause between two ticks that is logged as a stall: the process, or its host, was
+/// suspended or starved.
 const STALL_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// Time between looks at which hosts may become voters.
+/// Time between updates of the hosts that may become voters.
 const LEARNERS_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What other threads tell the roster thread.
+/// Inputs of the roster thread.
 pub(crate) enum RosterInput {
-    /// An endpoint announced itself here.
+    /// An endpoint's announcement to this router.
     Announced(Announcement),
-    /// Another router gossips.
+    /// A gossip message from another router.
     Gossip(GossipCall),
-    /// Another router answered gossip.
+    /// Another router's response to gossip.
     GossipResponse {
-        /// When the message that it answers was sent.
+        /// When the message was sent that this responds to.
         sent: MonotonicTime,
-        /// The answer.
+        /// The response.
         message: Vec<u8>,
     },
-    /// Another router has a newer configuration.
+    /// A newer configuration from another router.
     Configuration(Configuration),
-    /// This router takes no new requests.
+    /// This router accepts no new requests.
     Draining,
-    /// Other routers can be found at these addresses.
+    /// New peer addresses of seeds.
     Seeds(Vec<std::net::SocketAddr>),
 }
 
-/// The newest roster, for threads that only look now and then.
+/// The newest roster, for threads that read it only occasionally.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LatestRoster(Arc<Mutex<Option<Arc<Roster>>>>);
 
@@ -67,25 +68,25 @@
     }
 }
 
-/// What joins the roster thread to the others.
+/// Channels and state that connect the roster thread to the others.
 pub(crate) struct RosterChannels {
-    /// What others tell it.
+    /// The thread's inputs.
     pub inputs: flume::Receiver<RosterInput>,
-    /// The other end of `inputs`, for answers.
+    /// Sender of `inputs`, for responses to gossip.
     pub responses: flume::Sender<RosterInput>,
-    /// Takes each roster.
+    /// Receives each roster.
     pub rosters: flume::Sender<Arc<Roster>>,
-    /// The other end of `rosters`, to take an older roster out of a full ring.
+    /// Receiver of `rosters`, to remove an older roster from the full channel.
     pub older_rosters: flume::Receiver<Arc<Roster>>,
-    /// Shows the newest roster.
+    /// Updated with the newest roster.
     pub latest: LatestRoster,
     /// Messages to other routers.
     pub outbox: flume::Sender<Envelope>,
-    /// Learns where other routers listen.
+    /// Updated with the addresses of other routers.
     pub directory: Directory,
     /// The configuration in force.
     pub configurations: Configurations,
-    /// The replica thread, on a host with a vote.
+    /// The replica thread, on a voter.
     pub replica: Option<flume::Sender<ReplicaInput>>,
     /// The replica thread's state.
     pub replica_state: ReplicaState,
@@ -93,11 +94,11 @@
     pub metrics: Arc<Metrics>,
 }
 
-/// Starts the thread that keeps the membership of routers and the leases of endpoints.
+/// Starts the thread that maintains the membership of routers and the leases of endpoints.
 ///
 /// # Errors
 ///
-/// Returns an error if the thread can't be made.
+/// Returns an error if the thread can't be started.
 pub(crate) fn spawn(
     clock: Clock,
     me: PeerUpdate,
@@ -180,13 +181,13 @@
         self.channels.metrics.gossip_received(byte_count(&call.message));
         match gossip_from_bytes(&call.message) {
             Ok(message) => {
-                // A router that starts takes the first answers for what its peers hold.
+                // A starting router relies on the revision in the first response.
                 self.membership.set_revision(self.channels.configurations.revision());
                 let response = gossip_to_bytes(&self.membership.request(now, message));
                 self.channels.metrics.gossip_sent(byte_count(&response));
                 let _ = call.reply.try_send(response);
             }
-            Err(e) => log::warn!(error:% = e; "gossip dropped"),
+            Err(e) => log::warn!(error:% = e; "malformed gossip dropped"),
         }
     }
 
@@ -197,14 +198,14 @@
                 let follow_ups = self.membership.response(now, sent, message);
                 self.send(now, follow_ups);
             }
-            Err(e) => log::warn!(error:% = e; "answer to gossip dropped"),
+            Err(e) => log::warn!(error:% = e; "malformed gossip response dropped"),
         }
     }
 
     fn tick(&mut self, now: MonotonicTime) {
         let stall = now.saturating_since(self.last_tick);
         if STALL_THRESHOLD <= stall && self.last_tick != MonotonicTime::ZERO {
-            log::warn!(stall_ms = stall.as_millis() as u64; "the process stood still");
+            log::warn!(stall_ms = stall.as_millis() as u64; "process stalled or suspended");
         }
         self.last_tick = now;
         let revision = self.channels.configurations.revision();
@@ -237,7 +238,7 @@
         }
     }
 
-    /// Asks the router that has the newest configuration for it, if it isn't in force here.
+    /// Requests the newest configuration from a router that has it, if it isn't in force here.
     fn request_configuration(&mut self, now: MonotonicTime) {
         let in_force = self.channels.configurations.revision();
         let newest = self.membership.newest_revision();
@@ -269,7 +270,7 @@
         }
     }
 
-    /// Tells the replica thread which hosts may become voters.
+    /// Sends the replica thread the hosts that may become voters.
     fn send_learners(&mut self, now: MonotonicTime, voters: &quorum::VoterSet) {
         let Some(replica) = &self.channels.replica else { return };
         if now.saturating_since(self.learners_sent_at) < LEARNERS_INTERVAL {
@@ -284,15 +285,15 @@
         let _ = replica.try_send(ReplicaInput::Learners(learners));
     }
 
-    /// Logs what changed; returns whether endpoints may now be chosen differently.
+    /// Logs membership changes; returns whether they can affect the choice of endpoint.
     fn log_changes(&mut self) -> bool {
         let mut changed = false;
         for change in self.membership.take_changes() {
             match change {
                 Change::Renewed(_) => continue,
-                Change::Joined(endpoint) => log::info!(endpoint:%; "joined"),
-                Change::Leaving(endpoint) => log::info!(endpoint:%; "leaving"),
-                Change::Expired(endpoint) => log::info!(endpoint:%; "lease ended"),
+                Change::Joined(endpoint) => log::info!(endpoint:%; "endpoint joined"),
+                Change::Leaving(endpoint) => log::info!(endpoint:%; "endpoint leaving"),
+                Change::Expired(endpoint) => log::info!(endpoint:%; "endpoint lease expired"),
             }
             changed = true;
         }
@@ -309,7 +310,7 @@
     }
 }
 
-/// Returns the part in the quorum that a view shows.
+/// Returns the host's role in the quorum.
 pub(crate) fn role(view: &ReplicaView, host: &HostId) -> QuorumRole {
     if !view.node.voters.admits(host, view.folder) {
         return QuorumRole::Observer;
@@ -325,7 +326,7 @@
     ByteCount::new(message.len() as u64)
 }
 
-/// Returns whether a peer stays behind the newest revision.
+/// Returns whether a peer's revision is older than the newest.
 pub(crate) fn is_laggard(peer: &member::Peer, newest: Revision) -> bool {
     peer.update.revision < newest
 }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -19,13 +19,13 @@
     signals::{self, Signal},
 };
 
-/// Time between looks at what the peers have told.
+/// Time between checks whether the startup sync is complete.
 const STARTUP_SYNC_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Longest time that the end of the process waits for another voter to lead.
+/// Longest time that shutdown waits for another voter to become leader.
 const LEADERSHIP_TRANSFER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time between looks at whether the settings name other seeds.
+/// Time between checks whether the seeds in the settings have changed.
 const SEEDS_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 const EXIT_FAILED: u8 = 1;
@@ -47,7 +47,7 @@
     }
 }
 
-/// Runs the daemon and turns the way it ended into an exit code.
+/// Runs the daemon and returns its exit code.
 pub fn exit_code(cfg: Settings) -> ExitCode {
     if cfg.check_only {
         println!("settings are valid");
@@ -56,7 +56,7 @@
     run_with_logs(cfg, run)
 }
 
-/// Runs the daemon with its log and turns the way it ended into an exit code.
+/// Starts logging, runs the daemon and returns its exit code.
 fn run_with_logs(cfg: Settings, run: impl FnOnce(Settings) -> eyre::Result<EdgeEnd>) -> ExitCode {
     let _logs = match init_logs(cfg.telemetry.log_format, cfg.telemetry.log_level) {
         Ok(guard) => guard,
@@ -72,11 +72,11 @@
     match end {
         Ok(EdgeEnd { cut: 0 }) => ExitCode::SUCCESS,
         Ok(EdgeEnd { cut }) => {
-            log::error!(cut; "ended with requests cut, by a second signal or at the end of its time");
+            log::error!(cut; "shutdown aborted requests: second signal or drain timeout");
             ExitCode::from(EXIT_REQUESTS_ABORTED)
         }
         Err(e) => {
-            log::error!(error:% = format!("{e:#}"); "failed");
+            log::error!(error:% = format!("{e:#}"); "daemon failed");
             ExitCode::from(EXIT_FAILED)
         }
     }
@@ -87,11 +87,11 @@
 /// # Errors
 ///
 /// Returns an error if an address can't be bound, the data folder can't be used, or a thread can't
-/// be made.
+/// be started.
 pub fn run(cfg: Settings) -> eyre::Result<EdgeEnd> {
     let cfg = Arc::new(cfg);
     let (signal_tx, signals) = flume::bounded(CHANNEL_CAPACITY);
-    signals::spawn(signal_tx).wrap_err("could not watch signals")?;
+    signals::spawn(signal_tx).wrap_err("could not install signal handlers")?;
     let process = Process::start(&cfg)?;
     log::info!(host:% = cfg.host, address:% = cfg.listen; "serving callers");
 
@@ -102,7 +102,7 @@
     shut_down(&cfg, process, signal, &signals)
 }
 
-/// Runs the daemon as a gateway in `dialect` and turns the way it ended into an exit code.
+/// Runs the daemon as a gateway with the given `dialect` and returns its exit code.
 pub fn gateway_exit_code<D: Dialect>(
     cfg: Settings,
     gateway_cfg: GatewaySettings,
@@ -111,12 +111,12 @@
     run_with_logs(cfg, |cfg| run_gateway(cfg, gateway_cfg, dialect))
 }
 
-/// Runs the daemon as a gateway in `dialect` until a signal ends it.
+/// Runs the daemon as a gateway with the given `dialect` until a signal ends it.
 ///
 /// # Errors
 ///
 /// Returns an error if an address can't be bound, the data folder can't be used, or a thread can't
-/// be made.
+/// be started.
 pub fn run_gateway<D: Dialect>(
     cfg: Settings,
     gateway_cfg: GatewaySettings,
@@ -124,14 +124,14 @@
 ) -> eyre::Result<EdgeEnd> {
     let cfg = Arc::new(cfg);
     let (signal_tx, signals) = flume::bounded(CHANNEL_CAPACITY);
-    signals::spawn(signal_tx).wrap_err("could not watch signals")?;
+    signals::spawn(signal_tx).wrap_err("could not install signal handlers")?;
     let process = Process::start_gateway(&cfg, gateway_cfg, dialect.clone())?;
     log::info!(host:% = cfg.host, data_centre:% = cfg.data_centre; "serving as a gateway");
     let signal = watch_seeds(&process, &signals, &dialect, &cfg.seeds)?;
     shut_down(&cfg, process, signal, &signals)
 }
 
-/// Reads the settings again after each signal to do so, and now and then, until one to end.
+/// Rereads the seeds on each reload signal and at intervals; returns on a termination signal.
 fn watch_seeds<D: Dialect>(
     process: &Process,
     signals: &flume::Receiver<Signal>,
@@ -148,21 +148,21 @@
         }
         match dialect.seeds() {
             Ok(seeds) if seeds != known => {
-                log::info!(seeds = seeds.len(); "other seeds are named");
+                log::info!(seeds = seeds.len(); "seeds changed");
                 known.clone_from(&seeds);
                 let _ = process.roster.send(RosterInput::Seeds(seeds));
             }
             Ok(_) => {}
-            Err(e) => log::warn!(error:% = format!("{e:#}"); "the settings can't be read again"),
+            Err(e) => log::warn!(error:% = format!("{e:#}"); "settings reload failed"),
         }
     }
 }
 
-/// Waits for a signal that ends the process; flags and environment can't be read again.
+/// Waits for a termination signal; flags and the environment can't be reloaded.
 fn wait_for_termination(signals: &flume::Receiver<Signal>) -> eyre::Result<Signal> {
     loop {
         match signals.recv().wrap_err("the signals thread ended")? {
-            Signal::Reload => log::info!("nothing to read again; flags take a restart"),
+            Signal::Reload => log::info!("reload signal ignored: changed flags need a restart"),
             signal => return Ok(signal),
         }
     }
@@ -178,11 +178,13 @@
     begin_drain(&process, signal, signals, cfg.timeouts.drain_notice);
     let end = process.edge.join().map_err(|_| eyre::eyre!("the edge thread panicked"))?;
     transfer_leadership(process.replica.as_ref());
-    log::info!(host:% = cfg.host, cut = end.cut; "ended");
+    log::info!(host:% = cfg.host, cut = end.cut; "shutdown complete");
     Ok(end)
 }
 
-/// Turns ready once the peers' news is here or has taken too long; returns an earlier signal.
+/// Sets the router ready once the startup sync is complete or has timed out.
+///
+/// Returns a termination signal that arrives earlier.
 fn wait_for_startup_sync(process: &Process, signals: &flume::Receiver<Signal>) -> Option<Signal> {
     let startup_sync = process.startup_sync.as_ref()?;
     let deadline = Instant::now() + STARTUP_SYNC_TIMEOUT;
@@ -193,13 +195,13 @@
         }
     }
     process.readiness.set_ready();
-    log::info!(revision:% = startup_sync.configurations.revision(); "ready");
+    log::info!(revision:% = startup_sync.configurations.revision(); "router ready");
     None
 }
 
-/// Tells callers and peers that the router leaves, and after the notice accepts nothing more.
+/// Announces the drain to callers and peers, and stops accepting connections after the notice.
 ///
-/// A second signal ends it at once, whenever it comes.
+/// A second termination signal at any time aborts the drain.
 fn begin_drain(
     process: &Process,
     signal: Signal,
@@ -225,7 +227,7 @@
     });
 }
 
-/// Returns the next signal to end that comes within `span`.
+/// Returns the next termination signal that arrives within `span`.
 fn next_termination(signals: &flume::Receiver<Signal>, span: Duration) -> Option<Signal> {
     let until = Instant::now() + span;
     loop {
@@ -237,7 +239,8 @@
     }
 }
 
-/// Gives another voter the lead before the process ends, so that none has to miss the leader first.
+/// Transfers leadership before the process ends, so that voters need no election timeout to notice
+/// that the leader is gone.
 fn transfer_leadership(replica: Option<&flume::Sender<ReplicaInput>>) {
     let Some(replica) = replica else { return };
     let (done, transferred) = flume::bounded(1);
--- a/crates/daemon/src/serve.rs
+++ b/crates/daemon/src/serve.rs
@@ -1,4 +1,4 @@
-//! Connections from callers: accepting, serving and closing them.
+//! Accepting, serving and closing callers' connections.
 
 use std::{cell::Cell, convert::Infallible, error::Error, future::Future, rc::Rc, time::Duration};
 
@@ -20,19 +20,19 @@
 
 /// Time from the end of accepting to the close of idle connections.
 ///
-/// A request that arrived before the close is read in that time, and then served.
+/// A request that arrives in that time is still read and served.
 const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(500);
 
 /// Time to wait after a failure to accept, such as too many open files.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Time between looks at whether all requests have ended, while draining.
+/// Time between checks whether all requests have ended, while draining.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Smallest bound on a request's head that the HTTP library takes, in bytes.
+/// Smallest limit on a request's head that the HTTP library accepts, in bytes.
 const MIN_HEADER_BYTES: usize = 8 << 10;
 
-/// Bounds on one connection.
+/// Limits on one connection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectionLimits {
     /// Longest time from the connection, or the request before, to the end of a request's head.
@@ -43,25 +43,25 @@
     pub headers: usize,
 }
 
-/// What answers requests on a thread's connections.
+/// A service for the requests on a thread's connections.
 pub(crate) trait Serve: 'static {
-    /// The body of an answer.
+    /// The body of a response.
     type Body: HttpBody<Data = Bytes, Error: Error + Send + Sync + 'static> + 'static;
 
-    /// Returns the bounds on a new connection.
+    /// Returns the limits on a new connection.
     fn connection_limits(&self) -> ConnectionLimits;
 
-    /// Returns the number of open connections, which is kept here.
+    /// Returns the counter of open connections.
     fn connections(&self) -> &Cell<u64>;
 
-    /// Answers a request.
+    /// Handles a request.
     fn handle(
         self: Rc<Self>,
         req: Request<Incoming>,
     ) -> impl Future<Output = Response<Self::Body>> + 'static;
 }
 
-/// A connection from a caller; ends on drop.
+/// Counts an open connection until dropped.
 struct OpenConnection<S: Serve>(Rc<S>);
 
 impl<S: Serve> OpenConnection<S> {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Accepts connections until the drain, those included that wait to be accepted then.
+/// Accepts connections until the drain, including those in the listen queue at its start.
 pub(crate) async fn accept<S: Serve>(
     service: Rc<S>,
     listener: TcpListener,
@@ -96,23 +96,23 @@
                 tokio::task::spawn_local(serving);
             }
             Err(e) => {
-                log::warn!(error:% = e; "could not accept a connection");
+                log::warn!(error:% = e; "accept failed");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// What is told of the end and drains.
+/// A service that can be drained.
 pub(crate) trait Drain {
-    /// Takes note that callers are to go elsewhere from now on.
+    /// Starts to direct callers elsewhere.
     fn leave(&self);
 
-    /// Returns whether every request has ended and its answer is sent.
+    /// Returns whether every request has ended and its response is sent.
     fn is_idle(&self) -> bool;
 }
 
-/// Follows commands until told to abort, or to drain and that is done or has taken `limit`.
+/// Executes commands until an abort, or until a drain is complete or has taken `limit`.
 pub(crate) async fn wait_for_shutdown(
     service: &impl Drain,
     commands: &flume::Receiver<Control>,
@@ -180,6 +180,6 @@
 
 fn log_connection_end(end: hyper::Result<()>) {
     if let Err(e) = end {
-        log::debug!("a caller's connection ended: {e}");
+        log::debug!("caller connection failed: error={e}");
     }
 }
--- a/crates/daemon/src/signals.rs
+++ b/crates/daemon/src/signals.rs
@@ -5,22 +5,23 @@
     iterator::Signals,
 };
 
-/// A request to the process, from a signal.
+/// A reload or termination request, from a Unix signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Signal {
     /// Read the settings again.
     Reload,
-    /// End once all requests have ended.
+    /// Exit once all requests have ended.
     Graceful,
-    /// End at once.
+    /// Exit immediately.
     Immediate,
 }
 
-/// Starts the thread that turns signals into messages.
+/// Starts the thread that converts Unix signals into messages; the second termination signal is
+/// immediate.
 ///
 /// # Errors
 ///
-/// Returns an error if the signals can't be watched.
+/// Returns an error if the signal handlers can't be installed.
 pub(crate) fn spawn(tx: flume::Sender<Signal>) -> io::Result<()> {
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     std::thread::Builder::new().name("signals".into()).spawn(move || {
