--- a/crates/daemon/src/admin/auth.rs
+++ b/crates/daemon/src/admin/auth.rs
@@ -15,7 +15,7 @@
     /// Checks that the request carries one of the keys, in a time that doesn't depend on which.
     pub(super) fn check(&self, req: &Request) -> Result<(), ApiError> {
         if self.0.is_empty() {
-            return Err(ApiError::closed());
+            return Err(ApiError::no_operator_keys());
         }
         let mut presented =
             req.headers().filter(|(name, _)| name.eq_ignore_ascii_case("authorization"));
@@ -24,10 +24,9 @@
         };
         let key = presented.strip_prefix("Bearer ").ok_or_else(ApiError::unauthorised)?;
         let presented = Digest::of(key.as_bytes());
-        let known = self
-            .0
-            .iter()
-            .fold(Choice::from(0), |known, key| known | key.as_bytes().ct_eq(presented.as_bytes()));
-        if bool::from(known) { Ok(()) } else { Err(ApiError::unauthorised()) }
+        let matched = self.0.iter().fold(Choice::from(0), |matched, key| {
+            matched | key.as_bytes().ct_eq(presented.as_bytes())
+        });
+        if bool::from(matched) { Ok(()) } else { Err(ApiError::unauthorised()) }
     }
 }
--- a/crates/daemon/src/admin/calls.rs
+++ b/crates/daemon/src/admin/calls.rs
@@ -22,7 +22,7 @@
             let calls = calls.into_iter().map(|unsettled| to_wire(unsettled.key, unsettled.call));
             Ok(UnsettledCalls { calls: calls.collect() })
         }
-        _ => Err(ApiError::unavailable("the leader's answer can't be read")),
+        _ => Err(ApiError::unavailable("the leader's response can't be decoded")),
     }
 }
 
@@ -53,8 +53,8 @@
         }
         ResolveReply::AlreadySettled => already_settled(api, key, req.verdict),
         ResolveReply::TooEarly { wait } => {
-            let shown = humantime::format_duration(wait);
-            let detail = format!("its owner may still send the call; retry in {shown}");
+            let wait_text = humantime::format_duration(wait);
+            let detail = format!("its owner may still send the call; retry in {wait_text}");
             Err(ApiError::conflict(detail).retry_after(wait))
         }
         ResolveReply::InvalidReason => Err(ApiError::invalid("the reason is empty or too long")),
@@ -78,7 +78,7 @@
     match api.leader.submit(&LeaderRequest::ReadCall(key.clone()))? {
         LeaderAnswer::Call(Some(call)) => Ok(to_wire(key, *call)),
         LeaderAnswer::Call(None) => Err(unknown(&key)),
-        _ => Err(ApiError::unavailable("the leader's answer can't be read")),
+        _ => Err(ApiError::unavailable("the leader's response can't be decoded")),
     }
 }
 
@@ -89,7 +89,7 @@
 
 fn to_wire(key: CallKey, call: fleet::Call) -> Call {
     let late_status = call.conflict.map(|conflict| conflict.status);
-    let shown = |state, verdict, held: Option<Held>| {
+    let wire_call = |state, verdict, held: Option<Held>| {
         let owner = held.as_ref().map(|held| held.owner.clone());
         Call {
             organisation: key.organisation.clone(),
@@ -105,13 +105,13 @@
         }
     };
     match call.state {
-        State::Claimed(held) => shown(CallState::Open, Verdict::MayHaveRun, Some(held)),
+        State::Claimed(held) => wire_call(CallState::Open, Verdict::MayHaveRun, Some(held)),
         State::Finished(held, response) => {
             let status = Some(response.status);
-            Call { status, ..shown(CallState::Answered, Verdict::Ran, Some(held)) }
+            Call { status, ..wire_call(CallState::Answered, Verdict::Ran, Some(held)) }
         }
-        State::MayHaveRun(held, _) => shown(CallState::Failed, Verdict::MayHaveRun, Some(held)),
-        State::Released => shown(CallState::Released, Verdict::NotRun, None),
+        State::MayHaveRun(held, _) => wire_call(CallState::Failed, Verdict::MayHaveRun, Some(held)),
+        State::Released => wire_call(CallState::Released, Verdict::NotRun, None),
         State::Resolved(held, resolved) => {
             let verdict = match resolved.resolution {
                 fleet::Resolution::Ran => Verdict::Ran,
@@ -122,7 +122,7 @@
                 reason: resolved.reason,
                 at: resolved.at,
             });
-            Call { resolution, ..shown(CallState::Resolved, verdict, Some(held)) }
+            Call { resolution, ..wire_call(CallState::Resolved, verdict, Some(held)) }
         }
     }
 }
--- a/crates/daemon/src/admin/declaration.rs
+++ b/crates/daemon/src/admin/declaration.rs
@@ -72,7 +72,7 @@
 pub(super) fn history(api: &AdminApi) -> Result<History, ApiError> {
     let records = match api.leader.submit(&LeaderRequest::ReadHistory) {
         Ok(LeaderAnswer::History(records)) => records,
-        Ok(_) => return Err(ApiError::unavailable("the leader's answer can't be read")),
+        Ok(_) => return Err(ApiError::unavailable("the leader's response can't be decoded")),
         Err(error) => api.context.replica.load().ok_or(error)?.history,
     };
     Ok(History { changes: records.into_iter().map(entry).collect() })
--- a/crates/daemon/src/admin/problems.rs
+++ b/crates/daemon/src/admin/problems.rs
@@ -32,7 +32,7 @@
         Self::not_run(401, "unknown key", detail).with_header("WWW-Authenticate", "Bearer")
     }
 
-    pub(super) fn closed() -> Self {
+    pub(super) fn no_operator_keys() -> Self {
         let detail = "this router has no operator key; start it with --operator-key DIGEST \
                       (environment: DOTTERELREACH_OPERATOR_KEYS)";
         Self::not_run(403, "operator pages are closed", detail)
--- a/crates/daemon/src/admin/status.rs
+++ b/crates/daemon/src/admin/status.rs
@@ -28,7 +28,7 @@
     let newest = roster.as_ref().map_or(revision, |roster| roster.newest.revision).max(revision);
     let ready_endpoints = roster.iter().flat_map(|roster| &roster.endpoints);
     let ready_endpoints =
-        ready_endpoints.filter(|known| known.state == member::EndpointState::Ready).count();
+        ready_endpoints.filter(|record| record.state == member::EndpointState::Ready).count();
     Status {
         host: context.cfg.host.clone(),
         incarnation: context.incarnation,
@@ -45,8 +45,8 @@
             open_calls: view.as_ref().map(|view| view.unsettled as u64),
         },
         quorum: match &view {
-            Some(view) => quorum_of(api, view),
-            None => observer(roster.as_deref()),
+            Some(view) => quorum_status(api, view),
+            None => observer_status(roster.as_deref()),
         },
     }
 }
@@ -55,8 +55,8 @@
 pub(super) fn endpoints(api: &AdminApi) -> Endpoints {
     let Some(roster) = api.context.roster.load() else { return Endpoints::default() };
     let load = load(api);
-    let shown = roster.endpoints.iter().filter_map(|known| endpoint(api, known, &load));
-    Endpoints { endpoints: shown.collect() }
+    let statuses = roster.endpoints.iter().filter_map(|record| endpoint(api, record, &load));
+    Endpoints { endpoints: statuses.collect() }
 }
 
 /// Lists the voters according to this host's replica.
@@ -97,7 +97,7 @@
     roster.peers.iter().map(peer).collect()
 }
 
-fn quorum_of(api: &AdminApi, view: &ReplicaView) -> QuorumStatus {
+fn quorum_status(api: &AdminApi, view: &ReplicaView) -> QuorumStatus {
     let node = &view.node;
     QuorumStatus {
         role: match role(view, &api.context.cfg.host) {
@@ -118,7 +118,7 @@
 }
 
 /// Returns the quorum's status on a host without a vote, which knows the leader from gossip.
-fn observer(roster: Option<&Roster>) -> QuorumStatus {
+fn observer_status(roster: Option<&Roster>) -> QuorumStatus {
     let mut peers = roster.iter().flat_map(|roster| &roster.peers);
     let leader = peers.find_map(|peer| peer.update.leader.clone());
     QuorumStatus {
@@ -134,18 +134,18 @@
     }
 }
 
-fn endpoint(api: &AdminApi, known: &Known, load: &Load) -> Option<EndpointStatus> {
+fn endpoint(api: &AdminApi, record: &Known, load: &Load) -> Option<EndpointStatus> {
     let now = api.context.clock.now();
-    let announcement = &known.announcement;
-    let state = match known.state {
+    let announcement = &record.announcement;
+    let state = match record.state {
         member::EndpointState::Ready => EndpointState::Ready,
         member::EndpointState::Leaving => EndpointState::Leaving,
         member::EndpointState::Left | member::EndpointState::Expired => return None,
     };
-    let reported = known.load(now).map(|(load, _)| load).unwrap_or_default();
+    let reported = record.load(now).map(|(load, _)| load).unwrap_or_default();
     let (models, service, checks_fencing) = match &announcement.kind {
         EndpointKind::Engine(engine) => {
-            (engine.models.iter().map(served).collect(), None, engine.checks_fencing)
+            (engine.models.iter().map(served_model).collect(), None, engine.checks_fencing)
         }
         EndpointKind::Service(service) => (Vec::new(), Some(service.clone()), false),
     };
@@ -155,7 +155,7 @@
         data_centre: announcement.data_centre.clone(),
         address: announcement.address,
         state,
-        lease_ms: millis(known.lease_left(now)),
+        lease_ms: millis(record.lease_left(now)),
         models,
         service,
         checks_fencing,
@@ -165,7 +165,7 @@
     })
 }
 
-fn served(served: &member::ServedModel) -> ServedModel {
+fn served_model(served: &member::ServedModel) -> ServedModel {
     ServedModel {
         model: served.model.clone(),
         weights: served.weights.clone(),
--- a/crates/daemon/src/in_flight.rs
+++ b/crates/daemon/src/in_flight.rs
@@ -39,9 +39,9 @@
 impl<T: CountsInFlight> InFlight<T> {
     /// Counts a request with `prefill_tokens` to prefill.
     pub(crate) fn begin(target: &Rc<T>, prefill_tokens: TokenCount) -> Self {
-        let (work, tokens) = (target.in_flight_counts(), prefill_tokens.as_u64());
-        work.requests.set(work.requests.get() + 1);
-        work.prefill_tokens.set(work.prefill_tokens.get() + tokens);
+        let (counts, tokens) = (target.in_flight_counts(), prefill_tokens.as_u64());
+        counts.requests.set(counts.requests.get() + 1);
+        counts.prefill_tokens.set(counts.prefill_tokens.get() + tokens);
         Self { target: Rc::clone(target), prefill_tokens: Cell::new(tokens) }
     }
 
@@ -52,15 +52,15 @@
     /// Records that the prompt has been prefilled.
     pub(crate) fn mark_prefilled(&self) {
         let tokens = self.prefill_tokens.take();
-        let work = self.target.in_flight_counts();
-        work.prefill_tokens.set(work.prefill_tokens.get() - tokens);
+        let counts = self.target.in_flight_counts();
+        counts.prefill_tokens.set(counts.prefill_tokens.get() - tokens);
     }
 }
 
 impl<T: CountsInFlight> Drop for InFlight<T> {
     fn drop(&mut self) {
         self.mark_prefilled();
-        let work = self.target.in_flight_counts();
-        work.requests.set(work.requests.get() - 1);
+        let counts = self.target.in_flight_counts();
+        counts.requests.set(counts.requests.get() - 1);
     }
 }
--- a/crates/daemon/src/leader_client.rs
+++ b/crates/daemon/src/leader_client.rs
@@ -25,7 +25,7 @@
     directory: Directory,
 }
 
-/// Why a request has no response.
+/// Why a leader request has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LeaderRequestError {
     /// No leader accepted it; it won't be carried out.
@@ -56,7 +56,7 @@
             loop {
                 for host in self.directory.leader_candidates() {
                     // A request whose attempt is cancelled by the timeout may be carried out.
-                    let before = worst.replace(LeaderRequestError::Unknown);
+                    let previous = worst.replace(LeaderRequestError::Unknown);
                     match self.attempt(&host, bytes.clone()).await {
                         SubmitOutcome::Reply(response) => {
                             self.directory.record_response(&host);
@@ -65,7 +65,7 @@
                                 .map_err(|_| LeaderRequestError::Unknown);
                         }
                         SubmitOutcome::NotWritten { leader } => {
-                            worst.set(before);
+                            worst.set(previous);
                             self.directory.record_response(&host);
                             if let Some(leader) = leader.filter(|leader| *leader != host) {
                                 self.directory.confirm_leader(&leader);
@@ -90,7 +90,7 @@
             return SubmitOutcome::NotWritten { leader: None };
         }
         match tokio::time::timeout(ATTEMPT_TIMEOUT, response.recv_async()).await {
-            Ok(Ok(submitted)) => submitted,
+            Ok(Ok(outcome)) => outcome,
             Ok(Err(_)) | Err(_) => SubmitOutcome::Unknown,
         }
     }
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -32,7 +32,7 @@
 const ROSTER_CHANNEL_CAPACITY: usize = 1;
 
 /// Capacity of the channel of operators' queries to the edge thread.
-const INQUIRY_CHANNEL_CAPACITY: usize = 16;
+const ADMIN_QUERY_CHANNEL_CAPACITY: usize = 16;
 
 /// Handles to the process's threads that shutdown needs.
 pub(crate) struct Process {
@@ -48,7 +48,7 @@
 }
 
 /// State shared by several threads.
-struct Shared {
+struct SharedState {
     cfg: Arc<Settings>,
     clock: Clock,
     incarnation: Incarnation,
@@ -74,7 +74,7 @@
     pub(crate) fn start(cfg: &Arc<Settings>) -> eyre::Result<Self> {
         let (outbox, outbox_rx) = flume::bounded(CHANNEL_CAPACITY);
         let (roster, roster_inputs) = flume::bounded(CHANNEL_CAPACITY);
-        let shared = Shared::new(cfg, outbox, roster)?;
+        let shared = SharedState::new(cfg, outbox, roster)?;
         let (tracer, exporter) = tracing(cfg, &shared.metrics)?;
         let edge_listener = bind(cfg.listen)?;
         let peer_listener = bind(cfg.peer_listen)?;
@@ -116,7 +116,7 @@
     ) -> eyre::Result<Self> {
         let (outbox, outbox_rx) = flume::bounded(CHANNEL_CAPACITY);
         let (roster, roster_inputs) = flume::bounded(CHANNEL_CAPACITY);
-        let shared = Shared::new(cfg, outbox, roster)?;
+        let shared = SharedState::new(cfg, outbox, roster)?;
         let listeners = GatewayListeners {
             callers: gateway_cfg.callers.map(bind_nonblocking).transpose()?,
             readiness: gateway_cfg.readiness.map(bind_nonblocking).transpose()?,
@@ -158,7 +158,7 @@
     }
 }
 
-impl Shared {
+impl SharedState {
     fn new(
         cfg: &Arc<Settings>,
         outbox: flume::Sender<Envelope>,
@@ -180,7 +180,7 @@
             // Higher than that of any earlier process on this host.
             incarnation: Incarnation::new(clock.wall().as_u64()),
             metrics,
-            directory: directory(cfg, clock),
+            directory: initial_directory(cfg, clock),
             configurations,
             latest: LatestRoster::default(),
             replica_state: ReplicaState::default(),
@@ -302,7 +302,7 @@
 
     /// Starts the admin thread; returns the channel of its queries to the edge thread.
     fn start_admin(&self, leader: LeaderClient) -> eyre::Result<flume::Receiver<Inquiry>> {
-        let (inquiries, inquiries_rx) = flume::bounded(INQUIRY_CHANNEL_CAPACITY);
+        let (inquiries, inquiries_rx) = flume::bounded(ADMIN_QUERY_CHANNEL_CAPACITY);
         let context = AdminContext {
             cfg: Arc::clone(&self.cfg),
             clock: self.clock,
@@ -322,7 +322,7 @@
 }
 
 /// Returns the hosts that the settings name, before any contact with them.
-fn directory(cfg: &Settings, clock: Clock) -> Directory {
+fn initial_directory(cfg: &Settings, clock: Clock) -> Directory {
     if !cfg.hosts_by_address {
         return Directory::new(clock, None);
     }
--- a/crates/daemon/src/serve.rs
+++ b/crates/daemon/src/serve.rs
@@ -35,7 +35,7 @@
 /// Limits on one connection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectionLimits {
-    /// Longest time from the connection, or the request before, to the end of a request's head.
+    /// Longest time from the connection, or the previous request, to the end of a request's head.
     pub header_timeout: Duration,
     /// Largest head of a request, in bytes.
     pub header_bytes: usize,
--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -91,7 +91,7 @@
 /// Timeouts of the steps of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timeouts {
-    /// From a connection, or the request before, to the end of a request's head.
+    /// From a connection, or the previous request, to the end of a request's head.
     pub header: Duration,
     /// From the end of a request's head to the end of its body.
     pub body: Duration,
--- a/crates/daemon/src/settings/raw.rs
+++ b/crates/daemon/src/settings/raw.rs
@@ -134,7 +134,7 @@
     };
 }
 
-/// Like `single!`, but its value isn't shown by the help.
+/// Like `single!`, but the help doesn't show its value.
 macro_rules! single_secret {
     ($flag:literal, $env:literal, $value:literal, $help:literal) => {
         long($flag)
@@ -149,7 +149,7 @@
     };
 }
 
-/// Like `list!`, but its values aren't shown by the help.
+/// Like `list!`, but the help doesn't show its values.
 macro_rules! list_secret {
     ($flag:literal, $env:literal, $value:literal, $help:literal) => {
         long($flag)
