--- a/crates/daemon/src/peers/server.rs
+++ b/crates/daemon/src/peers/server.rs
@@ -167,8 +167,8 @@
     ) -> Result<(), capnp::Error> {
         let above = Revision::new(params.get()?.get_above());
         let newer = self.inbox.configurations.in_force();
-        let newer = newer.filter(|held| above < held.revision());
-        if let Some(newer) = newer.as_ref().and_then(|held| held.configuration.as_ref()) {
+        let newer = newer.filter(|active| above < active.revision());
+        if let Some(newer) = newer.as_ref().and_then(|active| active.configuration.as_ref()) {
             newer.write(results.get().init_newer());
         }
         Ok(())
--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -45,7 +45,7 @@
     pub organisation_keys: Vec<OrganisationKey>,
     /// Limits on callers' requests and connections.
     pub limits: Limits,
-    /// Timeouts of the steps of a request.
+    /// Timeouts of a request's steps and of the drain.
     pub timeouts: Timeouts,
     /// Logs and traces.
     pub telemetry: TelemetrySettings,
@@ -88,7 +88,7 @@
     pub trace_sample: SampleRatio,
 }
 
-/// Timeouts of the steps of a request.
+/// Timeouts of a request's steps and of the drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timeouts {
     /// From a connection, or the previous request, to the end of a request's head.
--- a/crates/daemon/src/signals.rs
+++ b/crates/daemon/src/signals.rs
@@ -8,7 +8,7 @@
 /// A reload or termination request, from a Unix signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Signal {
-    /// Read the settings again.
+    /// Reload the settings.
     Reload,
     /// Exit once all requests have ended.
     Graceful,
