--- a/crates/daemon/src/admin/auth.rs
+++ b/crates/daemon/src/admin/auth.rs
@@ -2,9 +2,9 @@
 use rouille::Request;
 use subtle::{Choice, ConstantTimeEq as _};
 
-use super::problems::Refused;
+use super::problems::ApiError;
 
-/// The operators' keys, kept as digests.
+/// Digests of the operators' keys.
 pub(super) struct OperatorKeys(Vec<Digest>);
 
 impl OperatorKeys {
@@ -12,22 +12,21 @@
         Self(digests.to_vec())
     }
 
-    /// Checks that the request shows one of the keys, in a time that doesn't depend on which.
-    pub(super) fn check(&self, req: &Request) -> Result<(), Refused> {
+    /// Checks that the request carries one of the keys, in a time that doesn't depend on which.
+    pub(super) fn check(&self, req: &Request) -> Result<(), ApiError> {
         if self.0.is_empty() {
-            return Err(Refused::closed());
+            return Err(ApiError::no_operator_keys());
         }
-        let mut shown =
+        let mut presented =
             req.headers().filter(|(name, _)| name.eq_ignore_ascii_case("authorization"));
-        let (Some((_, shown)), None) = (shown.next(), shown.next()) else {
-            return Err(Refused::unauthorised());
+        let (Some((_, presented)), None) = (presented.next(), presented.next()) else {
+            return Err(ApiError::unauthorised());
         };
-        let key = shown.strip_prefix("Bearer ").ok_or_else(Refused::unauthorised)?;
-        let shown = Digest::of(key.as_bytes());
-        let known = self
-            .0
-            .iter()
-            .fold(Choice::from(0), |known, key| known | key.as_bytes().ct_eq(shown.as_bytes()));
-        if bool::from(known) { Ok(()) } else { Err(Refused::unauthorised()) }
+        let key = presented.strip_prefix("Bearer ").ok_or_else(ApiError::unauthorised)?;
+        let presented = Digest::of(key.as_bytes());
+        let matched = self.0.iter().fold(Choice::from(0), |matched, key| {
+            matched | key.as_bytes().ct_eq(presented.as_bytes())
+        });
+        if bool::from(matched) { Ok(()) } else { Err(ApiError::unauthorised()) }
     }
 }
--- a/crates/daemon/src/admin/calls.rs
+++ b/crates/daemon/src/admin/calls.rs
@@ -8,27 +8,27 @@
     },
 };
 
-use super::{Pages, body, problems::Refused};
+use super::{AdminApi, body, problems::ApiError};
 
-/// Shows a call that may not be repeated.
-pub(super) fn show(pages: &Pages, path: CallPath) -> Result<Call, Refused> {
-    read(pages, CallKey { organisation: path.organisation, key: path.key })
+/// Returns a non-idempotent call.
+pub(super) fn show(api: &AdminApi, path: CallPath) -> Result<Call, ApiError> {
+    read(api, CallKey { organisation: path.organisation, key: path.key })
 }
 
 /// Lists the calls that are open or whose outcome is unknown.
-pub(super) fn unsettled(pages: &Pages) -> Result<UnsettledCalls, Refused> {
-    match pages.leader.ask(&LeaderRequest::ReadUnsettled)? {
+pub(super) fn unsettled(api: &AdminApi) -> Result<UnsettledCalls, ApiError> {
+    match api.leader.submit(&LeaderRequest::ReadUnsettled)? {
         LeaderResponse::Unsettled(calls) => {
             let calls = calls.into_iter().map(|unsettled| to_wire(unsettled.key, unsettled.call));
             Ok(UnsettledCalls { calls: calls.collect() })
         }
-        _ => Err(Refused::unavailable("the leader's answer can't be read")),
+        _ => Err(ApiError::unavailable("the leader's response can't be decoded")),
     }
 }
 
-/// Settles a call by an operator's word; the same word again finds it settled.
-pub(super) fn resolve(pages: &Pages, req: &Request, path: CallPath) -> Result<Call, Refused> {
-    let req: ResolveRequest = body::read(req, body::SMALL_BYTES)?;
+/// Records the operator's verdict on a call; the same verdict again succeeds.
+pub(super) fn resolve(api: &AdminApi, req: &Request, path: CallPath) -> Result<Call, ApiError> {
+    let req: ResolveRequest = body::read(req, body::MAX_SMALL_BODY_BYTES)?;
     let key = CallKey { organisation: path.organisation, key: path.key };
     let resolve = Command::Resolve(Resolve {
         call: key.clone(),
@@ -38,54 +38,58 @@
         },
         author: req.author.clone(),
         reason: req.reason,
-        // The leader sets its own time.
+        // The leader sets the time.
         at: UnixMillis::new(0),
     });
-    let answer = pages.leader.ask(&LeaderRequest::Command(resolve))?;
-    let LeaderResponse::Reply(Reply::Resolve(reply)) = answer else {
-        return Err(Refused::unknown());
+    let response = api.leader.submit(&LeaderRequest::Command(resolve))?;
+    let LeaderResponse::Reply(Reply::Resolve(reply)) = response else {
+        return Err(ApiError::unknown());
     };
     match reply {
         ResolveReply::Resolved => {
             let verdict = Verdict::from(req.verdict);
-            log::info!(call:% = key, verdict:%, author:% = req.author; "call settled");
-            read(pages, key).map_err(|_| Refused::unknown())
+            log::info!(call:% = key, verdict:%, author:% = req.author; "call resolved");
+            read(api, key).map_err(|_| ApiError::unknown())
         }
-        ResolveReply::AlreadySettled => settled_before(pages, key, req.verdict),
+        ResolveReply::AlreadySettled => already_settled(api, key, req.verdict),
         ResolveReply::TooEarly { wait } => {
-            let shown = humantime::format_duration(wait);
-            let detail = format!("its owner may still send the call; try again in {shown}");
-            Err(Refused::conflict(detail).retry_after(wait))
+            let wait_text = humantime::format_duration(wait);
+            let detail = format!("its owner may still send the call; retry in {wait_text}");
+            Err(ApiError::conflict(detail).retry_after(wait))
         }
-        ResolveReply::InvalidReason => Err(Refused::invalid("the reason is empty or too long")),
+        ResolveReply::InvalidReason => Err(ApiError::invalid("the reason is empty or too long")),
         ResolveReply::Unknown => Err(unknown(&key)),
     }
 }
 
-fn settled_before(pages: &Pages, key: CallKey, verdict: ResolvedVerdict) -> Result<Call, Refused> {
-    let call = read(pages, key)?;
+fn already_settled(
+    api: &AdminApi,
+    key: CallKey,
+    verdict: ResolvedVerdict,
+) -> Result<Call, ApiError> {
+    let call = read(api, key)?;
     if call.state == CallState::Resolved && call.verdict == Verdict::from(verdict) {
         return Ok(call);
     }
-    Err(Refused::conflict(format!("the call is settled already: {}", call.verdict)))
+    Err(ApiError::conflict(format!("the call is settled already: {}", call.verdict)))
 }
 
-fn read(pages: &Pages, key: CallKey) -> Result<Call, Refused> {
-    match pages.leader.ask(&LeaderRequest::ReadCall(key.clone()))? {
+fn read(api: &AdminApi, key: CallKey) -> Result<Call, ApiError> {
+    match api.leader.submit(&LeaderRequest::ReadCall(key.clone()))? {
         LeaderResponse::Call(Some(call)) => Ok(to_wire(key, *call)),
         LeaderResponse::Call(None) => Err(unknown(&key)),
-        _ => Err(Refused::unavailable("the leader's answer can't be read")),
+        _ => Err(ApiError::unavailable("the leader's response can't be decoded")),
     }
 }
 
-fn unknown(key: &CallKey) -> Refused {
+fn unknown(key: &CallKey) -> ApiError {
     let CallKey { organisation, key } = key;
-    Refused::not_found(format!("no call {key} of {organisation} is known"))
+    ApiError::not_found(format!("no call {key} of {organisation} is known"))
 }
 
 fn to_wire(key: CallKey, call: fleet::Call) -> Call {
     let late_status = call.conflict.map(|conflict| conflict.status);
-    let shown = |state, verdict, held: Option<GrantedClaim>| {
+    let wire_call = |state, verdict, held: Option<GrantedClaim>| {
         let owner = held.as_ref().map(|held| held.owner.clone());
         Call {
             organisation: key.organisation.clone(),
@@ -101,13 +105,13 @@
         }
     };
     match call.state {
-        State::Claimed(held) => shown(CallState::Open, Verdict::MayHaveRun, Some(held)),
-        State::Finished(held, answer) => {
-            let status = Some(answer.status);
-            Call { status, ..shown(CallState::Answered, Verdict::Ran, Some(held)) }
+        State::Claimed(held) => wire_call(CallState::Open, Verdict::MayHaveRun, Some(held)),
+        State::Finished(held, response) => {
+            let status = Some(response.status);
+            Call { status, ..wire_call(CallState::Answered, Verdict::Ran, Some(held)) }
         }
-        State::MayHaveRun(held, _) => shown(CallState::Failed, Verdict::MayHaveRun, Some(held)),
-        State::Released => shown(CallState::Released, Verdict::NotRun, None),
+        State::MayHaveRun(held, _) => wire_call(CallState::Failed, Verdict::MayHaveRun, Some(held)),
+        State::Released => wire_call(CallState::Released, Verdict::NotRun, None),
         State::Resolved(held, resolved) => {
             let verdict = match resolved.resolution {
                 fleet::Resolution::Ran => Verdict::Ran,
@@ -118,7 +122,7 @@
                 reason: resolved.reason,
                 at: resolved.at,
             });
-            Call { resolution, ..shown(CallState::Resolved, verdict, Some(held)) }
+            Call { resolution, ..wire_call(CallState::Resolved, verdict, Some(held)) }
         }
     }
 }
--- a/crates/daemon/src/admin/status.rs
+++ b/crates/daemon/src/admin/status.rs
@@ -14,52 +14,52 @@
     roster::{is_laggard, role},
 };
 
-use super::Pages;
+use super::AdminApi;
 
-/// Longest wait for the edge thread.
-const EDGE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Longest wait for the edge thread's response.
+const EDGE_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Describes the router, its peers and the quorum.
-pub(super) fn status(pages: &Pages) -> Status {
-    let sources = &pages.sources;
-    let roster = sources.roster.load();
-    let view = sources.replica.load();
-    let revision = sources.configurations.revision();
+/// Returns the status of the router, its peers and the quorum.
+pub(super) fn status(api: &AdminApi) -> Status {
+    let context = &api.context;
+    let roster = context.roster.load();
+    let view = context.replica.load();
+    let revision = context.configurations.revision();
     let newest = roster.as_ref().map_or(revision, |roster| roster.newest.revision).max(revision);
     let ready_endpoints = roster.iter().flat_map(|roster| &roster.endpoints);
     let ready_endpoints =
-        ready_endpoints.filter(|known| known.state == member::EndpointState::Ready).count();
+        ready_endpoints.filter(|record| record.state == member::EndpointState::Ready).count();
     Status {
-        host: sources.cfg.host.clone(),
-        incarnation: sources.incarnation,
-        data_centre: sources.cfg.data_centre.clone(),
+        host: context.cfg.host.clone(),
+        incarnation: context.incarnation,
+        data_centre: context.cfg.data_centre.clone(),
         version: env!("CARGO_PKG_VERSION").into(),
-        state: sources.readiness.state(),
+        state: context.readiness.state(),
         revision,
         newest,
-        peers: roster.iter().flat_map(|roster| peers(pages, roster)).collect(),
+        peers: roster.iter().flat_map(|roster| peers(api, roster)).collect(),
         counts: Counts {
-            in_flight: load(pages).requests,
+            in_flight: load(api).requests,
             queued: 0,
             ready_endpoints: ready_endpoints as u64,
             open_calls: view.as_ref().map(|view| view.unsettled as u64),
         },
         quorum: match &view {
-            Some(view) => quorum_of(pages, view),
-            None => observer(roster.as_deref()),
+            Some(view) => quorum_status(api, view),
+            None => observer_status(roster.as_deref()),
         },
     }
 }
 
-/// Lists the endpoints whose lease runs.
-pub(super) fn endpoints(pages: &Pages) -> Endpoints {
-    let Some(roster) = pages.sources.roster.load() else { return Endpoints::default() };
-    let load = load(pages);
-    let shown = roster.endpoints.iter().filter_map(|known| endpoint(pages, known, &load));
-    Endpoints { endpoints: shown.collect() }
+/// Lists the endpoints whose lease has not expired.
+pub(super) fn endpoints(api: &AdminApi) -> Endpoints {
+    let Some(roster) = api.context.roster.load() else { return Endpoints::default() };
+    let load = load(api);
+    let statuses = roster.endpoints.iter().filter_map(|record| endpoint(api, record, &load));
+    Endpoints { endpoints: statuses.collect() }
 }
 
-/// Lists the voters that a host with a vote knows.
+/// Lists the voters according to this host's replica.
 pub(super) fn voters(view: &ReplicaView) -> Vec<Voter> {
     let folders = view.node.voters.folders.iter();
     folders
@@ -71,14 +71,14 @@
         .collect()
 }
 
-fn load(pages: &Pages) -> Load {
-    let (reply, answer) = flume::bounded(1);
-    let asked = pages.sources.admin_queries.try_send(AdminQuery::Load { reply });
-    asked.ok().and_then(|()| answer.recv_timeout(EDGE_TIMEOUT).ok()).unwrap_or_default()
+fn load(api: &AdminApi) -> Load {
+    let (reply, response) = flume::bounded(1);
+    let sent = api.context.admin_queries.try_send(AdminQuery::Load { reply });
+    sent.ok().and_then(|()| response.recv_timeout(EDGE_RESPONSE_TIMEOUT).ok()).unwrap_or_default()
 }
 
-fn peers(pages: &Pages, roster: &Roster) -> Vec<Peer> {
-    let now = pages.sources.clock.now();
+fn peers(api: &AdminApi, roster: &Roster) -> Vec<Peer> {
+    let now = api.context.clock.now();
     let newest = roster.newest.revision;
     let peer = |peer: &member::Peer| Peer {
         host: peer.update.host.clone(),
@@ -97,10 +97,10 @@
     roster.peers.iter().map(peer).collect()
 }
 
-fn quorum_of(pages: &Pages, view: &ReplicaView) -> QuorumStatus {
+fn quorum_status(api: &AdminApi, view: &ReplicaView) -> QuorumStatus {
     let node = &view.node;
     QuorumStatus {
-        role: match role(view, &pages.sources.cfg.host) {
+        role: match role(view, &api.context.cfg.host) {
             Role::Observer => QuorumRole::Observer,
             Role::Follower => QuorumRole::Follower,
             Role::Candidate => QuorumRole::Candidate,
@@ -117,8 +117,8 @@
     }
 }
 
-/// Describes the quorum as gossip shows it to a host without a vote.
-fn observer(roster: Option<&Roster>) -> QuorumStatus {
+/// Returns the quorum's status on a host without a vote, which knows the leader from gossip.
+fn observer_status(roster: Option<&Roster>) -> QuorumStatus {
     let mut peers = roster.iter().flat_map(|roster| &roster.peers);
     let leader = peers.find_map(|peer| peer.update.leader.clone());
     QuorumStatus {
@@ -134,18 +134,18 @@
     }
 }
 
-fn endpoint(pages: &Pages, known: &EndpointRecord, load: &Load) -> Option<EndpointStatus> {
-    let now = pages.sources.clock.now();
-    let announcement = &known.announcement;
-    let state = match known.state {
+fn endpoint(api: &AdminApi, record: &EndpointRecord, load: &Load) -> Option<EndpointStatus> {
+    let now = api.context.clock.now();
+    let announcement = &record.announcement;
+    let state = match record.state {
         member::EndpointState::Ready => EndpointState::Ready,
         member::EndpointState::Leaving => EndpointState::Leaving,
         member::EndpointState::Left | member::EndpointState::Expired => return None,
     };
-    let reported = known.load(now).map(|(load, _)| load).unwrap_or_default();
+    let reported = record.load(now).map(|(load, _)| load).unwrap_or_default();
     let (models, service, checks_fencing) = match &announcement.kind {
         EndpointKind::Engine(engine) => {
-            (engine.models.iter().map(served).collect(), None, engine.checks_fencing)
+            (engine.models.iter().map(served_model).collect(), None, engine.checks_fencing)
         }
         EndpointKind::Service(service) => (Vec::new(), Some(service.clone()), false),
     };
@@ -155,7 +155,7 @@
         data_centre: announcement.data_centre.clone(),
         address: announcement.address,
         state,
-        lease_ms: millis(known.lease_left(now)),
+        lease_ms: millis(record.lease_left(now)),
         models,
         service,
         checks_fencing,
@@ -165,7 +165,7 @@
     })
 }
 
-fn served(served: &member::ServedModel) -> ServedModel {
+fn served_model(served: &member::ServedModel) -> ServedModel {
     ServedModel {
         model: served.model.clone(),
         weights: served.weights.clone(),
--- a/crates/daemon/src/configurations.rs
+++ b/crates/daemon/src/configurations.rs
@@ -9,81 +9,86 @@
 
 pub(crate) use wire::peer::Configuration;
 
-/// Folder of the newest configuration in force, under the data folder.
-const FOLDER: &str = "configuration";
+/// Name of the folder of the newest configuration in force, in the data folder.
+const FOLDER_NAME: &str = "configuration";
 
-/// The configuration in force; its revision only rises.
+/// The configuration in force; its revision only increases.
 ///
-/// On a host with a data folder it is durable before it is in force, so that no restart goes back.
+/// On a host with a data folder a configuration is written to disk before it is in force, so that a
+/// restart doesn't return to an older one.
 #[derive(Clone, Default)]
 pub(crate) struct Configurations {
-    held: Arc<Mutex<Held>>,
-    /// Locked before `held`, so that no reader waits for the disk.
-    kept: Arc<Mutex<Option<Document<RealDisk>>>>,
+    state: Arc<Mutex<ConfigurationState>>,
+    /// Locked before `state`, so that readers don't wait for the disk.
+    stored: Arc<Mutex<Option<Document<RealDisk>>>>,
 }
 
 #[derive(Default)]
-struct Held {
+struct ConfigurationState {
     in_force: Option<Arc<InForce>>,
     subscribers: Vec<flume::Sender<Arc<InForce>>>,
 }
 
-/// A configuration with its declaration read.
+/// A configuration with its parsed declaration.
 #[derive(Debug, Default)]
 pub(crate) struct InForce {
-    /// As it came; none for the built-in one.
+    /// The configuration as received; `None` for the built-in one.
     pub configuration: Option<Configuration>,
-    /// What it declares.
+    /// The parsed declaration.
     pub declaration: Declaration,
 }
 
 impl InForce {
     /// Returns the revision.
     pub(crate) fn revision(&self) -> Revision {
-        self.configuration.as_ref().map_or(Revision::ZERO, |held| held.revision)
+        self.configuration.as_ref().map_or(Revision::ZERO, |active| active.revision)
     }
 }
 
 impl Configurations {
-    /// Puts the configuration in force that `data_dir` keeps, and keeps later ones there.
+    /// Applies the configuration stored in `data_dir`, and stores later ones there.
     ///
     /// # Errors
     ///
-    /// Returns an error if the folder can't be used or what it keeps can't be read.
+    /// Returns an error if the folder can't be used or its content can't be decoded.
     pub(crate) fn open(data_dir: &Path) -> eyre::Result<Self> {
-        let (document, content) = Document::open(&data_dir.join(FOLDER), RealDisk)?;
+        let (document, content) = Document::open(&data_dir.join(FOLDER_NAME), RealDisk)?;
         let configurations = Self::default();
         if let Some(content) = content {
-            configurations.offer(Configuration::from_bytes(&content)?);
+            configurations.apply_if_newer(Configuration::from_bytes(&content)?);
         }
-        *configurations.lock_kept() = Some(document);
+        *configurations.lock_stored() = Some(document);
         Ok(configurations)
     }
 
-    /// Takes a configuration, unless one as new is in force; returns whether it was taken.
-    pub(crate) fn offer(&self, configuration: Configuration) -> bool {
+    /// Applies a configuration if it is newer than the one in force; returns whether it was.
+    pub(crate) fn apply_if_newer(&self, configuration: Configuration) -> bool {
         if configuration.revision <= self.revision() {
             return false;
         }
         let declaration = match Declaration::from_toml(&configuration.declaration) {
             Ok(declaration) => declaration,
             Err(e) => {
-                log::error!("revision={} can't be read: {e}", configuration.revision);
+                log::error!(
+                    "configuration not parsed: revision={} error={e}",
+                    configuration.revision
+                );
                 return false;
             }
         };
-        let kept = self.lock_kept();
+        let stored = self.lock_stored();
         if configuration.revision <= self.revision() {
             return false;
         }
-        if let Some(Err(e)) = kept.as_ref().map(|kept| kept.write(&configuration.to_bytes())) {
-            log::error!("revision={} in force, but not kept: {e}", configuration.revision);
+        if let Some(Err(e)) = stored.as_ref().map(|stored| stored.write(&configuration.to_bytes()))
+        {
+            log::error!("configuration not stored: revision={} error={e}", configuration.revision);
         }
-        let mut held = self.lock();
-        log::info!("revision={} in force", configuration.revision);
+        let mut state = self.lock();
+        log::info!("configuration in force: revision={}", configuration.revision);
         let in_force = Arc::new(InForce { configuration: Some(configuration), declaration });
-        held.subscribers.retain(|tx| tx.send(Arc::clone(&in_force)).is_ok());
-        held.in_force = Some(in_force);
+        state.subscribers.retain(|tx| tx.send(Arc::clone(&in_force)).is_ok());
+        state.in_force = Some(in_force);
         true
     }
 
@@ -97,28 +102,28 @@
         self.lock().in_force.clone()
     }
 
-    /// Returns a ring that gets each configuration from now on, first the one in force.
+    /// Returns a channel of all later configurations, first the one in force.
     pub(crate) fn subscribe(&self) -> flume::Receiver<Arc<InForce>> {
         let (tx, rx) = flume::unbounded();
-        let mut held = self.lock();
-        if let Some(in_force) = &held.in_force {
+        let mut state = self.lock();
+        if let Some(in_force) = &state.in_force {
             let _ = tx.send(Arc::clone(in_force));
         }
-        held.subscribers.push(tx);
+        state.subscribers.push(tx);
         rx
     }
 
-    fn lock(&self) -> MutexGuard<'_, Held> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, ConfigurationState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn lock_kept(&self) -> MutexGuard<'_, Option<Document<RealDisk>>> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_stored(&self) -> MutexGuard<'_, Option<Document<RealDisk>>> {
+        self.stored.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Held {
+impl ConfigurationState {
     fn revision(&self) -> Revision {
-        self.in_force.as_ref().map_or(Revision::ZERO, |held| held.revision())
+        self.in_force.as_ref().map_or(Revision::ZERO, |active| active.revision())
     }
 }
--- a/crates/daemon/src/edge/claims.rs
+++ b/crates/daemon/src/edge/claims.rs
@@ -10,7 +10,7 @@
 use tokio::task::JoinHandle;
 use wire::leader::{LeaderRequest, LeaderResponse};
 
-use crate::leader_client::NoAnswer;
+use crate::leader_client::LeaderRequestError;
 
 use crate::failure::Failure;
 
@@ -73,11 +73,11 @@
             let proposed = edge.clock.now();
             let reply = match self.propose(edge, attempt.id, timeout).await {
                 Ok(reply) => reply,
-                Err(NoAnswer::NotTaken) => {
+                Err(LeaderRequestError::NotAccepted) => {
                     attempt.release_on_drop = false;
                     return Err(no_quorum());
                 }
-                Err(NoAnswer::Unknown) => return Err(no_quorum()),
+                Err(LeaderRequestError::Unknown) => return Err(no_quorum()),
             };
             if let ClaimReply::Claimed { send_within } = reply {
                 let deadline = proposed + send_within;
@@ -108,7 +108,7 @@
         edge: &Edge,
         id: ClaimId,
         timeout: Duration,
-    ) -> Result<ClaimReply, NoAnswer> {
+    ) -> Result<ClaimReply, LeaderRequestError> {
         let claim = Claim {
             call: self.call.clone(),
             request: self.request,
@@ -118,7 +118,7 @@
         };
         match command(edge, Command::Claim(claim), timeout).await? {
             Reply::Claim(reply) => Ok(reply),
-            _ => Err(NoAnswer::Unknown),
+            _ => Err(LeaderRequestError::Unknown),
         }
     }
 
@@ -133,7 +133,7 @@
         while edge.clock.now() < until {
             tokio::time::sleep(CLAIM_POLL_INTERVAL).await;
             let left = until.saturating_since(edge.clock.now());
-            if let Ok(LeaderResponse::Call(call)) = edge.leader.ask(&request, left).await
+            if let Ok(LeaderResponse::Call(call)) = edge.leader.submit(&request, left).await
                 && !call.is_some_and(|call| call.state.is_open())
             {
                 return Ok(());
@@ -242,10 +242,14 @@
     while command(&edge, report.clone(), REPORT_TIMEOUT).await.is_err() {}
 }
 
-async fn command(edge: &Edge, command: Command, timeout: Duration) -> Result<Reply, NoAnswer> {
-    match edge.leader.ask(&LeaderRequest::Command(command), timeout).await? {
+async fn command(
+    edge: &Edge,
+    command: Command,
+    timeout: Duration,
+) -> Result<Reply, LeaderRequestError> {
+    match edge.leader.submit(&LeaderRequest::Command(command), timeout).await? {
         LeaderResponse::Reply(reply) => Ok(reply),
-        _ => Err(NoAnswer::Unknown),
+        _ => Err(LeaderRequestError::Unknown),
     }
 }
 
@@ -277,7 +281,7 @@
                 }
                 MayHaveRunReason::OwnerGone => "the host that sent the call has ended",
             };
-            Err(Failure::broken(why, Verdict::MayHaveRun))
+            Err(Failure::bad_gateway(why, Verdict::MayHaveRun))
         }
         ClaimReply::NotRun => {
             Err(Failure::conflict("an operator settled the key as not run; use a new key"))
--- a/crates/daemon/src/edge/completions.rs
+++ b/crates/daemon/src/edge/completions.rs
@@ -221,5 +221,5 @@
 }
 
 fn relay_ended_early() -> Failure {
-    Failure::broken("the relay ended without a response", base::Verdict::MayHaveRun)
+    Failure::bad_gateway("the relay ended without a response", base::Verdict::MayHaveRun)
 }
--- a/crates/daemon/src/edge/relay/attempt.rs
+++ b/crates/daemon/src/edge/relay/attempt.rs
@@ -41,7 +41,7 @@
 
     /// The stream was interrupted or malformed.
     pub(super) fn interrupted(detail: impl Into<String>) -> Self {
-        let failure = Failure::broken(detail, Verdict::MayHaveRun);
+        let failure = Failure::bad_gateway(detail, Verdict::MayHaveRun);
         Self { failure, resumable: true, is_final: false }
     }
 
@@ -158,7 +158,7 @@
             let failure = Failure::new(status, "refused by the engine", detail, Verdict::NotRun);
             return AttemptError { failure, resumable: false, is_final: true };
         }
-        Failure::broken(detail, Verdict::MayHaveRun).into()
+        Failure::bad_gateway(detail, Verdict::MayHaveRun).into()
     }
 
     fn resume_error(&self, status: StatusCode, detail: String) -> AttemptError {
@@ -170,6 +170,6 @@
         if caller_resumes && !self.progress.has_full_text() {
             return AttemptError::stream_gone();
         }
-        Failure::broken(detail, Verdict::MayHaveRun).into()
+        Failure::bad_gateway(detail, Verdict::MayHaveRun).into()
     }
 }
--- a/crates/daemon/src/edge/router/feedback.rs
+++ b/crates/daemon/src/edge/router/feedback.rs
@@ -29,7 +29,7 @@
         }
         let time_to_first_token = now.saturating_since(chosen.sent_at);
         chosen.time_to_first_token.set(Some(time_to_first_token));
-        chosen.in_flight.prefilled();
+        chosen.in_flight.mark_prefilled();
         let change = self.engine_outliers.record(
             now,
             &chosen.endpoint,
--- a/crates/daemon/src/edge/services.rs
+++ b/crates/daemon/src/edge/services.rs
@@ -77,7 +77,7 @@
     // A separate task, so that a caller's disconnect doesn't cancel a non-idempotent call.
     let sending = tokio::task::spawn_local(send(Rc::clone(edge), call, active, concurrency));
     let mut response = sending.await.unwrap_or_else(|_| {
-        Err(Failure::broken("the call ended without a response", Verdict::MayHaveRun))
+        Err(Failure::bad_gateway("the call ended without a response", Verdict::MayHaveRun))
     })?;
     caller_id.set_header(&mut response);
     Ok(response)
@@ -276,7 +276,10 @@
     let (parts, body) = response.into_parts();
     let max_bytes = usize::try_from(edge.cfg.limits.body_bytes.as_u64()).unwrap_or(usize::MAX);
     let body = Limited::new(body, max_bytes).collect().await.map_err(|e| {
-        Failure::broken(format!("could not read the service's response: {e}"), Verdict::MayHaveRun)
+        Failure::bad_gateway(
+            format!("could not read the service's response: {e}"),
+            Verdict::MayHaveRun,
+        )
     })?;
     Ok(ServiceResponse {
         status: parts.status,
--- a/crates/daemon/src/edge/targets.rs
+++ b/crates/daemon/src/edge/targets.rs
@@ -9,7 +9,7 @@
 use member::{Announcement, EndpointKind, EndpointRecord, Load, ServedModel};
 use prefix::Slot;
 
-use crate::in_flight::{self, Busy, Work};
+use crate::in_flight::{self, CountsInFlight, InFlightCounts};
 
 use super::upstream::ConnectionPool;
 
@@ -21,15 +21,15 @@
     drained: Cell<bool>,
     /// Most requests that it ran at once while others waited.
     slots: Cell<u32>,
-    work: Work,
+    work: InFlightCounts,
     pool: ConnectionPool,
 }
 
 /// Guard that counts a request in flight at an endpoint until it is dropped.
 pub(super) type InFlight = in_flight::InFlight<Target>;
 
-impl Busy for Target {
-    fn work(&self) -> &Work {
+impl CountsInFlight for Target {
+    fn in_flight_counts(&self) -> &InFlightCounts {
         &self.work
     }
 }
@@ -44,7 +44,7 @@
             slot,
             drained: Cell::new(false),
             slots: Cell::new(saturated_slots(&record.announcement)),
-            work: Work::default(),
+            work: InFlightCounts::default(),
             pool,
         }
     }
--- a/crates/daemon/src/gateway/control.rs
+++ b/crates/daemon/src/gateway/control.rs
@@ -9,7 +9,7 @@
 use member::Announcement;
 use wire::leader::{LeaderRequest, LeaderResponse};
 
-use crate::{leader_client::NoAnswer, roster::RosterInput};
+use crate::{leader_client::LeaderRequestError, roster::RosterInput};
 
 use super::{
     ActiveRequest, ControlRequest, ControlRequestError, ControlResponse, Dialect, Gateway,
@@ -112,17 +112,21 @@
 
 /// Sends a command to the leader; retries are safe, as every command is idempotent.
 async fn submit<D: Dialect>(gateway: &Gateway<D>, command: Command) -> ControlResponse {
-    let response = gateway.leader.ask(&LeaderRequest::Command(command), LEADER_TIMEOUT).await;
+    let response = gateway.leader.submit(&LeaderRequest::Command(command), LEADER_TIMEOUT).await;
     match response {
         Ok(LeaderResponse::Reply(Reply::Publish(_) | Reply::Weights(_))) => ControlResponse::Done,
         Ok(_) => ControlResponse::Unavailable("unexpected response from the leader"),
-        Err(NoAnswer::NotTaken) => ControlResponse::Unavailable("no leader accepted the command"),
-        Err(NoAnswer::Unknown) => ControlResponse::Unavailable("no leader confirmed the command"),
+        Err(LeaderRequestError::NotAccepted) => {
+            ControlResponse::Unavailable("no leader accepted the command")
+        }
+        Err(LeaderRequestError::Unknown) => {
+            ControlResponse::Unavailable("no leader confirmed the command")
+        }
     }
 }
 
 async fn read_configuration<D: Dialect>(gateway: &Gateway<D>) -> ControlResponse {
-    match gateway.leader.ask(&LeaderRequest::ReadPublished, LEADER_TIMEOUT).await {
+    match gateway.leader.submit(&LeaderRequest::ReadPublished, LEADER_TIMEOUT).await {
         Ok(LeaderResponse::Published(view)) => match view.content {
             Some(content) => ControlResponse::Configuration(Arc::clone(&content)),
             None => ControlResponse::NoConfiguration,
--- a/crates/daemon/src/gateway/follow.rs
+++ b/crates/daemon/src/gateway/follow.rs
@@ -71,7 +71,7 @@
             sent: reported.clone(),
             leaving: gateway.leaving_endpoints(),
         });
-        match gateway.leader.ask(&request, FOLLOW_TIMEOUT).await {
+        match gateway.leader.submit(&request, FOLLOW_TIMEOUT).await {
             Ok(LeaderResponse::Published(view)) => {
                 if std::mem::take(&mut is_leader_lost) {
                     log::info!(term:% = view.version.term; "leader reachable again");
--- a/crates/daemon/src/gateway/forward.rs
+++ b/crates/daemon/src/gateway/forward.rs
@@ -118,7 +118,7 @@
     let caller_deadline = started + caller_request.deadline.unwrap_or(DEFAULT_DEADLINE);
     let deadline = caller_deadline.min(started + route.timeout);
     let body = tokio::time::timeout_at(deadline, read(&active_configuration.table, body)).await;
-    let body = body.map_err(|_| Failure::slow_body(route.timeout))??;
+    let body = body.map_err(|_| Failure::body_timeout(route.timeout))??;
     gateway.count_request(&route);
     let exchange = Exchange {
         chain: caller_request.prompt.as_ref().map(|prompt| chain(prompt, organisation.as_deref())),
@@ -242,7 +242,7 @@
 impl FetchError {
     fn into_failure(self) -> Failure {
         match self {
-            Self::Truncated(why) => Failure::broken(why, Verdict::MayHaveRun),
+            Self::Truncated(why) => Failure::bad_gateway(why, Verdict::MayHaveRun),
             Self::Failed(failure) => failure,
         }
     }
--- a/crates/daemon/src/gateway/listen.rs
+++ b/crates/daemon/src/gateway/listen.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     edge::{ServerCommand, ServerExit},
-    serve::{self, ConnectionBounds, Drain, Serve},
+    serve::{self, ConnectionLimits, Drain, Serve},
 };
 
 use super::{Dialect, Gateway, GatewayListeners, body::Body, control, forward};
@@ -37,10 +37,10 @@
 impl<D: Dialect> Serve for Callers<D> {
     type Body = Body;
 
-    fn bounds(&self) -> ConnectionBounds {
+    fn connection_limits(&self) -> ConnectionLimits {
         let limits =
             self.0.active_configuration().map(|active| *active.table.limits()).unwrap_or_default();
-        ConnectionBounds {
+        ConnectionLimits {
             // hyper counts the idle time before a request as time for that request's head.
             header_timeout: limits.header_timeout.max(limits.idle_timeout),
             header_bytes: usize::try_from(limits.header_bytes.as_u64()).unwrap_or(usize::MAX),
@@ -60,7 +60,7 @@
 impl<D: Dialect> Serve for ControlClients<D> {
     type Body = Body;
 
-    fn bounds(&self) -> ConnectionBounds {
+    fn connection_limits(&self) -> ConnectionLimits {
         control_bounds()
     }
 
@@ -76,7 +76,7 @@
 impl<D: Dialect> Serve for LoadBalancer<D> {
     type Body = Body;
 
-    fn bounds(&self) -> ConnectionBounds {
+    fn connection_limits(&self) -> ConnectionLimits {
         control_bounds()
     }
 
@@ -93,8 +93,8 @@
     }
 }
 
-fn control_bounds() -> ConnectionBounds {
-    ConnectionBounds {
+fn control_bounds() -> ConnectionLimits {
+    ConnectionLimits {
         header_timeout: CONTROL_IDLE_TIMEOUT,
         header_bytes: CONTROL_HEADER_BYTES,
         headers: MAX_HEADERS,
@@ -114,7 +114,7 @@
     let balancer = LoadBalancer { gateway: Rc::clone(&gateway), connections: Cell::new(0) };
     start(balancer, readiness, &drain_rx);
     let limit = gateway.cfg.drain_limit(gateway.drain_notice);
-    serve::until_ended(&*gateway, &orders, &drain_tx, Some(limit)).await;
+    serve::wait_for_shutdown(&*gateway, &orders, &drain_tx, Some(limit)).await;
     ServerExit { cut: gateway.active_requests.get() }
 }
 
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -42,7 +42,7 @@
     edge::{ServerCommand, ServerExit},
     leader_client::LeaderClient,
     replica::{ReplicaInput, ReplicaState},
-    roster::{Latest, RosterInput},
+    roster::{LatestRoster, RosterInput},
 };
 
 use follow::ActiveConfiguration;
@@ -82,7 +82,7 @@
     /// New rosters.
     pub rosters: flume::Receiver<Arc<Roster>>,
     /// The latest roster, for readers that poll.
-    pub latest: Latest,
+    pub latest: LatestRoster,
     /// Receives announcements.
     pub roster: flume::Sender<RosterInput>,
     /// Commands to drain or to stop.
@@ -146,7 +146,7 @@
     is_draining: Cell<bool>,
     leader: LeaderClient,
     roster: flume::Sender<RosterInput>,
-    latest: Latest,
+    latest: LatestRoster,
     replica: Option<flume::Sender<ReplicaInput>>,
     replica_state: ReplicaState,
     metrics: Arc<Metrics>,
--- a/crates/daemon/src/gateway/relay.rs
+++ b/crates/daemon/src/gateway/relay.rs
@@ -293,7 +293,7 @@
             continue;
         }
         let now = exchange.gateway.clock.now();
-        opened.in_flight.prefilled();
+        opened.in_flight.mark_prefilled();
         if !std::mem::replace(is_started, true) {
             log_outdated_start(exchange, opened, now);
         }
--- a/crates/daemon/src/gateway/targets.rs
+++ b/crates/daemon/src/gateway/targets.rs
@@ -18,7 +18,7 @@
 use routes::KvStore;
 use wire::leader::PublishedView;
 
-use crate::in_flight::{self, Busy, Work};
+use crate::in_flight::{self, CountsInFlight, InFlightCounts};
 
 /// Longest time for which an unreachable endpoint is avoided.
 const MAX_UNREACHABLE_AVOIDANCE: Duration = Duration::from_secs(5);
@@ -49,7 +49,7 @@
     version: Cell<u32>,
     /// Whether it loads weights or is about to.
     paused: Cell<bool>,
-    work: Work,
+    work: InFlightCounts,
     memory: RefCell<PartCacheModel>,
     /// Timestamp of the latest announcement.
     last_announced_at: Cell<MonotonicTime>,
@@ -101,8 +101,8 @@
 /// A request in flight at an endpoint, until dropped.
 pub(super) type InFlight = in_flight::InFlight<Target>;
 
-impl Busy for Target {
-    fn work(&self) -> &Work {
+impl CountsInFlight for Target {
+    fn in_flight_counts(&self) -> &InFlightCounts {
         &self.work
     }
 }
@@ -121,7 +121,7 @@
             version: Cell::new(model.as_ref().map_or(0, |(_, version)| *version)),
             model: model.map(|(model, _)| model),
             paused: Cell::new(false),
-            work: Work::default(),
+            work: InFlightCounts::default(),
             memory: RefCell::new(PartCacheModel::new(cache_tokens(kv_tokens))),
             last_announced_at: Cell::new(written),
             stale_after: Cell::default(),
--- a/crates/daemon/src/leader_client.rs
+++ b/crates/daemon/src/leader_client.rs
@@ -6,30 +6,30 @@
 
 use crate::{
     directory::Directory,
-    peers::{Addressed, Outgoing, SubmitCall, Submitted},
+    peers::{Envelope, Outgoing, SubmitCall, SubmitOutcome},
     replica::ReplicaInput,
 };
 
-/// Longest wait for one host's answer.
+/// Longest wait for one host's response.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Shortest and longest pause between rounds over all voters.
-const PAUSE_MS: std::ops::RangeInclusive<u64> = 20..=60;
+/// Shortest and longest pause between rounds over all voters, in milliseconds.
+const ROUND_PAUSE_MS: std::ops::RangeInclusive<u64> = 20..=60;
 
-/// Brings requests to the quorum's leader, wherever it is.
+/// Sends requests to the quorum's leader, on this host or another.
 #[derive(Clone)]
 pub(crate) struct LeaderClient {
     host: HostId,
     local: Option<flume::Sender<ReplicaInput>>,
-    outbox: flume::Sender<Addressed>,
+    outbox: flume::Sender<Envelope>,
     directory: Directory,
 }
 
-/// Why a request has no answer.
+/// Why a leader request has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NoAnswer {
-    /// No leader took it; it won't be carried out.
-    NotTaken,
+pub(crate) enum LeaderRequestError {
+    /// No leader accepted it; it won't be carried out.
+    NotAccepted,
     /// It may be carried out.
     Unknown,
 }
@@ -38,70 +38,70 @@
     pub(crate) fn new(
         host: HostId,
         local: Option<flume::Sender<ReplicaInput>>,
-        outbox: flume::Sender<Addressed>,
+        outbox: flume::Sender<Envelope>,
         directory: Directory,
     ) -> Self {
         Self { host, local, outbox, directory }
     }
 
-    /// Sends an idempotent request until a leader answers or `timeout` has passed.
-    pub(crate) async fn ask(
+    /// Sends an idempotent request until a leader responds or `timeout` has passed.
+    pub(crate) async fn submit(
         &self,
         request: &LeaderRequest,
         timeout: Duration,
-    ) -> Result<LeaderResponse, NoAnswer> {
+    ) -> Result<LeaderResponse, LeaderRequestError> {
         let bytes = request.to_bytes();
-        let worst = Cell::new(NoAnswer::NotTaken);
-        let asking = async {
+        let worst = Cell::new(LeaderRequestError::NotAccepted);
+        let attempts = async {
             loop {
-                for host in self.directory.voters() {
-                    // An attempt that the timeout cuts short may be carried out.
-                    let before = worst.replace(NoAnswer::Unknown);
+                for host in self.directory.leader_candidates() {
+                    // A request whose attempt is cancelled by the timeout may be carried out.
+                    let previous = worst.replace(LeaderRequestError::Unknown);
                     match self.attempt(&host, bytes.clone()).await {
-                        Submitted::Reply(answer) => {
-                            self.directory.answered(&host);
+                        SubmitOutcome::Reply(response) => {
+                            self.directory.record_response(&host);
                             self.directory.set_leader(Some(host));
-                            return LeaderResponse::from_bytes(&answer)
-                                .map_err(|_| NoAnswer::Unknown);
+                            return LeaderResponse::from_bytes(&response)
+                                .map_err(|_| LeaderRequestError::Unknown);
                         }
-                        Submitted::NotWritten { leader } => {
-                            worst.set(before);
-                            self.directory.answered(&host);
+                        SubmitOutcome::NotWritten { leader } => {
+                            worst.set(previous);
+                            self.directory.record_response(&host);
                             if let Some(leader) = leader.filter(|leader| *leader != host) {
-                                self.directory.named(&leader);
+                                self.directory.confirm_leader(&leader);
                             }
                         }
-                        Submitted::Unknown => self.directory.timed_out(&host),
+                        SubmitOutcome::Unknown => self.directory.record_timeout(&host),
                     }
                 }
-                let pause = rand::rng().random_range(PAUSE_MS);
+                let pause = rand::rng().random_range(ROUND_PAUSE_MS);
                 tokio::time::sleep(Duration::from_millis(pause)).await;
             }
         };
-        match tokio::time::timeout(timeout, asking).await {
-            Ok(answer) => answer,
+        match tokio::time::timeout(timeout, attempts).await {
+            Ok(response) => response,
             Err(_) => Err(worst.get()),
         }
     }
 
-    async fn attempt(&self, host: &HostId, request: Vec<u8>) -> Submitted {
-        let (reply, answer) = flume::bounded(1);
+    async fn attempt(&self, host: &HostId, request: Vec<u8>) -> SubmitOutcome {
+        let (reply, response) = flume::bounded(1);
         if !self.send(host, request, reply) {
-            return Submitted::NotWritten { leader: None };
+            return SubmitOutcome::NotWritten { leader: None };
         }
-        match tokio::time::timeout(ATTEMPT_TIMEOUT, answer.recv_async()).await {
-            Ok(Ok(submitted)) => submitted,
-            Ok(Err(_)) | Err(_) => Submitted::Unknown,
+        match tokio::time::timeout(ATTEMPT_TIMEOUT, response.recv_async()).await {
+            Ok(Ok(outcome)) => outcome,
+            Ok(Err(_)) | Err(_) => SubmitOutcome::Unknown,
         }
     }
 
-    fn send(&self, host: &HostId, request: Vec<u8>, reply: flume::Sender<Submitted>) -> bool {
+    fn send(&self, host: &HostId, request: Vec<u8>, reply: flume::Sender<SubmitOutcome>) -> bool {
         if *host == self.host {
             let Some(local) = &self.local else { return false };
             return local.try_send(ReplicaInput::Submit(SubmitCall { request, reply })).is_ok();
         }
         let Some(to) = self.directory.address(host) else { return false };
         let message = Outgoing::Submit { request, reply };
-        self.outbox.try_send(Addressed { to, message }).is_ok()
+        self.outbox.try_send(Envelope { to, message }).is_ok()
     }
 }
--- a/crates/daemon/src/peers/link.rs
+++ b/crates/daemon/src/peers/link.rs
@@ -13,28 +13,28 @@
 use crate::{net, roster::RosterInput};
 
 use super::{
-    Outgoing, PROTOCOL_VERSION, PeersConfig, Submitted,
+    Outgoing, PROTOCOL_VERSION, PeersConfig, SubmitOutcome,
     handshake::{FleetSecret, Nonces, Side, new_nonce, read_nonce},
     reader_options,
 };
 
-/// Time for a connection with its handshake.
+/// Timeout of a connection with its handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time for the connection alone; a host without power answers nothing, and TCP asks again only
-/// after a second.
-const OPEN_TIMEOUT: Duration = Duration::from_millis(250);
+/// Timeout of the TCP connection alone; a host without power doesn't respond, and TCP retransmits
+/// only after a second.
+const TCP_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time for a call.
+/// Timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time without messages after which a link ends.
+/// Time without messages after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A connection to another router, after the handshake.
+/// An authenticated connection to another router.
 pub(super) struct Session {
     router: router::Client,
-    broken: Rc<std::cell::Cell<bool>>,
+    disconnected: Rc<std::cell::Cell<bool>>,
     driver: JoinHandle<()>,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// Carries messages to the router at `address` until none come for a while.
+/// Sends messages to the router at `address` until none arrive for `IDLE_TIMEOUT`.
 pub(super) async fn run(
     cfg: PeersConfig,
     address: SocketAddr,
@@ -55,7 +55,7 @@
     loop {
         let next = tokio::time::timeout(IDLE_TIMEOUT, messages.recv_async()).await;
         let Ok(Ok(message)) = next else { return };
-        if session.as_ref().is_some_and(|session| session.broken.get()) {
+        if session.as_ref().is_some_and(|session| session.disconnected.get()) {
             session = None;
         }
         if session.is_none() {
@@ -75,11 +75,11 @@
     match tokio::time::timeout(CONNECT_TIMEOUT, connect(cfg, address, secret)).await {
         Ok(Ok(session)) => Some(session),
         Ok(Err(e)) => {
-            log::debug!("peer={address} no connection: {e}");
+            log::debug!("peer connection failed: peer={address} error={e}");
             None
         }
         Err(_) => {
-            log::debug!("peer={address} no connection: timeout");
+            log::debug!("peer connection failed: peer={address} error=timeout");
             None
         }
     }
@@ -90,27 +90,28 @@
     address: SocketAddr,
     secret: &FleetSecret,
 ) -> Result<Session, capnp::Error> {
-    let opening = tokio::time::timeout(OPEN_TIMEOUT, net::connect(cfg.source, address)).await;
-    let stream = opening
-        .map_err(|_| capnp::Error::disconnected("the host does not answer".into()))?
+    let connecting =
+        tokio::time::timeout(TCP_CONNECT_TIMEOUT, net::connect(cfg.source, address)).await;
+    let stream = connecting
+        .map_err(|_| capnp::Error::disconnected("the host does not respond".into()))?
         .map_err(|e| capnp::Error::disconnected(e.to_string()))?;
     let (rx, tx) = stream.compat().split();
     let network = VatNetwork::new(rx, tx, RpcSide::Client, reader_options());
     let mut system = RpcSystem::new(Box::new(network), None);
     let gate: gate::Client = system.bootstrap(RpcSide::Server);
-    let broken = Rc::new(std::cell::Cell::new(false));
+    let disconnected = Rc::new(std::cell::Cell::new(false));
     let driver = {
-        let broken = Rc::clone(&broken);
+        let disconnected = Rc::clone(&disconnected);
         tokio::task::spawn_local(async move {
             let _ = system.await;
-            broken.set(true);
+            disconnected.set(true);
         })
     };
-    let router = log_in(&cfg.host, &gate, secret).await?;
-    Ok(Session { router, broken, driver })
+    let router = authenticate(&cfg.host, &gate, secret).await?;
+    Ok(Session { router, disconnected, driver })
 }
 
-async fn log_in(
+async fn authenticate(
     host: &HostId,
     gate: &gate::Client,
     secret: &FleetSecret,
@@ -119,15 +120,15 @@
     let mut hello = gate.hello_request();
     hello.get().set_version(PROTOCOL_VERSION);
     hello.get().set_nonce(&client);
-    let answer = hello.send().promise.await?;
-    let answer = answer.get()?;
-    if answer.get_version() != PROTOCOL_VERSION {
-        let version = answer.get_version();
-        return Err(capnp::Error::failed(format!("the peer speaks version {version}")));
+    let response = hello.send().promise.await?;
+    let response = response.get()?;
+    if response.get_version() != PROTOCOL_VERSION {
+        let version = response.get_version();
+        return Err(capnp::Error::failed(format!("the peer has protocol version {version}")));
     }
-    let nonces = Nonces { client, server: read_nonce(answer.get_nonce()?)? };
-    if !secret.check(Side::Server, &nonces, answer.get_proof()?) {
-        return Err(capnp::Error::failed("the peer doesn't know the fleet's key".into()));
+    let nonces = Nonces { client, server: read_nonce(response.get_nonce()?)? };
+    if !secret.verify(Side::Server, &nonces, response.get_proof()?) {
+        return Err(capnp::Error::failed("the peer's proof does not match the fleet's key".into()));
     }
     let mut login = gate.login_request();
     login.get().set_host(host.as_str());
@@ -136,8 +137,8 @@
 }
 
 impl Session {
-    /// Sends a request to the leader and waits for what became of it.
-    pub(super) async fn submit(&self, request: &[u8]) -> Result<Submitted, capnp::Error> {
+    /// Sends a leader request and waits for its outcome.
+    pub(super) async fn submit(&self, request: &[u8]) -> Result<SubmitOutcome, capnp::Error> {
         let mut req = self.router.submit_request();
         req.get().set_request(request);
         read_submitted(req.send().promise.await?.get()?.get_submitted()?)
@@ -155,21 +156,21 @@
 
     /// Sends a message; calls on one connection arrive in the order in which they were sent.
     fn send(&self, message: Outgoing) {
-        let broken = Rc::clone(&self.broken);
+        let disconnected = Rc::clone(&self.disconnected);
         let timeout = message.timeout();
-        let call = Call::new(&self.router, message);
+        let call = PendingCall::new(&self.router, message);
         tokio::task::spawn_local(async move {
             match tokio::time::timeout(timeout, call.finish()).await {
                 Ok(Ok(())) => {}
                 Ok(Err(e)) if e.kind == capnp::ErrorKind::Overloaded => {}
-                Ok(Err(_)) | Err(_) => broken.set(true),
+                Ok(Err(_)) | Err(_) => disconnected.set(true),
             }
         });
     }
 }
 
 impl Outgoing {
-    /// Returns how long the answer may take before the connection counts as broken.
+    /// Returns how long the response may take before the connection counts as lost.
     fn timeout(&self) -> Duration {
         match self {
             Self::Gossip { timeout, .. } => *timeout,
@@ -178,27 +179,30 @@
     }
 }
 
-/// A call that has been sent.
-enum Call {
+/// A call that waits for its response.
+enum PendingCall {
     Gossip {
-        answer: Sent<router::gossip_results::Owned>,
+        response: PendingResponse<router::gossip_results::Owned>,
         sent: MonotonicTime,
         reply: flume::Sender<RosterInput>,
     },
-    Quorum(Sent<router::quorum_results::Owned>),
-    Submit(Sent<router::submit_results::Owned>, flume::Sender<Submitted>),
-    Configuration(Sent<router::configuration_results::Owned>, flume::Sender<RosterInput>),
+    Quorum(PendingResponse<router::quorum_results::Owned>),
+    Submit(PendingResponse<router::submit_results::Owned>, flume::Sender<SubmitOutcome>),
+    Configuration(
+        PendingResponse<router::configuration_results::Owned>,
+        flume::Sender<RosterInput>,
+    ),
 }
 
-type Sent<T> = capnp::capability::Promise<capnp::capability::Response<T>, capnp::Error>;
+type PendingResponse<T> = capnp::capability::Promise<capnp::capability::Response<T>, capnp::Error>;
 
-impl Call {
+impl PendingCall {
     fn new(router: &router::Client, message: Outgoing) -> Self {
         match message {
             Outgoing::Gossip { message, sent, reply, .. } => {
                 let mut req = router.gossip_request();
                 req.get().set_message(&message);
-                Self::Gossip { answer: req.send().promise, sent, reply }
+                Self::Gossip { response: req.send().promise, sent, reply }
             }
             Outgoing::Quorum { message } => {
                 let mut req = router.quorum_request();
@@ -220,27 +224,27 @@
 
     async fn finish(self) -> Result<(), capnp::Error> {
         match self {
-            Self::Gossip { answer, sent, reply } => {
-                let answer = answer.await?;
-                let message = answer.get()?.get_reply()?.to_vec();
-                let _ = reply.try_send(RosterInput::Answer { sent, message });
+            Self::Gossip { response, sent, reply } => {
+                let response = response.await?;
+                let message = response.get()?.get_reply()?.to_vec();
+                let _ = reply.try_send(RosterInput::GossipResponse { sent, message });
             }
-            Self::Quorum(sent) => {
-                sent.await?;
+            Self::Quorum(response) => {
+                response.await?;
             }
-            Self::Submit(sent, reply) => {
-                let submitted = match sent.await {
-                    Ok(answer) => read_submitted(answer.get()?.get_submitted()?)?,
+            Self::Submit(response, reply) => {
+                let submitted = match response.await {
+                    Ok(response) => read_submitted(response.get()?.get_submitted()?)?,
                     Err(e) => {
-                        let _ = reply.try_send(Submitted::Unknown);
+                        let _ = reply.try_send(SubmitOutcome::Unknown);
                         return Err(e);
                     }
                 };
                 let _ = reply.try_send(submitted);
             }
-            Self::Configuration(sent, reply) => {
-                let answer = sent.await?;
-                if let Some(newer) = read_newer(answer.get()?)? {
+            Self::Configuration(response, reply) => {
+                let response = response.await?;
+                if let Some(newer) = read_newer(response.get()?)? {
                     let _ = reply.try_send(RosterInput::Configuration(newer));
                 }
             }
@@ -250,17 +254,21 @@
 }
 
 fn read_newer(
-    answer: router::configuration_results::Reader<'_>,
+    response: router::configuration_results::Reader<'_>,
 ) -> Result<Option<Configuration>, capnp::Error> {
-    if answer.has_newer() { Configuration::read(answer.get_newer()?).map(Some) } else { Ok(None) }
+    if response.has_newer() {
+        Configuration::read(response.get_newer()?).map(Some)
+    } else {
+        Ok(None)
+    }
 }
 
-fn read_submitted(submitted: submitted::Reader<'_>) -> Result<Submitted, capnp::Error> {
+fn read_submitted(submitted: submitted::Reader<'_>) -> Result<SubmitOutcome, capnp::Error> {
     Ok(match submitted.which()? {
-        submitted::Reply(reply) => Submitted::Reply(reply?.to_vec()),
+        submitted::Reply(reply) => SubmitOutcome::Reply(reply?.to_vec()),
         submitted::NotLeader(leader) => {
-            Submitted::NotWritten { leader: leader?.to_str()?.parse().ok() }
+            SubmitOutcome::NotWritten { leader: leader?.to_str()?.parse().ok() }
         }
-        submitted::Unknown(()) => Submitted::Unknown,
+        submitted::Unknown(()) => SubmitOutcome::Unknown,
     })
 }
--- a/crates/daemon/src/peers/server.rs
+++ b/crates/daemon/src/peers/server.rs
@@ -10,15 +10,15 @@
 use crate::{replica::ReplicaInput, roster::RosterInput};
 
 use super::{
-    GossipCall, Inbox, PROTOCOL_VERSION, QuorumCall, SubmitCall, Submitted,
+    GossipCall, Inbox, PROTOCOL_VERSION, QuorumCall, SubmitCall, SubmitOutcome,
     handshake::{FleetSecret, Nonces, Side, new_nonce, read_nonce},
     reader_options,
 };
 
 /// Time to wait after a failure to accept, such as too many open files.
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Answers other routers until the thread ends.
+/// Serves other routers' calls until the thread ends.
 pub(super) async fn run(listener: std::net::TcpListener, secret: Rc<FleetSecret>, inbox: Inbox) {
     let listener = TcpListener::from_std(listener).expect("the listener is in non-blocking mode");
     loop {
@@ -31,13 +31,13 @@
                 };
                 tokio::task::spawn_local(async move {
                     if let Err(e) = serve(stream, gate).await {
-                        log::debug!("a router's connection ended: {e}");
+                        log::debug!("peer connection closed: error={e}");
                     }
                 });
             }
             Err(e) => {
-                log::warn!("could not accept a router's connection: {e}");
-                tokio::time::sleep(ACCEPT_RETRY).await;
+                log::warn!("peer accept failed: error={e}");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -55,7 +55,7 @@
     capnp::Error::disconnected(e.to_string())
 }
 
-/// What a stranger can reach.
+/// The interface open to unauthenticated clients: the handshake.
 struct Gate {
     secret: Rc<FleetSecret>,
     inbox: Inbox,
@@ -89,9 +89,9 @@
             .to_str()?
             .parse()
             .map_err(|e: base::ParseError| capnp::Error::failed(e.to_string()))?;
-        let nonces = self.nonces.take().ok_or_else(|| refused("login before hello"))?;
-        if !self.secret.check(Side::Client(&host), &nonces, params.get_proof()?) {
-            return Err(refused("the proof doesn't fit the fleet's key"));
+        let nonces = self.nonces.take().ok_or_else(|| rejected("login before hello"))?;
+        if !self.secret.verify(Side::Client(&host), &nonces, params.get_proof()?) {
+            return Err(rejected("the proof does not match the fleet's key"));
         }
         let router = Router { host, inbox: self.inbox.clone() };
         results.get().set_router(capnp_rpc::new_client(router));
@@ -99,11 +99,11 @@
     }
 }
 
-fn refused(why: &str) -> capnp::Error {
-    capnp::Error::failed(why.to_owned())
+fn rejected(reason: &str) -> capnp::Error {
+    capnp::Error::failed(reason.to_owned())
 }
 
-/// What a router of the fleet can reach.
+/// The interface open to authenticated routers of the fleet.
 struct Router {
     host: HostId,
     inbox: Inbox,
@@ -116,11 +116,11 @@
         mut results: router::GossipResults,
     ) -> Result<(), capnp::Error> {
         let message = params.get()?.get_message()?.to_vec();
-        let (reply, answer) = flume::bounded(1);
+        let (reply, response) = flume::bounded(1);
         let call = RosterInput::Gossip(GossipCall { message, reply });
         self.inbox.roster.try_send(call).map_err(|_| overloaded())?;
-        let answer = answer.recv_async().await.map_err(|_| overloaded())?;
-        results.get().set_reply(&answer);
+        let response = response.recv_async().await.map_err(|_| overloaded())?;
+        results.get().set_reply(&response);
         Ok(())
     }
 
@@ -132,7 +132,7 @@
         let message = params.get()?.get_message()?.to_vec();
         let call = QuorumCall { from: self.host.clone(), message };
         let replica =
-            self.inbox.replica.as_ref().ok_or_else(|| refused("this host has no vote"))?;
+            self.inbox.replica.as_ref().ok_or_else(|| rejected("this host has no vote"))?;
         replica.try_send(ReplicaInput::Quorum(call)).map_err(|_| overloaded())
     }
 
@@ -142,20 +142,20 @@
         mut results: router::SubmitResults,
     ) -> Result<(), capnp::Error> {
         let request = params.get()?.get_request()?.to_vec();
-        let (reply, answer) = flume::bounded(1);
+        let (reply, response) = flume::bounded(1);
         let input = ReplicaInput::Submit(SubmitCall { request, reply });
         let replica = self.inbox.replica.as_ref();
         let submitted = match replica.map(|replica| replica.try_send(input)) {
-            Some(Ok(())) => answer.recv_async().await.unwrap_or(Submitted::Unknown),
-            Some(Err(_)) | None => Submitted::NotWritten { leader: None },
+            Some(Ok(())) => response.recv_async().await.unwrap_or(SubmitOutcome::Unknown),
+            Some(Err(_)) | None => SubmitOutcome::NotWritten { leader: None },
         };
         let mut result = results.get().init_submitted();
         match submitted {
-            Submitted::Reply(reply) => result.set_reply(&reply),
-            Submitted::NotWritten { leader } => {
+            SubmitOutcome::Reply(reply) => result.set_reply(&reply),
+            SubmitOutcome::NotWritten { leader } => {
                 result.set_not_leader(leader.as_ref().map_or("", HostId::as_str));
             }
-            Submitted::Unknown => result.set_unknown(()),
+            SubmitOutcome::Unknown => result.set_unknown(()),
         }
         Ok(())
     }
@@ -167,8 +167,8 @@
     ) -> Result<(), capnp::Error> {
         let above = Revision::new(params.get()?.get_above());
         let newer = self.inbox.configurations.in_force();
-        let newer = newer.filter(|held| above < held.revision());
-        if let Some(newer) = newer.as_ref().and_then(|held| held.configuration.as_ref()) {
+        let newer = newer.filter(|active| above < active.revision());
+        if let Some(newer) = newer.as_ref().and_then(|active| active.configuration.as_ref()) {
             newer.write(results.get().init_newer());
         }
         Ok(())
@@ -176,5 +176,5 @@
 }
 
 fn overloaded() -> capnp::Error {
-    capnp::Error::overloaded("the router is busy or ending".into())
+    capnp::Error::overloaded("the router is busy or shutting down".into())
 }
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     Settings,
-    admin::{self, Sources},
+    admin::{self, AdminContext},
     clock::Clock,
     configurations::Configurations,
     directory::Directory,
@@ -19,51 +19,51 @@
     gateway::{self, Dialect, GatewayChannels, GatewayListeners, GatewaySettings, Identity},
     leader_client::LeaderClient,
     net,
-    peers::{self, Addressed, Inbox, PeersConfig},
-    readiness::{self, News, Readiness},
+    peers::{self, Envelope, Inbox, PeersConfig},
+    readiness::{self, Readiness, StartupSync},
     replica::{self, ReplicaChannels, ReplicaConfig, ReplicaInput, ReplicaState},
-    roster::{self, Latest, RosterInput, RosterRings},
+    roster::{self, LatestRoster, RosterChannels, RosterInput},
 };
 
-/// Messages in a ring between two threads.
-pub(crate) const RING: usize = 4096;
+/// Capacity of a channel between two threads, in messages.
+pub(crate) const CHANNEL_CAPACITY: usize = 4096;
 
-/// Rosters in the ring to the edge thread.
-const ROSTER_RING: usize = 1;
+/// Capacity of the channel of rosters to the edge thread.
+const ROSTER_CHANNEL_CAPACITY: usize = 1;
 
-/// Operators' questions in the ring to the edge thread.
-const INQUIRY_RING: usize = 16;
+/// Capacity of the channel of operators' queries to the edge thread.
+const ADMIN_QUERY_CHANNEL_CAPACITY: usize = 16;
 
-/// The process's threads, as far as its end needs them.
+/// Handles to the process's threads that shutdown needs.
 pub(crate) struct Process {
     pub edge: JoinHandle<ServerExit>,
     pub control: flume::Sender<ServerCommand>,
     pub readiness: Readiness,
-    /// News of peers to wait for, where readiness depends on it.
-    pub news: Option<News>,
+    /// State to receive from peers before the router is ready; `None` if it needs none.
+    pub startup_sync: Option<StartupSync>,
     pub roster: flume::Sender<RosterInput>,
     pub replica: Option<flume::Sender<ReplicaInput>>,
-    /// Sends the last spans on drop.
+    /// Exports the last spans on drop.
     _exporter: Option<Exporter>,
 }
 
-/// What several threads hold.
-struct Shared {
+/// State shared by several threads.
+struct SharedState {
     cfg: Arc<Settings>,
     clock: Clock,
     incarnation: Incarnation,
     metrics: Arc<Metrics>,
     directory: Directory,
     configurations: Configurations,
-    latest: Latest,
+    latest: LatestRoster,
     replica_state: ReplicaState,
     readiness: Readiness,
-    outbox: flume::Sender<Addressed>,
+    outbox: flume::Sender<Envelope>,
     roster: flume::Sender<RosterInput>,
 }
 
-/// The ways to the threads that keep to the other hosts.
-struct Common {
+/// Channels to the replica and roster threads, which both interfaces for callers need.
+struct CoreChannels {
     replica: Option<flume::Sender<ReplicaInput>>,
     leader: LeaderClient,
     rosters: flume::Receiver<Arc<Roster>>,
@@ -72,19 +72,19 @@
 impl Process {
     /// Binds the addresses, opens the data folder and starts the threads.
     pub(crate) fn start(cfg: &Arc<Settings>) -> eyre::Result<Self> {
-        let (outbox, outbox_rx) = flume::bounded(RING);
-        let (roster, roster_inputs) = flume::bounded(RING);
-        let shared = Shared::new(cfg, outbox, roster)?;
+        let (outbox, outbox_rx) = flume::bounded(CHANNEL_CAPACITY);
+        let (roster, roster_inputs) = flume::bounded(CHANNEL_CAPACITY);
+        let shared = SharedState::new(cfg, outbox, roster)?;
         let (tracer, exporter) = tracing(cfg, &shared.metrics)?;
         let edge_listener = bind(cfg.listen)?;
         let peer_listener = bind(cfg.peer_listen)?;
 
-        let Common { replica, leader, rosters } =
-            shared.start_common(peer_listener, outbox_rx, roster_inputs)?;
-        let news = shared.news(leader.clone())?;
+        let CoreChannels { replica, leader, rosters } =
+            shared.start_core_threads(peer_listener, outbox_rx, roster_inputs)?;
+        let startup_sync = shared.startup_sync(leader.clone())?;
         let admin_queries = shared.start_admin(leader.clone())?;
-        let (control, control_rx) = flume::bounded(RING);
-        let rings = EdgeChannels {
+        let (control, control_rx) = flume::bounded(CHANNEL_CAPACITY);
+        let channels = EdgeChannels {
             rosters,
             announcements: shared.roster.clone(),
             control: control_rx,
@@ -95,12 +95,12 @@
             metrics: Arc::clone(&shared.metrics),
             tracer,
         };
-        let edge = edge::spawn(Arc::clone(cfg), shared.clock, edge_listener, rings)?;
+        let edge = edge::spawn(Arc::clone(cfg), shared.clock, edge_listener, channels)?;
         Ok(Self {
             edge,
             control,
             readiness: shared.readiness,
-            news: Some(news),
+            startup_sync: Some(startup_sync),
             roster: shared.roster,
             replica,
             _exporter: exporter,
@@ -108,27 +108,27 @@
     }
 
     /// Binds the addresses, opens the data folder and starts the threads, with the gateway in place
-    /// of the own interface for callers.
+    /// of the edge thread.
     pub(crate) fn start_gateway<D: Dialect>(
         cfg: &Arc<Settings>,
         gateway_cfg: GatewaySettings,
         dialect: D,
     ) -> eyre::Result<Self> {
-        let (outbox, outbox_rx) = flume::bounded(RING);
-        let (roster, roster_inputs) = flume::bounded(RING);
-        let shared = Shared::new(cfg, outbox, roster)?;
+        let (outbox, outbox_rx) = flume::bounded(CHANNEL_CAPACITY);
+        let (roster, roster_inputs) = flume::bounded(CHANNEL_CAPACITY);
+        let shared = SharedState::new(cfg, outbox, roster)?;
         let listeners = GatewayListeners {
             callers: gateway_cfg.callers.map(bind_nonblocking).transpose()?,
             readiness: gateway_cfg.readiness.map(bind_nonblocking).transpose()?,
             control: gateway_cfg.control.map(bind_nonblocking).transpose()?,
         };
         let peer_listener = bind(cfg.peer_listen)?;
-        let Common { replica, leader, rosters } =
-            shared.start_common(peer_listener, outbox_rx, roster_inputs)?;
-        // Questions that need the own interface stay without an answer.
+        let CoreChannels { replica, leader, rosters } =
+            shared.start_core_threads(peer_listener, outbox_rx, roster_inputs)?;
+        // Queries to the edge thread get no response: a gateway has no edge thread.
         let _ = shared.start_admin(leader.clone())?;
-        let (control, control_rx) = flume::bounded(RING);
-        let rings = GatewayChannels {
+        let (control, control_rx) = flume::bounded(CHANNEL_CAPACITY);
+        let channels = GatewayChannels {
             rosters,
             latest: shared.latest.clone(),
             roster: shared.roster.clone(),
@@ -144,12 +144,13 @@
             source: cfg.listen.ip(),
             drain_notice: cfg.timeouts.drain_notice,
         };
-        let edge = gateway::spawn(gateway_cfg, dialect, identity, shared.clock, listeners, rings)?;
+        let edge =
+            gateway::spawn(gateway_cfg, dialect, identity, shared.clock, listeners, channels)?;
         Ok(Self {
             edge,
             control,
             readiness: shared.readiness,
-            news: None,
+            startup_sync: None,
             roster: shared.roster,
             replica,
             _exporter: None,
@@ -157,20 +158,20 @@
     }
 }
 
-impl Shared {
+impl SharedState {
     fn new(
         cfg: &Arc<Settings>,
-        outbox: flume::Sender<Addressed>,
+        outbox: flume::Sender<Envelope>,
         roster: flume::Sender<RosterInput>,
     ) -> eyre::Result<Self> {
         let clock = Clock::start();
         let metrics = Arc::new(Metrics::new()?);
-        // Series that are there from the start can be compared between hosts.
+        // Export these series from the start, so that they can be compared between hosts.
         metrics.set_configuration_revision(Revision::ZERO);
         metrics.set_quorum_state(QuorumRole::Observer, Term::ZERO);
         let configurations = match &cfg.data_dir {
             Some(data_dir) => Configurations::open(data_dir)
-                .wrap_err("the configuration in the data folder can't be used")?,
+                .wrap_err("could not read the configuration in the data folder")?,
             None => Configurations::default(),
         };
         Ok(Self {
@@ -179,9 +180,9 @@
             // Higher than that of any earlier process on this host.
             incarnation: Incarnation::new(clock.wall().as_u64()),
             metrics,
-            directory: directory(cfg, clock),
+            directory: initial_directory(cfg, clock),
             configurations,
-            latest: Latest::default(),
+            latest: LatestRoster::default(),
             replica_state: ReplicaState::default(),
             readiness: Readiness::default(),
             outbox,
@@ -189,38 +190,38 @@
         })
     }
 
-    /// Starts the threads that keep to the other hosts.
-    fn start_common(
+    /// Starts the replica, roster and peers threads.
+    fn start_core_threads(
         &self,
         peer_listener: TcpListener,
-        outbox: flume::Receiver<Addressed>,
+        outbox: flume::Receiver<Envelope>,
         roster_inputs: flume::Receiver<RosterInput>,
-    ) -> eyre::Result<Common> {
+    ) -> eyre::Result<CoreChannels> {
         let replica = self.start_replica()?;
         let leader = self.leader_client(replica.clone());
         let rosters = self.start_roster(roster_inputs, replica.clone())?;
         self.start_peers(peer_listener, outbox, replica.clone())?;
-        Ok(Common { replica, leader, rosters })
+        Ok(CoreChannels { replica, leader, rosters })
     }
 
-    /// Starts the replica thread on a host with a vote.
+    /// Starts the replica thread if this host is a voter.
     fn start_replica(&self) -> eyre::Result<Option<flume::Sender<ReplicaInput>>> {
         let (Some(data_dir), true) = (&self.cfg.data_dir, self.cfg.voter) else { return Ok(None) };
-        let (tx, inputs) = flume::bounded(RING);
+        let (tx, inputs) = flume::bounded(CHANNEL_CAPACITY);
         let replica_cfg = ReplicaConfig {
             host: self.cfg.host.clone(),
             founders: self.cfg.founders.clone(),
             data_dir: data_dir.clone(),
             healing: self.cfg.healing,
         };
-        let rings = ReplicaChannels {
+        let channels = ReplicaChannels {
             inputs,
             outbox: self.outbox.clone(),
             directory: self.directory.clone(),
             configurations: self.configurations.clone(),
             state: self.replica_state.clone(),
         };
-        replica::spawn(replica_cfg, self.clock, rings)?;
+        replica::spawn(replica_cfg, self.clock, channels)?;
         Ok(Some(tx))
     }
 
@@ -229,17 +230,17 @@
         LeaderClient::new(self.cfg.host.clone(), replica, outbox, directory)
     }
 
-    /// Starts the roster thread; returns the ring of its rosters.
+    /// Starts the roster thread; returns the channel of its rosters.
     fn start_roster(
         &self,
         inputs: flume::Receiver<RosterInput>,
         replica: Option<flume::Sender<ReplicaInput>>,
     ) -> eyre::Result<flume::Receiver<Arc<Roster>>> {
-        let (rosters, rosters_rx) = flume::bounded(ROSTER_RING);
-        let me = self.myself(replica.is_some());
-        let rings = RosterRings {
+        let (rosters, rosters_rx) = flume::bounded(ROSTER_CHANNEL_CAPACITY);
+        let me = self.own_peer_update(replica.is_some());
+        let channels = RosterChannels {
             inputs,
-            answers: self.roster.clone(),
+            responses: self.roster.clone(),
             rosters,
             older_rosters: rosters_rx.clone(),
             latest: self.latest.clone(),
@@ -250,11 +251,11 @@
             replica_state: self.replica_state.clone(),
             metrics: Arc::clone(&self.metrics),
         };
-        roster::spawn(self.clock, me, self.cfg.seeds.clone(), rings)?;
+        roster::spawn(self.clock, me, self.cfg.seeds.clone(), channels)?;
         Ok(rosters_rx)
     }
 
-    fn myself(&self, votes: bool) -> PeerUpdate {
+    fn own_peer_update(&self, votes: bool) -> PeerUpdate {
         PeerUpdate {
             host: self.cfg.host.clone(),
             data_centre: self.cfg.data_centre.clone(),
@@ -273,7 +274,7 @@
     fn start_peers(
         &self,
         listener: TcpListener,
-        outbox: flume::Receiver<Addressed>,
+        outbox: flume::Receiver<Envelope>,
         replica: Option<flume::Sender<ReplicaInput>>,
     ) -> eyre::Result<()> {
         let inbox = Inbox {
@@ -290,19 +291,19 @@
         Ok(())
     }
 
-    fn news(&self, leader: LeaderClient) -> eyre::Result<News> {
-        Ok(News {
-            awaited: self.cfg.seeds.iter().any(|seed| *seed != self.cfg.peer_advertise),
+    fn startup_sync(&self, leader: LeaderClient) -> eyre::Result<StartupSync> {
+        Ok(StartupSync {
+            has_peers: self.cfg.seeds.iter().any(|seed| *seed != self.cfg.peer_advertise),
             roster: self.latest.clone(),
             configurations: self.configurations.clone(),
-            committed: readiness::ask_leader(leader)?,
+            committed: readiness::fetch_committed_revision(leader)?,
         })
     }
 
-    /// Starts the operator's pages; returns the ring of their questions to the edge thread.
+    /// Starts the admin thread; returns the channel of its queries to the edge thread.
     fn start_admin(&self, leader: LeaderClient) -> eyre::Result<flume::Receiver<AdminQuery>> {
-        let (admin_queries, admin_queries_rx) = flume::bounded(INQUIRY_RING);
-        let sources = Sources {
+        let (admin_queries, admin_queries_rx) = flume::bounded(ADMIN_QUERY_CHANNEL_CAPACITY);
+        let context = AdminContext {
             cfg: Arc::clone(&self.cfg),
             clock: self.clock,
             incarnation: self.incarnation,
@@ -314,14 +315,14 @@
             admin_queries,
             metrics: Arc::clone(&self.metrics),
         };
-        admin::spawn(self.cfg.admin_listen, sources)
-            .wrap_err("could not serve the operator's pages")?;
+        admin::spawn(self.cfg.admin_listen, context)
+            .wrap_err("could not start the admin interface")?;
         Ok(admin_queries_rx)
     }
 }
 
-/// Returns what is known of other hosts before any of them has spoken.
-fn directory(cfg: &Settings, clock: Clock) -> Directory {
+/// Returns the hosts that the settings name, before any contact with them.
+fn initial_directory(cfg: &Settings, clock: Clock) -> Directory {
     if !cfg.hosts_by_address {
         return Directory::new(clock, None);
     }
@@ -334,7 +335,7 @@
     directory
 }
 
-/// Starts the export of spans, if an endpoint is set.
+/// Starts the export of spans if a collector is configured.
 fn tracing(cfg: &Settings, metrics: &Metrics) -> eyre::Result<(Tracer, Option<Exporter>)> {
     let Some(endpoint) = &cfg.telemetry.trace_endpoint else { return Ok((Tracer::off(), None)) };
     let trace_cfg = TraceConfig {
--- a/crates/daemon/src/readiness.rs
+++ b/crates/daemon/src/readiness.rs
@@ -14,26 +14,26 @@
     operator::ServingState,
 };
 
-use crate::{configurations::Configurations, leader_client::LeaderClient, roster::Latest};
+use crate::{configurations::Configurations, leader_client::LeaderClient, roster::LatestRoster};
 
-/// Longest time that a starting router waits for news from its peers and the leader.
-pub(crate) const NEWS_TIMEOUT: Duration = Duration::from_secs(2);
+/// Longest time that a starting router waits for its peers and the leader.
+pub(crate) const STARTUP_SYNC_TIMEOUT: Duration = Duration::from_secs(2);
 
 const STARTING: u8 = 0;
 const READY: u8 = 1;
 const DRAINING: u8 = 2;
 
-/// Whether the router takes new requests.
+/// Whether the router accepts new requests.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Readiness(Arc<AtomicU8>);
 
 impl Readiness {
-    /// Takes requests from now on, unless the router drains already.
+    /// Sets the router ready, unless it is draining already.
     pub(crate) fn set_ready(&self) {
         let _ = self.0.compare_exchange(STARTING, READY, Ordering::AcqRel, Ordering::Acquire);
     }
 
-    /// Takes no new requests from now on.
+    /// Sets the router draining; it accepts no new requests from now on.
     pub(crate) fn set_draining(&self) {
         self.0.store(DRAINING, Ordering::Release);
     }
@@ -48,51 +48,52 @@
     }
 }
 
-/// What a starting router has heard of the fleet.
-pub(crate) struct News {
-    /// Whether there are peers to hear from.
-    pub awaited: bool,
+/// The state that a starting router needs from its peers and the leader before it is ready.
+pub(crate) struct StartupSync {
+    /// Whether the settings name other routers.
+    pub has_peers: bool,
     /// The newest roster.
-    pub roster: Latest,
+    pub roster: LatestRoster,
     /// The configuration in force here.
     pub configurations: Configurations,
-    /// The revision that the leader says is in force, once it was asked.
+    /// The committed revision, once the leader has returned it.
     pub committed: Arc<OnceLock<Revision>>,
 }
 
-impl News {
-    /// Returns whether a peer has spoken and no newer configuration is committed than the one in
-    /// force here.
+impl StartupSync {
+    /// Returns whether a peer has responded and the committed configuration is in force here.
     ///
-    /// The peer that speaks first may lag; only the leader knows the newest revision.
-    pub(crate) fn is_here(&self) -> bool {
-        if !self.awaited {
+    /// The first peer to respond may lag; only the leader has the newest revision.
+    pub(crate) fn is_complete(&self) -> bool {
+        if !self.has_peers {
             return true;
         }
         let Some(committed) = self.committed.get() else { return false };
-        let heard = self.roster.load().is_some_and(|roster| has_spoken(&roster));
-        heard && *committed <= self.configurations.revision()
+        let has_contact = self.roster.load().is_some_and(|roster| has_contact(&roster));
+        has_contact && *committed <= self.configurations.revision()
     }
 }
 
-/// Asks the leader for the revision in force, on a thread of its own.
+/// Requests the committed revision from the leader, on a thread of its own.
 ///
 /// # Errors
 ///
-/// Returns an error if the thread or its runtime can't be made.
-pub(crate) fn ask_leader(leader: LeaderClient) -> io::Result<Arc<OnceLock<Revision>>> {
+/// Returns an error if the thread or its runtime can't be started.
+pub(crate) fn fetch_committed_revision(
+    leader: LeaderClient,
+) -> io::Result<Arc<OnceLock<Revision>>> {
     let committed = Arc::new(OnceLock::new());
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build()?;
-    let answer = Arc::clone(&committed);
+    let result = Arc::clone(&committed);
     std::thread::Builder::new().name("news".into()).spawn(move || {
-        let asking = leader.ask(&LeaderRequest::ReadRevision, NEWS_TIMEOUT);
-        if let Ok(LeaderResponse::Revision(revision)) = runtime.block_on(asking) {
-            let _ = answer.set(revision);
+        let request = leader.submit(&LeaderRequest::ReadRevision, STARTUP_SYNC_TIMEOUT);
+        if let Ok(LeaderResponse::Revision(revision)) = runtime.block_on(request) {
+            let _ = result.set(revision);
         }
     })?;
     Ok(committed)
 }
 
-fn has_spoken(roster: &Roster) -> bool {
+fn has_contact(roster: &Roster) -> bool {
     roster.peers.iter().any(|p| p.last_contact.is_some() && p.update.state != PeerState::Dead)
 }
--- a/crates/daemon/src/replica/driver.rs
+++ b/crates/daemon/src/replica/driver.rs
@@ -18,7 +18,7 @@
 use crate::{
     clock::Clock,
     configurations::Configuration,
-    peers::{Addressed, Outgoing, QuorumCall, SubmitCall},
+    peers::{Envelope, Outgoing, QuorumCall, SubmitCall},
 };
 
 use super::{
@@ -386,7 +386,7 @@
     fn send(&self, to: &HostId, message: &Message) {
         let Some(to) = self.channels.directory.address(to) else { return };
         let message = Outgoing::Quorum { message: quorum_to_bytes(message) };
-        let _ = self.channels.outbox.try_send(Addressed { to, message });
+        let _ = self.channels.outbox.try_send(Envelope { to, message });
     }
 
     fn restore(&mut self, snapshot: &Snapshot) {
@@ -451,7 +451,7 @@
     fn publish_configuration(&self) {
         let configuration = self.fleet.configuration();
         let Some(last) = configuration.history().next_back() else { return };
-        self.channels.configurations.offer(Configuration {
+        self.channels.configurations.apply_if_newer(Configuration {
             revision: configuration.revision(),
             declaration: configuration.text().clone(),
             author: last.author.clone(),
--- a/crates/daemon/src/replica/mod.rs
+++ b/crates/daemon/src/replica/mod.rs
@@ -27,7 +27,7 @@
     clock::Clock,
     configurations::Configurations,
     directory::Directory,
-    peers::{Addressed, QuorumCall, SubmitCall},
+    peers::{Envelope, QuorumCall, SubmitCall},
 };
 
 use driver::{Driver, DriverEnd};
@@ -79,7 +79,7 @@
     /// Inputs from other threads.
     pub inputs: flume::Receiver<ReplicaInput>,
     /// Messages to other routers.
-    pub outbox: flume::Sender<Addressed>,
+    pub outbox: flume::Sender<Envelope>,
     /// Addresses of other routers.
     pub directory: Directory,
     /// Receives each committed configuration.
--- a/crates/daemon/src/replica/pending.rs
+++ b/crates/daemon/src/replica/pending.rs
@@ -6,7 +6,7 @@
 use quorum::{ProposalId, ReadId};
 use wire::leader::{LeaderRequest, LeaderResponse};
 
-use crate::peers::Submitted;
+use crate::peers::SubmitOutcome;
 
 /// Proposals and reads that wait for the log.
 #[derive(Default)]
@@ -19,7 +19,7 @@
 }
 
 /// Sends the outcome of a request to its sender.
-pub(super) struct ReplySender(flume::Sender<Submitted>);
+pub(super) struct ReplySender(flume::Sender<SubmitOutcome>);
 
 struct AppendedProposal {
     term: Term,
@@ -33,19 +33,19 @@
 }
 
 impl ReplySender {
-    pub(super) fn new(tx: flume::Sender<Submitted>) -> Self {
+    pub(super) fn new(tx: flume::Sender<SubmitOutcome>) -> Self {
         Self(tx)
     }
 
     pub(super) fn answer(self, answer: &LeaderResponse) {
-        self.send(Submitted::Reply(answer.to_bytes()));
+        self.send(SubmitOutcome::Reply(answer.to_bytes()));
     }
 
     pub(super) fn not_written(self, leader: Option<HostId>) {
-        self.send(Submitted::NotWritten { leader });
+        self.send(SubmitOutcome::NotWritten { leader });
     }
 
-    fn send(self, submitted: Submitted) {
+    fn send(self, submitted: SubmitOutcome) {
         let _ = self.0.try_send(submitted);
     }
 }
--- a/crates/daemon/src/serve.rs
+++ b/crates/daemon/src/serve.rs
@@ -1,4 +1,4 @@
-//! Connections from callers: accepting, serving and closing them.
+//! Accepting, serving and closing callers' connections.
 
 use std::{cell::Cell, convert::Infallible, error::Error, future::Future, rc::Rc, time::Duration};
 
@@ -20,22 +20,22 @@
 
 /// Time from the end of accepting to the close of idle connections.
 ///
-/// A request that arrived before the close is read in that time, and then served.
-const IDLE_CLOSE: Duration = Duration::from_millis(500);
+/// A request that arrives in that time is still read and served.
+const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(500);
 
 /// Time to wait after a failure to accept, such as too many open files.
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Time between looks at whether all requests have ended, while draining.
-const DRAIN_POLL: Duration = Duration::from_millis(10);
+/// Time between checks whether all requests have ended, while draining.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Smallest bound on a request's head that the HTTP library takes, in bytes.
+/// Smallest limit on a request's head that the HTTP library accepts, in bytes.
 const MIN_HEADER_BYTES: usize = 8 << 10;
 
-/// Bounds on one connection.
+/// Limits on one connection.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ConnectionBounds {
-    /// Longest time from the connection, or the request before, to the end of a request's head.
+pub(crate) struct ConnectionLimits {
+    /// Longest time from the connection, or the previous request, to the end of a request's head.
     pub header_timeout: Duration,
     /// Largest head of a request, in bytes.
     pub header_bytes: usize,
@@ -43,25 +43,25 @@
     pub headers: usize,
 }
 
-/// What answers requests on a thread's connections.
+/// A service for the requests on a thread's connections.
 pub(crate) trait Serve: 'static {
-    /// The body of an answer.
+    /// The body of a response.
     type Body: HttpBody<Data = Bytes, Error: Error + Send + Sync + 'static> + 'static;
 
-    /// Returns the bounds on a new connection.
-    fn bounds(&self) -> ConnectionBounds;
+    /// Returns the limits on a new connection.
+    fn connection_limits(&self) -> ConnectionLimits;
 
-    /// Returns the number of open connections, which is kept here.
+    /// Returns the counter of open connections.
     fn connections(&self) -> &Cell<u64>;
 
-    /// Answers a request.
+    /// Handles a request.
     fn handle(
         self: Rc<Self>,
         req: Request<Incoming>,
     ) -> impl Future<Output = Response<Self::Body>> + 'static;
 }
 
-/// A connection from a caller; ends on drop.
+/// Counts an open connection until dropped.
 struct OpenConnection<S: Serve>(Rc<S>);
 
 impl<S: Serve> OpenConnection<S> {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Accepts connections until the drain, those included that wait to be accepted then.
+/// Accepts connections until the drain, including those in the listen queue at its start.
 pub(crate) async fn accept<S: Serve>(
     service: Rc<S>,
     listener: TcpListener,
@@ -96,36 +96,36 @@
                 tokio::task::spawn_local(serving);
             }
             Err(e) => {
-                log::warn!(error:% = e; "could not accept a connection");
-                tokio::time::sleep(ACCEPT_RETRY).await;
+                log::warn!(error:% = e; "accept failed");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// What is told of the end and drains.
+/// A service that can be drained.
 pub(crate) trait Drain {
-    /// Takes note that callers are to go elsewhere from now on.
+    /// Starts to direct callers elsewhere.
     fn leave(&self);
 
-    /// Returns whether every request has ended and its answer is sent.
+    /// Returns whether every request has ended and its response is sent.
     fn is_idle(&self) -> bool;
 }
 
-/// Follows orders until told to abort, or to drain and that is done or has taken `limit`.
-pub(crate) async fn until_ended(
+/// Executes commands until an abort, or until a drain is complete or has taken `limit`.
+pub(crate) async fn wait_for_shutdown(
     service: &impl Drain,
-    orders: &flume::Receiver<ServerCommand>,
+    commands: &flume::Receiver<ServerCommand>,
     draining: &watch::Sender<bool>,
     limit: Option<Duration>,
 ) {
-    while let Ok(order) = orders.recv_async().await {
-        match order {
+    while let Ok(command) = commands.recv_async().await {
+        match command {
             ServerCommand::Leave => service.leave(),
             ServerCommand::Drain => {
                 service.leave();
                 let _ = draining.send(true);
-                return drain(service, orders, limit).await;
+                return drain(service, commands, limit).await;
             }
             ServerCommand::Abort => return,
         }
@@ -134,18 +134,18 @@
 
 async fn drain(
     service: &impl Drain,
-    orders: &flume::Receiver<ServerCommand>,
+    commands: &flume::Receiver<ServerCommand>,
     limit: Option<Duration>,
 ) {
-    let until = limit.map(|limit| Instant::now() + limit);
-    while !service.is_idle() && until.is_none_or(|until| Instant::now() < until) {
+    let deadline = limit.map(|limit| Instant::now() + limit);
+    while !service.is_idle() && deadline.is_none_or(|deadline| Instant::now() < deadline) {
         tokio::select! {
-            order = orders.recv_async() => {
-                if !matches!(order, Ok(ServerCommand::Drain | ServerCommand::Leave)) {
+            command = commands.recv_async() => {
+                if !matches!(command, Ok(ServerCommand::Drain | ServerCommand::Leave)) {
                     return;
                 }
             }
-            () = tokio::time::sleep(DRAIN_POLL) => {}
+            () = tokio::time::sleep(DRAIN_POLL_INTERVAL) => {}
         }
     }
 }
@@ -157,33 +157,33 @@
     _open: OpenConnection<S>,
 ) {
     let _ = stream.set_nodelay(true);
-    let bounds = service.bounds();
+    let limits = service.connection_limits();
     let service = service_fn(move |req| {
         let service = Rc::clone(&service);
         async move { Ok::<_, Infallible>(service.handle(req).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(bounds.header_timeout)
-        .max_buf_size(bounds.header_bytes.max(MIN_HEADER_BYTES))
-        .max_headers(bounds.headers)
+        .header_read_timeout(limits.header_timeout)
+        .max_buf_size(limits.header_bytes.max(MIN_HEADER_BYTES))
+        .max_headers(limits.headers)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     let close = async {
         let _ = drain.wait_for(|draining| *draining).await;
-        tokio::time::sleep(IDLE_CLOSE).await;
+        tokio::time::sleep(IDLE_CLOSE_DELAY).await;
     };
     tokio::select! {
         biased;
-        end = connection.as_mut() => return log_end(end),
+        end = connection.as_mut() => return log_connection_end(end),
         () = close => {}
     }
     connection.as_mut().graceful_shutdown();
-    log_end(connection.await);
+    log_connection_end(connection.await);
 }
 
-fn log_end(end: hyper::Result<()>) {
+fn log_connection_end(end: hyper::Result<()>) {
     if let Err(e) = end {
-        log::debug!("a caller's connection ended: {e}");
+        log::debug!("caller connection failed: error={e}");
     }
 }
