--- a/crates/cli/src/command.rs
+++ b/crates/cli/src/command.rs
@@ -12,7 +12,7 @@
 };
 
 use crate::{
-    Edit, Error, Exit, NewException,
+    EditableDeclaration, Error, Exit, NewException,
     client::Client,
     line_diff,
     options::{self, Action, Approval, ExceptionOptions, Input, Outcome},
@@ -22,14 +22,14 @@
     view,
 };
 
-const HELP_COLUMNS: usize = 100;
+const HELP_WIDTH_COLUMNS: usize = 100;
 
 /// Runs the tool on this process's arguments.
 pub fn main() -> Exit {
     run_args(bpaf::Args::current_args())
 }
 
-/// Runs the tool on the arguments that would follow its name.
+/// Runs the tool on `args`, without the program name.
 pub fn run(args: &[&str]) -> Exit {
     run_args(bpaf::Args::from(args))
 }
@@ -38,22 +38,22 @@
     let invocation = match options::parser().run_inner(args) {
         Ok(invocation) => invocation,
         Err(failure) => {
-            failure.print_message(HELP_COLUMNS);
-            let usage = matches!(failure, ParseFailure::Stderr(_));
-            return if usage { Exit::Usage } else { Exit::Done };
+            failure.print_message(HELP_WIDTH_COLUMNS);
+            let is_usage_error = matches!(failure, ParseFailure::Stderr(_));
+            return if is_usage_error { Exit::Usage } else { Exit::Done };
         }
     };
-    let done = Settings::check(invocation.common).and_then(|settings| {
+    let result = Settings::check(invocation.common).and_then(|settings| {
         let session = Session { client: Client::new(&settings), settings: &settings };
         session.run(invocation.action)
     });
-    done.unwrap_or_else(|e| {
+    result.unwrap_or_else(|e| {
         eprintln!("{}", printable(&e.to_string()));
         e.exit()
     })
 }
 
-/// Prints the digest of the key on the standard input, which keeps it out of process lists.
+/// Prints the digest of a key read from standard input, which keeps the key out of process lists.
 fn print_digest() -> Result<(), Error> {
     let mut line = String::new();
     io::stdin().read_line(&mut line).map_err(|e| Error::usage(format!("standard input: {e}")))?;
@@ -70,7 +70,7 @@
     settings: &'a Settings,
 }
 
-/// How a file differs from the declaration in force.
+/// Difference between a file and the current declaration.
 #[derive(Serialize)]
 struct Difference {
     revision: Revision,
@@ -100,7 +100,7 @@
                 self.edit(&approval, |edit| edit.add_exception(exception))?;
             }
             Action::ExceptionsRemove { approval, id } => {
-                let id = argument("ID", &id)?;
+                let id = parse_argument("ID", &id)?;
                 self.edit(&approval, |edit| {
                     edit.remove_exception(&id);
                     Ok(())
@@ -110,8 +110,8 @@
                 self.explain(&organisation, &model, adapter.as_deref(), input)?;
             }
             Action::Apply { approval, file } => {
-                let toml = read(&file)?;
-                submit(self.settings, &self.current()?, toml, &approval)?;
+                let toml = read_file(&file)?;
+                submit(self.settings, &self.current_declaration()?, toml, &approval)?;
             }
             Action::CallsList => self.show::<UnsettledCalls>(CALLS_PATH, view::unsettled)?,
             Action::CallsShow { organisation, key } => {
@@ -122,11 +122,11 @@
                 self.resolve(&call_path(&organisation, &key)?, outcome, reason)?;
             }
             Action::VotersAdd { folder, reason, host } => {
-                let host = argument("HOST", &host)?;
+                let host = parse_argument("HOST", &host)?;
                 self.change_voters(VoterChange::Add { host, folder: folder.into() }, reason)?;
             }
             Action::VotersRemove { reason, host } => {
-                let host = argument("HOST", &host)?;
+                let host = parse_argument("HOST", &host)?;
                 self.change_voters(VoterChange::Remove { host }, reason)?;
             }
         }
@@ -146,25 +146,26 @@
         Output::new(self.settings.json)
     }
 
-    fn current(&self) -> Result<CurrentDeclaration, Error> {
+    fn current_declaration(&self) -> Result<CurrentDeclaration, Error> {
         self.client.get(DECLARATION_PATH)
     }
 
     fn edit(
         &self,
         approval: &Approval,
-        change: impl FnOnce(&mut Edit) -> Result<(), Error>,
+        change: impl FnOnce(&mut EditableDeclaration) -> Result<(), Error>,
     ) -> Result<(), Error> {
-        let current = self.current()?;
-        let mut edit = Edit::parse(&current.toml)?;
+        let current = self.current_declaration()?;
+        let mut edit = EditableDeclaration::parse(&current.toml)?;
         change(&mut edit)?;
         submit(self.settings, &current, edit.to_toml(), approval)
     }
 
     fn diff(&self, file: &Path) -> Result<Exit, Error> {
-        let toml = read(file)?;
-        let current = self.current()?;
-        let differs = Edit::parse(&toml)? != Edit::parse(&current.toml)?;
+        let toml = read_file(file)?;
+        let current = self.current_declaration()?;
+        let differs =
+            EditableDeclaration::parse(&toml)? != EditableDeclaration::parse(&current.toml)?;
         let diff = if differs { line_diff(&current.toml, &toml) } else { String::new() };
         let difference = Difference { revision: current.revision, differs, diff };
         self.output()
@@ -173,19 +174,20 @@
     }
 
     fn defaults(&self, key: Option<&str>) -> Result<(), Error> {
-        let edit = Edit::parse(&self.current()?.toml)?;
-        let chosen = edit.defaults().filter(|(name, _)| key.is_none_or(|key| key == *name));
-        let chosen: Table = chosen.map(|(key, value)| (key.to_owned(), value.clone())).collect();
-        if let (true, Some(key)) = (chosen.is_empty(), key) {
-            let message = format!("{key} is not in the declaration; its built-in value holds");
+        let edit = EditableDeclaration::parse(&self.current_declaration()?.toml)?;
+        let selected = edit.defaults().filter(|(name, _)| key.is_none_or(|key| key == *name));
+        let selected: Table =
+            selected.map(|(key, value)| (key.to_owned(), value.clone())).collect();
+        if let (true, Some(key)) = (selected.is_empty(), key) {
+            let message = format!("{key} is not in the declaration; its built-in value applies");
             return Err(Error::refused(message));
         }
-        self.output().print(&chosen, || view::settings(&chosen));
+        self.output().print(&selected, || view::settings(&selected));
         Ok(())
     }
 
     fn exceptions(&self) -> Result<(), Error> {
-        let edit = Edit::parse(&self.current()?.toml)?;
+        let edit = EditableDeclaration::parse(&self.current_declaration()?.toml)?;
         let exceptions: Vec<&Table> = edit.exceptions().collect();
         self.output().print(&exceptions, || view::exceptions(&exceptions));
         Ok(())
@@ -199,9 +201,9 @@
         input: Input,
     ) -> Result<(), Error> {
         let req = ExplainRequest {
-            organisation: argument("--organisation", organisation)?,
-            model: argument("--model", model)?,
-            adapter: adapter.map(|adapter| argument("--adapter", adapter)).transpose()?,
+            organisation: parse_argument("--organisation", organisation)?,
+            model: parse_argument("--model", model)?,
+            adapter: adapter.map(|adapter| parse_argument("--adapter", adapter)).transpose()?,
             input: match input {
                 Input::Prompt(text) => PromptPart::Prompt(text.into()),
                 Input::Prefix(text) => PromptPart::Prefix(text.into()),
@@ -218,8 +220,8 @@
             Outcome::NotRun => ResolvedVerdict::NotRun,
         };
         let req = ResolveRequest { verdict, author: self.author(), reason: reason.into() };
-        let answer = self.client.change(&format!("{path}{RESOLVE_SUFFIX}"), &req)?;
-        let call: Call = answer.outcome()?;
+        let response = self.client.change(&format!("{path}{RESOLVE_SUFFIX}"), &req)?;
+        let call: Call = response.outcome()?;
         self.output().print(&call, || view::call(&call));
         Ok(())
     }
@@ -238,8 +240,8 @@
 
 fn call_path(organisation: &str, key: &str) -> Result<CallPath, Error> {
     Ok(CallPath {
-        organisation: argument("--organisation", organisation)?,
-        key: argument("KEY", key)?,
+        organisation: parse_argument("--organisation", organisation)?,
+        key: parse_argument("KEY", key)?,
     })
 }
 
@@ -249,23 +251,25 @@
     id: &str,
 ) -> Result<NewException, Error> {
     Ok(NewException {
-        id: argument("ID", id)?,
+        id: parse_argument("ID", id)?,
         reason: approval.reason.clone(),
-        until: exception.until.map(end).transpose()?,
-        scope: pairs("--scope", &exception.scope)?,
-        set: pairs("--set", &exception.set)?,
+        until: exception.until.map(parse_until).transpose()?,
+        scope: parse_pairs("--scope", &exception.scope)?,
+        set: parse_pairs("--set", &exception.set)?,
     })
 }
 
-fn end(text: String) -> Result<String, Error> {
-    const RULE: &str = "a time in UTC such as 2027-02-01T00:00:00Z";
+fn parse_until(text: String) -> Result<String, Error> {
+    const EXPECTED: &str = "a time in UTC such as 2027-02-01T00:00:00Z";
     match humantime::parse_rfc3339(&text) {
         Ok(_) => Ok(text),
-        Err(_) => Err(Error::usage(format!("--until: {}", ParseError::new("time", &text, RULE)))),
+        Err(_) => {
+            Err(Error::usage(format!("--until: {}", ParseError::new("time", &text, EXPECTED))))
+        }
     }
 }
 
-fn pairs(name: &str, texts: &[String]) -> Result<Vec<(String, String)>, Error> {
+fn parse_pairs(name: &str, texts: &[String]) -> Result<Vec<(String, String)>, Error> {
     let pair = |text: &String| {
         let (key, value) = text.split_once('=').filter(|(key, _)| !key.is_empty())?;
         Some((key.to_owned(), value.to_owned()))
@@ -276,15 +280,18 @@
     texts.iter().map(checked).collect()
 }
 
-fn argument<T: std::str::FromStr<Err = ParseError>>(name: &str, text: &str) -> Result<T, Error> {
+fn parse_argument<T: std::str::FromStr<Err = ParseError>>(
+    name: &str,
+    text: &str,
+) -> Result<T, Error> {
     text.parse().map_err(|e| Error::usage(format!("{name}: {e}")))
 }
 
-fn read(file: &Path) -> Result<String, Error> {
+fn read_file(file: &Path) -> Result<String, Error> {
     fs::read_to_string(file).map_err(|e| Error::usage(format!("FILE: {}: {e}", file.display())))
 }
 
-/// Returns a TOML value as an operator writes it on the command line.
-pub(crate) fn plain(value: &Value) -> String {
+/// Formats a TOML value as on the command line: strings without quotes.
+pub(crate) fn display_value(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
--- a/crates/cli/src/diff.rs
+++ b/crates/cli/src/diff.rs
@@ -1,8 +1,8 @@
-/// Lists the lines of `old` and `new`: common ones after two spaces, removed ones after `- `, added
-/// ones after `+ `.
+/// Returns a line diff: common lines start with two spaces, removed ones with `- ` and added ones
+/// with `+ `.
 ///
-/// Lines that both texts share at their start and end are matched first, so that the cost grows
-/// with the size of the change.
+/// The common prefix and suffix are matched first, so that the cost grows with the size of the
+/// change.
 pub fn line_diff(old: &str, new: &str) -> String {
     let old: Vec<&str> = old.lines().collect();
     let new: Vec<&str> = new.lines().collect();
@@ -17,7 +17,7 @@
 }
 
 fn push_changed(text: &mut String, old: &[&str], new: &[&str]) {
-    let common = common_lengths(old, new);
+    let common = lcs_lengths(old, new);
     let (mut i, mut j) = (0, 0);
     while i < old.len() && j < new.len() {
         if old[i] == new[j] {
@@ -35,8 +35,9 @@
     push_lines(text, "+ ", &new[j..]);
 }
 
-/// Returns, for each pair of positions, how many lines the rests have in common, in order.
-fn common_lengths(old: &[&str], new: &[&str]) -> Vec<Vec<u32>> {
+/// Returns the length of the longest common subsequence of `old[i..]` and `new[j..]` for each `i`
+/// and `j`.
+fn lcs_lengths(old: &[&str], new: &[&str]) -> Vec<Vec<u32>> {
     let mut common = vec![vec![0; new.len() + 1]; old.len() + 1];
     for i in (0..old.len()).rev() {
         for j in (0..new.len()).rev() {
@@ -50,8 +51,8 @@
     common
 }
 
-fn push_lines(text: &mut String, mark: &str, lines: &[&str]) {
+fn push_lines(text: &mut String, prefix: &str, lines: &[&str]) {
     for line in lines {
-        text.extend([mark, line, "\n"]);
+        text.extend([prefix, line, "\n"]);
     }
 }
--- a/crates/cli/src/edit.rs
+++ b/crates/cli/src/edit.rs
@@ -6,34 +6,34 @@
 const DEFAULTS: &str = "defaults";
 const EXCEPTIONS: &str = "exceptions";
 
-/// A declaration under edit; comments and order are not kept.
+/// A declaration that can be edited; comments and order are not kept.
 ///
-/// It keeps the text valid TOML and leaves the check of settings to the router.
+/// Edits keep the text valid TOML; the router validates the settings.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Edit(Table);
+pub struct EditableDeclaration(Table);
 
 /// An exception to add.
 #[derive(Clone, Debug)]
 pub struct NewException {
-    /// Its name.
+    /// Its id, unique in the declaration.
     pub id: ExceptionId,
-    /// Why it exists.
+    /// Reason, kept in the declaration.
     pub reason: String,
-    /// When it ends, if it does.
+    /// End time; `None` if it does not expire.
     pub until: Option<String>,
-    /// The traffic that it holds for.
+    /// Traffic that it applies to.
     pub scope: Vec<(String, String)>,
-    /// The settings that it changes.
+    /// Settings that it changes.
     pub set: Vec<(String, String)>,
 }
 
-impl Edit {
-    /// Reads a declaration.
+impl EditableDeclaration {
+    /// Parses a declaration.
     ///
     /// # Errors
     ///
-    /// Returns an error that names the line if `text` is not TOML, or if `defaults` is no table or
-    /// `exceptions` no list of tables.
+    /// Returns an error that names the line if `text` is not TOML, `defaults` is not a table or
+    /// `exceptions` is not a list of tables.
     pub fn parse(text: &str) -> Result<Self, Error> {
         let table: Table =
             text.parse().map_err(|e| Error::usage(format!("declaration is not TOML: {e}")))?;
@@ -50,23 +50,23 @@
 
     /// Returns the declaration's text.
     pub fn to_toml(&self) -> String {
-        // A parsed table holds nothing that TOML cannot.
+        // A parsed table can always be written as TOML.
         toml::to_string(&self.0).unwrap_or_default()
     }
 
-    /// Returns the defaults that the declaration gives.
+    /// Returns the declaration's defaults.
     pub fn defaults(&self) -> impl Iterator<Item = (&str, &Value)> {
         let defaults = self.0.get(DEFAULTS).and_then(Value::as_table);
         defaults.into_iter().flatten().map(|(key, value)| (key.as_str(), value))
     }
 
-    /// Returns the exceptions that the declaration gives.
+    /// Returns the declaration's exceptions.
     pub fn exceptions(&self) -> impl Iterator<Item = &Table> {
         let exceptions = self.0.get(EXCEPTIONS).and_then(Value::as_array);
         exceptions.into_iter().flatten().filter_map(Value::as_table)
     }
 
-    /// Sets a default to a TOML value, or to a string if `value` is none.
+    /// Sets a default to a TOML value, or to a string if `value` is not valid TOML.
     pub fn set_default(&mut self, key: &str, value: &str) {
         let defaults = self.0.entry(DEFAULTS).or_insert_with(|| Table::new().into());
         if let Some(defaults) = defaults.as_table_mut() {
@@ -74,15 +74,17 @@
         }
     }
 
-    /// Adds an exception; the same one again changes nothing.
+    /// Adds an exception. Adding an identical one again changes nothing.
     ///
     /// # Errors
     ///
     /// Returns an error if another exception has the same id.
     pub fn add_exception(&mut self, exception: NewException) -> Result<(), Error> {
         let new = exception.into_table();
-        if let Some(known) = self.exceptions().find(|known| known.get("id") == new.get("id")) {
-            if *known == new {
+        if let Some(existing) =
+            self.exceptions().find(|existing| existing.get("id") == new.get("id"))
+        {
+            if *existing == new {
                 return Ok(());
             }
             let id = new.get("id").and_then(Value::as_str).unwrap_or_default();
@@ -96,11 +98,12 @@
         Ok(())
     }
 
-    /// Removes an exception; without one of this id it changes nothing.
+    /// Removes the exception with this id, if there is one.
     pub fn remove_exception(&mut self, id: &ExceptionId) {
         let exceptions = self.0.get_mut(EXCEPTIONS).and_then(Value::as_array_mut);
         let Some(exceptions) = exceptions else { return };
-        exceptions.retain(|known| known.get("id").and_then(Value::as_str) != Some(id.as_str()));
+        exceptions
+            .retain(|existing| existing.get("id").and_then(Value::as_str) != Some(id.as_str()));
         if exceptions.is_empty() {
             self.0.remove(EXCEPTIONS);
         }
@@ -124,7 +127,7 @@
 }
 
 fn parse_value(text: &str) -> Value {
-    // A whole document is parsed, so text that would add a second line or key is a string.
+    // Parsed as a whole document, so that text which would add a line or key becomes a string.
     let table = format!("value = {text}").parse::<Table>().ok();
     let value = table.filter(|table| table.len() == 1).and_then(|mut table| table.remove("value"));
     value.unwrap_or_else(|| text.into())
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -2,19 +2,19 @@
 
 use wire::problem::Problem;
 
-/// How a command ended; the number is the process's exit code.
+/// Outcome of a command; the number is the process's exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Exit {
-    /// It did what was asked, or there was nothing to do.
+    /// The command succeeded, or there was nothing to do.
     Done = 0,
-    /// The router refused it, or another change came first; nothing was changed.
+    /// The router refused the request, or another change came first; nothing was changed.
     Refused = 1,
-    /// The command line or a setting is wrong; nothing was sent.
+    /// The command line or a setting is invalid; nothing was sent.
     Usage = 2,
-    /// No router answered; nothing was changed.
+    /// No router responded; nothing was changed.
     Unreachable = 3,
-    /// The answer was lost: the change may be in force. The same command is safe to send again.
+    /// The response was lost: the change may be in force. The same command is safe to send again.
     Unknown = 4,
     /// `diff` found a difference.
     Differs = 5,
@@ -26,7 +26,7 @@
     }
 }
 
-/// A command that did not succeed.
+/// Error of a command, with its exit code.
 #[derive(Debug)]
 pub struct Error {
     exit: Exit,
@@ -55,7 +55,7 @@
         Self::refused(format!("{} (status {}): {detail}", problem.title, problem.status))
     }
 
-    /// Returns the exit code that the error stands for.
+    /// Returns the exit code for the error.
     pub fn exit(&self) -> Exit {
         self.exit
     }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,15 +1,15 @@
 //! The operator's command-line tool.
 //!
-//! [`main`] parses the command line, asks a router and prints what it answers. Changes of defaults
-//! and exceptions are edits of the declaration that replace it only if nobody changed it
-//! meanwhile; [`Edit`] makes them on the text.
+//! [`main`] parses the command line, sends a request to a router and prints the response. Defaults
+//! and exceptions are changed by editing the declaration with [`EditableDeclaration`]; the edited
+//! text replaces it only if nobody else changed it in the meantime.
 //!
 //! # Example
 //!
 //! ```
-//! use cli::Edit;
+//! use cli::EditableDeclaration;
 //!
-//! let mut edit = Edit::parse("[defaults]\nwait-weight = 1.0\n")?;
+//! let mut edit = EditableDeclaration::parse("[defaults]\nwait-weight = 1.0\n")?;
 //! edit.set_default("wait-weight", "2.5");
 //! assert_eq!(edit.to_toml(), "[defaults]\nwait-weight = 2.5\n");
 //! # Ok::<(), cli::Error>(())
@@ -29,7 +29,7 @@
 pub use crate::{
     command::{main, run},
     diff::line_diff,
-    edit::{Edit, NewException},
+    edit::{EditableDeclaration, NewException},
     error::{Error, Exit},
     settings::{RouterAddress, Routers},
 };
--- a/crates/cli/src/options.rs
+++ b/crates/cli/src/options.rs
@@ -12,13 +12,13 @@
 /// A parsed command line.
 #[derive(Clone, Debug)]
 pub(crate) struct Invocation {
-    pub(crate) common: Common,
+    pub(crate) common: CommonOptions,
     pub(crate) action: Action,
 }
 
-/// Settings of every command, not yet checked.
+/// Options of every command, not yet validated.
 #[derive(Clone, Debug)]
-pub(crate) struct Common {
+pub(crate) struct CommonOptions {
     pub(crate) routers: String,
     pub(crate) operator_key: Option<String>,
     pub(crate) timeout: String,
@@ -26,7 +26,7 @@
     pub(crate) json: bool,
 }
 
-/// What to do.
+/// A command with its arguments.
 #[derive(Clone, Debug)]
 pub(crate) enum Action {
     Status,
@@ -49,14 +49,14 @@
     Digest,
 }
 
-/// Why a change is made, and whether it was agreed to.
+/// Reason for a change, and whether it was confirmed on the command line.
 #[derive(Clone, Debug)]
 pub(crate) struct Approval {
     pub(crate) reason: String,
     pub(crate) yes: bool,
 }
 
-/// What an exception says.
+/// Options that describe an exception.
 #[derive(Clone, Debug)]
 pub(crate) struct ExceptionOptions {
     pub(crate) scope: Vec<String>,
@@ -64,75 +64,82 @@
     pub(crate) until: Option<String>,
 }
 
-/// The text to explain.
+/// Text of the request to explain.
 #[derive(Clone, Debug)]
 pub(crate) enum Input {
     Prompt(String),
     Prefix(String),
 }
 
-/// How a call ended.
+/// Resolved outcome of a call.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Outcome {
     Ran,
     NotRun,
 }
 
-/// Describes the whole command line.
+/// Returns the parser of the whole command line.
 pub(crate) fn parser() -> OptionParser<Invocation> {
-    let status =
-        leaf("status", "Shows a router, its peers and the quorum", bpaf::pure(Action::Status));
-    let endpoints =
-        leaf("endpoints", "Lists the endpoints that a router knows", bpaf::pure(Action::Endpoints));
+    let status = subcommand(
+        "status",
+        "Shows a router, its peers and the quorum",
+        bpaf::pure(Action::Status),
+    );
+    let endpoints = subcommand(
+        "endpoints",
+        "Lists the endpoints in a router's view",
+        bpaf::pure(Action::Endpoints),
+    );
     let history =
-        leaf("history", "Lists the changes of the declaration", bpaf::pure(Action::History));
+        subcommand("history", "Lists the changes of the declaration", bpaf::pure(Action::History));
     let defaults = defaults();
     let exceptions = exceptions();
-    let explain = leaf("explain", "Shows where a request would go, and why", explain());
-    let diff = leaf("diff", "Compares a file with the declaration in force", diff());
-    let apply = leaf("apply", "Replaces the declaration by a file, as a whole", apply());
+    let explain = subcommand("explain", "Shows how a request would be routed, and why", explain());
+    let diff = subcommand("diff", "Compares a file with the declaration in force", diff());
+    let apply = subcommand("apply", "Replaces the declaration by a file, as a whole", apply());
     let calls = calls();
     let voters = voters();
     let digest = "Prints the digest of a key, read as one line from the standard input";
-    let digest = leaf("digest", digest, bpaf::pure(Action::Digest));
+    let digest = subcommand("digest", digest, bpaf::pure(Action::Digest));
     construct!([
         status, endpoints, defaults, exceptions, explain, diff, apply, calls, voters, history,
         digest
     ])
     .to_options()
     .version(env!("CARGO_PKG_VERSION"))
-    .descr("Steers a fleet of dotterelreach routers")
+    .descr("Manages a fleet of dotterelreach routers")
     .footer(EXIT_CODES)
 }
 
 fn defaults() -> impl Parser<Invocation> {
     let key = positional("KEY").help("Name of the setting, such as wait-weight").optional();
-    let get = leaf("get", "Shows one default, or all", construct!(Action::DefaultsGet { key }));
+    let get =
+        subcommand("get", "Shows one default, or all", construct!(Action::DefaultsGet { key }));
     let approval = approval();
     let key = positional("KEY").help("Name of the setting, such as wait-weight");
     let value = positional("VALUE").help("A TOML value; other text is taken as a string");
     let set = construct!(Action::DefaultsSet { approval, key, value });
-    let set = leaf("set", "Changes one default", set);
-    group("defaults", "Shows and changes the defaults", construct!([get, set]))
+    let set = subcommand("set", "Changes one default", set);
+    command_group("defaults", "Shows and changes the defaults", construct!([get, set]))
 }
 
 fn exceptions() -> impl Parser<Invocation> {
-    let list = leaf("list", "Lists the exceptions", bpaf::pure(Action::ExceptionsList));
+    let list = subcommand("list", "Lists the exceptions", bpaf::pure(Action::ExceptionsList));
     let (exception, approval_add) = (exception(), approval());
     let id = positional("ID").help("Name of the exception");
     let add = construct!(exception, approval_add, id)
         .map(|(exception, approval, id)| Action::ExceptionsAdd { exception, approval, id });
-    let add = leaf("add", "Adds an exception", add);
+    let add = subcommand("add", "Adds an exception", add);
     let approval = approval();
     let id = positional("ID").help("Name of the exception");
     let remove = construct!(Action::ExceptionsRemove { approval, id });
-    let remove = leaf("remove", "Removes an exception", remove);
-    group("exceptions", "Shows and changes the exceptions", construct!([list, add, remove]))
+    let remove = subcommand("remove", "Removes an exception", remove);
+    command_group("exceptions", "Shows and changes the exceptions", construct!([list, add, remove]))
 }
 
 fn exception() -> impl Parser<ExceptionOptions> {
     let scope = long("scope")
-        .help("Traffic that it holds for, such as organisation=north-press; may be repeated")
+        .help("Traffic that it applies to, such as organisation=north-press; may be repeated")
         .argument("KEY=VALUE")
         .some("an exception needs a --scope");
     let set = long("set")
@@ -140,7 +147,7 @@
         .argument("KEY=VALUE")
         .some("an exception needs a --set");
     let until = long("until")
-        .help("When it ends, such as 2027-02-01T00:00:00Z; without it, never")
+        .help("End time, such as 2027-02-01T00:00:00Z; without it, the exception never expires")
         .argument("TIME")
         .optional();
     construct!(ExceptionOptions { scope, set, until })
@@ -154,7 +161,7 @@
     let prompt =
         long("prompt").help("The whole prompt").argument::<String>("TEXT").map(Input::Prompt);
     let prefix = long("prefix")
-        .help("The start that prompts share")
+        .help("A prefix that prompts share")
         .argument::<String>("TEXT")
         .map(Input::Prefix);
     let input = construct!([prompt, prefix]);
@@ -173,11 +180,12 @@
 
 fn calls() -> impl Parser<Invocation> {
     let list = bpaf::pure(Action::CallsList);
-    let list = leaf("list", "Lists the calls that are open or whose outcome is unknown", list);
+    let list =
+        subcommand("list", "Lists the calls that are open or whose outcome is unknown", list);
     let (organisation_show, key) = (organisation(), positional("KEY").help("Idempotency key"));
     let show = construct!(organisation_show, key)
         .map(|(organisation, key)| Action::CallsShow { organisation, key });
-    let show = leaf("show", "Shows a call that may not be repeated", show);
+    let show = subcommand("show", "Shows a call that may not be repeated", show);
     let ran = long("ran").help("The call ran").req_flag(Outcome::Ran);
     let not_run =
         long("not-run").help("The call did not run and never will").req_flag(Outcome::NotRun);
@@ -185,30 +193,27 @@
     let (organisation, reason) = (organisation(), reason());
     let key = positional("KEY").help("Idempotency key");
     let resolve = construct!(Action::CallsResolve { outcome, organisation, reason, key });
-    let resolve = leaf("resolve", "Settles a call whose outcome stayed open", resolve);
+    let resolve = subcommand("resolve", "Resolves a call whose outcome is unknown", resolve);
     let commands = construct!([list, show, resolve]);
-    group("calls", "Shows and settles calls that may not be repeated", commands)
+    command_group("calls", "Shows and resolves calls that may not be repeated", commands)
 }
 
 fn voters() -> impl Parser<Invocation> {
-    let list = leaf("list", "Lists the voters", bpaf::pure(Action::VotersList));
+    let list = subcommand("list", "Lists the voters", bpaf::pure(Action::VotersList));
     let folder = long("folder").help("Identity of the host's data folder").argument("ID");
-    let why = reason();
-    let host = positional("HOST").help("Host to admit");
-    let add = construct!(folder, why, host).map(|(folder, reason, host)| Action::VotersAdd {
-        folder,
-        reason,
-        host,
-    });
-    let add = leaf("add", "Admits one voter", add);
+    let reason_add = reason();
+    let host = positional("HOST").help("Host to add");
+    let add = construct!(folder, reason_add, host)
+        .map(|(folder, reason, host)| Action::VotersAdd { folder, reason, host });
+    let add = subcommand("add", "Adds one voter", add);
     let reason = reason();
     let host = positional("HOST").help("Host to remove");
     let remove = construct!(Action::VotersRemove { reason, host });
-    let remove = leaf("remove", "Removes one voter", remove);
-    group("voters", "Shows and changes the voters", construct!([list, add, remove]))
+    let remove = subcommand("remove", "Removes one voter", remove);
+    command_group("voters", "Shows and changes the voters", construct!([list, add, remove]))
 }
 
-fn leaf(
+fn subcommand(
     name: &'static str,
     about: &'static str,
     action: impl Parser<Action> + 'static,
@@ -217,7 +222,7 @@
     construct!(Invocation { common, action }).to_options().descr(about).command(name).help(about)
 }
 
-fn group(
+fn command_group(
     name: &'static str,
     about: &'static str,
     commands: impl Parser<Invocation> + 'static,
@@ -225,48 +230,51 @@
     commands.to_options().descr(about).command(name).help(about)
 }
 
-fn common() -> impl Parser<Common> {
+fn common() -> impl Parser<CommonOptions> {
     let routers = long("routers")
         .short('r')
         .long("router")
         .env("DOTTERELREACH_ROUTERS")
-        .help("Routers' operator addresses, separated by commas, asked in turn")
+        .help("Routers' operator addresses, separated by commas, tried in order")
         .argument("ADDRESSES")
         .fallback("127.0.0.1:7400".to_owned())
         .display_fallback();
-    // Not by bpaf's own variables: its help would print the key.
+    // Not read through bpaf's `env`: its help would print the key.
     let operator_key = long("operator-key")
         .help("Operator's key (environment: DOTTERELREACH_OPERATOR_KEY)")
         .argument("KEY")
         .optional();
     let timeout = long("timeout")
         .env("DOTTERELREACH_TIMEOUT")
-        .help("Time for one answer")
+        .help("Timeout of one request")
         .argument("DURATION")
         .fallback("5s".to_owned())
         .display_fallback();
     let author = long("author")
         .env("DOTTERELREACH_AUTHOR")
-        .help("Who makes a change")
+        .help("Author of a change")
         .argument("NAME")
         .fallback("operator".to_owned())
         .display_fallback();
     let json = long("json").help("Prints JSON instead of tables").switch();
-    construct!(Common { routers, operator_key, timeout, author, json })
+    construct!(CommonOptions { routers, operator_key, timeout, author, json })
 }
 
 fn approval() -> impl Parser<Approval> {
     let reason = reason();
-    let yes = long("yes").short('y').help("Makes the change without asking").switch();
+    let yes = long("yes").short('y').help("Makes the change without confirmation").switch();
     construct!(Approval { reason, yes })
 }
 
 fn reason() -> impl Parser<String> {
-    long("reason").help("Why; kept with the change").argument("TEXT")
+    long("reason").help("Reason for the change, recorded with it").argument("TEXT")
 }
 
 fn organisation() -> impl Parser<String> {
-    long("organisation").short('o').help("Organisation that calls").argument("ORGANISATION")
+    long("organisation")
+        .short('o')
+        .help("Organisation that makes the call")
+        .argument("ORGANISATION")
 }
 
 fn file() -> impl Parser<PathBuf> {
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -15,12 +15,13 @@
 
     pub(crate) fn print<T: Serialize>(self, value: &T, text: impl FnOnce() -> String) {
         let text = if self.json { to_json(value) } else { text() };
-        // A reader that closed the pipe, such as `head`, has what it wants.
+        // Errors are ignored: a reader such as `head` may have closed the pipe.
         let _ = writeln!(io::stdout().lock(), "{}", text.trim_end_matches('\n'));
     }
 }
 
-/// Returns text from elsewhere without what a terminal would obey.
+/// Replaces control characters except newlines by spaces, so that untrusted text can't control the
+/// terminal.
 pub(crate) fn printable(text: &str) -> String {
     let is_plain = |c: char| c == '\n' || !c.is_control();
     text.chars().map(|c| if is_plain(c) { c } else { ' ' }).collect()
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -2,11 +2,11 @@
 
 use base::{Author, ParseError};
 
-use crate::{Error, options::Common};
+use crate::{Error, options::CommonOptions};
 
 const KEY_VARIABLE: &str = "DOTTERELREACH_OPERATOR_KEY";
 
-/// Where a router serves operators.
+/// Address of a router's operator API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouterAddress(SocketAddr);
 
@@ -26,12 +26,12 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        const RULE: &str = "an IP number and port such as 10.0.0.1:7400 or [fd00::1]:7400";
-        text.parse().map(Self).map_err(|_| ParseError::new("router address", text, RULE))
+        const EXPECTED: &str = "an IP address and port such as 10.0.0.1:7400 or [fd00::1]:7400";
+        text.parse().map(Self).map_err(|_| ParseError::new("router address", text, EXPECTED))
     }
 }
 
-/// Routers to ask, in turn until one answers.
+/// Addresses of routers, tried in order until one responds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Routers(Vec<RouterAddress>);
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// The checked settings of a command.
+/// The validated settings of a command.
 #[derive(Debug)]
 pub(crate) struct Settings {
     pub(crate) routers: Routers,
@@ -70,26 +70,29 @@
 }
 
 impl Settings {
-    /// Checks every setting and names all faults at once.
-    pub(crate) fn check(common: Common) -> Result<Self, Error> {
-        let routers = named("--routers", "DOTTERELREACH_ROUTERS", || common.routers.parse());
-        let timeout = named("--timeout", "DOTTERELREACH_TIMEOUT", || timeout(&common.timeout));
-        let author = named("--author", "DOTTERELREACH_AUTHOR", || common.author.parse());
+    /// Validates all settings and reports all errors at once.
+    pub(crate) fn check(common: CommonOptions) -> Result<Self, Error> {
+        let routers =
+            parse_setting("--routers", "DOTTERELREACH_ROUTERS", || common.routers.parse());
+        let timeout =
+            parse_setting("--timeout", "DOTTERELREACH_TIMEOUT", || timeout(&common.timeout));
+        let author = parse_setting("--author", "DOTTERELREACH_AUTHOR", || common.author.parse());
         let key = common.operator_key.or_else(|| env::var(KEY_VARIABLE).ok());
-        let key = named("--operator-key", KEY_VARIABLE, || key.map(operator_key).transpose());
+        let key =
+            parse_setting("--operator-key", KEY_VARIABLE, || key.map(operator_key).transpose());
         match (routers, timeout, author, key) {
             (Ok(routers), Ok(timeout), Ok(author), Ok(key)) => {
                 Ok(Self { routers, key, timeout, author, json: common.json })
             }
             (routers, timeout, author, key) => {
-                let faults = [routers.err(), timeout.err(), author.err(), key.err()];
-                Err(Error::usage(faults.into_iter().flatten().collect::<Vec<_>>().join("\n")))
+                let errors = [routers.err(), timeout.err(), author.err(), key.err()];
+                Err(Error::usage(errors.into_iter().flatten().collect::<Vec<_>>().join("\n")))
             }
         }
     }
 }
 
-fn named<T>(
+fn parse_setting<T>(
     flag: &str,
     variable: &str,
     parse: impl FnOnce() -> Result<T, ParseError>,
@@ -98,18 +101,18 @@
 }
 
 fn timeout(text: &str) -> Result<Duration, ParseError> {
-    const RULE: &str = "a duration of 1ms to 10min, with its unit, such as 800ms or 5s";
+    const EXPECTED: &str = "a duration of 1ms to 10min, with its unit, such as 800ms or 5s";
     const ALLOWED: std::ops::RangeInclusive<Duration> =
         Duration::from_millis(1)..=Duration::from_secs(600);
     let parsed = humantime::parse_duration(text).ok();
     parsed
         .filter(|timeout| ALLOWED.contains(timeout))
-        .ok_or_else(|| ParseError::new("timeout", text, RULE))
+        .ok_or_else(|| ParseError::new("timeout", text, EXPECTED))
 }
 
 fn operator_key(key: String) -> Result<String, ParseError> {
-    let fits = !key.is_empty() && key.bytes().all(|byte| byte.is_ascii_graphic());
-    // The key itself must not reach a terminal or a log.
-    let hidden = || ParseError::new("operator key", "***", "printable ASCII without spaces");
-    fits.then_some(key).ok_or_else(hidden)
+    let is_valid = !key.is_empty() && key.bytes().all(|byte| byte.is_ascii_graphic());
+    // The key itself must not be printed or logged.
+    let invalid = || ParseError::new("operator key", "***", "printable ASCII without spaces");
+    is_valid.then_some(key).ok_or_else(invalid)
 }
--- a/crates/cli/src/submit.rs
+++ b/crates/cli/src/submit.rs
@@ -5,7 +5,7 @@
 use wire::operator::{ChangeAnswer, ChangeRequest, CurrentDeclaration, DECLARATION_PATH};
 
 use crate::{
-    Edit, Error,
+    EditableDeclaration, Error,
     client::Client,
     line_diff,
     options::Approval,
@@ -13,17 +13,17 @@
     settings::Settings,
 };
 
-const CHANGE_ID_DIGITS: usize = 32;
+const CHANGE_ID_HEX_DIGITS: usize = 32;
 
-/// What became of a change that was not refused.
+/// Result of a change that was not refused.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(tag = "result", rename_all = "kebab-case")]
-enum Submitted {
+enum SubmitResult {
     Applied { revision: Revision },
     Unchanged { revision: Revision },
 }
 
-/// Replaces the declaration by `toml`, once shown and agreed to.
+/// Shows the difference, asks for confirmation and replaces the declaration by `toml`.
 pub(crate) fn submit(
     settings: &Settings,
     current: &CurrentDeclaration,
@@ -31,22 +31,22 @@
     approval: &Approval,
 ) -> Result<(), Error> {
     let output = Output::new(settings.json);
-    if Edit::parse(&current.toml)? == Edit::parse(&toml)? {
-        let unchanged = Submitted::Unchanged { revision: current.revision };
+    if EditableDeclaration::parse(&current.toml)? == EditableDeclaration::parse(&toml)? {
+        let unchanged = SubmitResult::Unchanged { revision: current.revision };
         output.print(&unchanged, || format!("nothing to do; revision {}", current.revision));
         return Ok(());
     }
     if approval.reason.trim().is_empty() {
-        return Err(Error::usage(r#"--reason: "" is no reason; write why the change is made"#));
+        return Err(Error::usage(r#"--reason: must not be empty; state why the change is made"#));
     }
     eprint!("{}", printable(&line_diff(&current.toml, &toml)));
     if !approval.yes {
         confirm()?;
     }
-    let answer = Client::new(settings)
+    let response = Client::new(settings)
         .change(DECLARATION_PATH, &change_request(settings, current, toml, approval))?;
-    let revision = applied(answer.outcome()?)?;
-    output.print(&Submitted::Applied { revision }, || format!("applied; revision {revision}"));
+    let revision = applied_revision(response.outcome()?)?;
+    output.print(&SubmitResult::Applied { revision }, || format!("applied; revision {revision}"));
     Ok(())
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// Derives the id from the change, so that the same command sent again is the same change.
+/// Derives the id from the change, so that repeating a command repeats the same change.
 fn change_id(settings: &Settings, expected: Revision, toml: &str, reason: &str) -> ChangeId {
     let digest = Hasher::default()
         .field(&expected.as_u64().to_le_bytes())
@@ -74,19 +74,19 @@
         .field(toml.as_bytes())
         .finish()
         .to_string();
-    let id = format!("cli-{}", &digest[..CHANGE_ID_DIGITS]);
+    let id = format!("cli-{}", &digest[..CHANGE_ID_HEX_DIGITS]);
     id.parse().expect("letters, digits and a dash make a change id")
 }
 
-fn applied(answer: ChangeAnswer) -> Result<Revision, Error> {
-    match answer {
+fn applied_revision(result: ChangeAnswer) -> Result<Revision, Error> {
+    match result {
         ChangeAnswer::Applied { revision } => Ok(revision),
         ChangeAnswer::Conflict { winner } => Err(Error::refused(format!(
             "another change came first: revision {} by {}, {:?}; nothing was changed",
             winner.revision, winner.author, winner.reason
         ))),
         ChangeAnswer::ReusedId { first } => Err(Error::refused(format!(
-            "change id {} stands for revision {} by {}; nothing was changed",
+            "change id {} was already used by revision {} by {}; nothing was changed",
             first.id, first.revision, first.author
         ))),
         ChangeAnswer::Invalid { line: Some(line), message } => {
@@ -101,15 +101,15 @@
 fn confirm() -> Result<(), Error> {
     let stdin = io::stdin();
     if !stdin.is_terminal() {
-        return Err(Error::usage("--yes: not given, and there is no terminal to ask on"));
+        return Err(Error::usage("--yes: not given, and standard input is not a terminal"));
     }
     eprint!("make this change? [y/N] ");
-    // A prompt that cannot be shown is still answered.
+    // The reply is read even if the prompt can't be shown.
     let _ = io::stderr().flush();
     let mut line = String::new();
     let read = stdin.lock().read_line(&mut line);
     match read {
         Ok(_) if matches!(line.trim(), "y" | "yes") => Ok(()),
-        _ => Err(Error::refused("not agreed to; nothing was changed")),
+        _ => Err(Error::refused("not confirmed; nothing was changed")),
     }
 }
--- a/crates/cli/src/view.rs
+++ b/crates/cli/src/view.rs
@@ -9,13 +9,12 @@
     Voter, Voters,
 };
 
-use crate::{command::plain, output::printable};
+use crate::{command::display_value, output::printable};
 
 pub(crate) fn status(status: &Status) -> String {
     let counts = &status.counts;
-    let mut facts = table(&["HOST", &status.host.to_string()]);
-    facts
-        .add_row(["state", &name(&status.state)])
+    let mut rows = table(&["HOST", &status.host.to_string()]);
+    rows.add_row(["state", &wire_name(&status.state)])
         .add_row(["data centre", status.data_centre.as_str()])
         .add_row(["incarnation", &status.incarnation.to_string()])
         .add_row(["version", &status.version])
@@ -25,27 +24,26 @@
         .add_row(["queued", &counts.queued.to_string()])
         .add_row(["ready endpoints", &counts.ready_endpoints.to_string()])
         .add_row(["open calls", &or_dash(counts.open_calls)]);
-    format!("{facts}\n\n{}\n\n{}", quorum(&status.quorum), peers(status))
+    format!("{rows}\n\n{}\n\n{}", quorum(&status.quorum), peers(status))
 }
 
 fn quorum(quorum: &QuorumStatus) -> String {
     let leader = quorum.leader.as_ref().map_or_else(|| "none known".into(), ToString::to_string);
-    let mut facts = table(&["QUORUM", &name(&quorum.role)]);
-    facts
-        .add_row(["term", &quorum.term.to_string()])
+    let mut rows = table(&["QUORUM", &wire_name(&quorum.role)]);
+    rows.add_row(["term", &quorum.term.to_string()])
         .add_row(["leader", &leader])
         .add_row(["committed", &quorum.commit.to_string()])
         .add_row(["applied", &quorum.applied.to_string()]);
-    for (what, text) in [
+    for (label, text) in [
         ("own folder", &quorum.folder),
         ("own vote", &quorum.registration),
         ("failure", &quorum.failure),
     ] {
         if let Some(text) = text {
-            facts.add_row([what, &printable(text)]);
+            rows.add_row([label, &printable(text)]);
         }
     }
-    format!("{facts}\n\n{}", voter_table(&quorum.voters))
+    format!("{rows}\n\n{}", voter_table(&quorum.voters))
 }
 
 fn peers(status: &Status) -> Table {
@@ -55,9 +53,9 @@
         peers.add_row([
             peer.host.to_string(),
             peer.data_centre.to_string(),
-            name(&peer.state),
+            wire_name(&peer.state),
             format!("{}{laggard}", peer.revision),
-            format!("{} ago", span(peer.heard_ms)),
+            format!("{} ago", format_millis(peer.heard_ms)),
         ]);
     }
     peers
@@ -92,9 +90,9 @@
             endpoint.endpoint.to_string(),
             endpoint.data_centre.to_string(),
             endpoint.address.to_string(),
-            name(&endpoint.state),
+            wire_name(&endpoint.state),
             serves(endpoint),
-            span(endpoint.lease_ms),
+            format_millis(endpoint.lease_ms),
             endpoint.in_flight.to_string(),
             endpoint.waiting.to_string(),
         ]);
@@ -116,7 +114,7 @@
     for change in &history.changes {
         rows.add_row([
             change.revision.to_string(),
-            time(change.at),
+            format_time(change.at),
             change.author.to_string(),
             printable(&change.reason),
         ]);
@@ -145,23 +143,22 @@
         (Some(owner), Some(incarnation)) => format!("{owner} (incarnation {incarnation})"),
         (owner, _) => or_dash(owner.as_ref()),
     };
-    let mut facts = table(&["CALL", call.key.as_str()]);
-    facts
-        .add_row(["organisation", call.organisation.as_str()])
-        .add_row(["state", &name(&call.state)])
+    let mut rows = table(&["CALL", call.key.as_str()]);
+    rows.add_row(["organisation", call.organisation.as_str()])
+        .add_row(["state", &wire_name(&call.state)])
         .add_row(["verdict", call.verdict.as_str()])
         .add_row(["owner", &owner])
-        .add_row(["claimed", &or_dash(call.claimed_at.map(time))])
+        .add_row(["claimed", &or_dash(call.claimed_at.map(format_time))])
         .add_row(["status", &or_dash(call.status)]);
     if let Some(status) = call.late_status {
-        facts.add_row(["answered later", &status.to_string()]);
+        rows.add_row(["answered later", &status.to_string()]);
     }
     if let Some(resolution) = &call.resolution {
         let reason = printable(&resolution.reason);
-        let by = format!("by {} at {}: {reason}", resolution.author, time(resolution.at));
-        facts.add_row(["resolved", &by]);
+        let by = format!("by {} at {}: {reason}", resolution.author, format_time(resolution.at));
+        rows.add_row(["resolved", &by]);
     }
-    facts.to_string()
+    rows.to_string()
 }
 
 pub(crate) fn unsettled(unsettled: &UnsettledCalls) -> String {
@@ -170,9 +167,9 @@
         rows.add_row([
             call.organisation.to_string(),
             call.key.to_string(),
-            name(&call.state),
+            wire_name(&call.state),
             or_dash(call.owner.as_ref()),
-            or_dash(call.claimed_at.map(time)),
+            or_dash(call.claimed_at.map(format_time)),
         ]);
     }
     rows.to_string()
@@ -181,7 +178,7 @@
 pub(crate) fn settings(settings: &toml::Table) -> String {
     let mut rows = table(&["SETTING", "VALUE"]);
     for (key, value) in settings {
-        rows.add_row([key.clone(), plain(value)]);
+        rows.add_row([key.clone(), display_value(value)]);
     }
     rows.to_string()
 }
@@ -189,7 +186,7 @@
 pub(crate) fn exceptions(exceptions: &[&toml::Table]) -> String {
     let mut rows = table(&["ID", "SCOPE", "SETS", "UNTIL", "REASON"]);
     for exception in exceptions {
-        let field = |key| exception.get(key).map(flat).unwrap_or_default();
+        let field = |key| exception.get(key).map(format_value).unwrap_or_default();
         rows.add_row(["id", "scope", "set", "until", "reason"].map(field));
     }
     rows.to_string()
@@ -199,9 +196,9 @@
     if differs { diff.to_owned() } else { "no difference".to_owned() }
 }
 
-fn flat(value: &Value) -> String {
-    let Some(table) = value.as_table() else { return printable(&plain(value)) };
-    let pairs = table.iter().map(|(key, value)| format!("{key}={}", plain(value)));
+fn format_value(value: &Value) -> String {
+    let Some(table) = value.as_table() else { return printable(&display_value(value)) };
+    let pairs = table.iter().map(|(key, value)| format!("{key}={}", display_value(value)));
     pairs.collect::<Vec<_>>().join(" ")
 }
 
@@ -212,7 +209,7 @@
 }
 
 /// Returns a unit variant's name on the wire.
-fn name<T: Serialize>(state: &T) -> String {
+fn wire_name<T: Serialize>(state: &T) -> String {
     let value = serde_json::to_value(state).ok();
     value.as_ref().and_then(serde_json::Value::as_str).unwrap_or("unknown").to_owned()
 }
@@ -221,14 +218,14 @@
     value.map_or_else(|| "-".into(), |value| value.to_string())
 }
 
-fn span(millis: u64) -> String {
+fn format_millis(millis: u64) -> String {
     humantime::format_duration(Duration::from_millis(millis)).to_string()
 }
 
-fn time(at: UnixMillis) -> String {
-    // The last second that the format can show.
-    const END_MILLIS: u64 = 253_402_300_799_000;
-    let millis = at.as_u64().min(END_MILLIS);
+fn format_time(at: UnixMillis) -> String {
+    // Last second of the year 9999, the latest that RFC 3339 can express.
+    const MAX_FORMAT_MILLIS: u64 = 253_402_300_799_000;
+    let millis = at.as_u64().min(MAX_FORMAT_MILLIS);
     humantime::format_rfc3339_seconds(SystemTime::UNIX_EPOCH + Duration::from_millis(millis))
         .to_string()
 }
--- a/crates/cli/tests/edit.rs
+++ b/crates/cli/tests/edit.rs
@@ -1,6 +1,6 @@
 //! Edits keep the declaration valid.
 
-use cli::{Edit, NewException, line_diff};
+use cli::{EditableDeclaration, NewException, line_diff};
 use proptest::{prelude::*, test_runner::RngSeed};
 use yare::parameterized;
 
@@ -16,20 +16,21 @@
 
 #[test]
 fn exception_added_twice_is_one() {
-    let mut edit = Edit::default();
+    let mut edit = EditableDeclaration::default();
     edit.add_exception(exception("r")).unwrap();
     edit.add_exception(exception("r")).unwrap();
     assert_eq!(edit.exceptions().count(), 1);
     assert!(edit.add_exception(exception("other")).is_err());
     edit.remove_exception(&"e-1".parse().unwrap());
-    assert_eq!(edit, Edit::default());
+    assert_eq!(edit, EditableDeclaration::default());
 }
 
 #[test]
 fn declarations_of_the_operators_page_are_read() {
     let page = include_str!("../../../docs/OPERATIONS.md");
     let blocks = page.split("```toml\n").skip(1).filter_map(|rest| rest.split("```").next());
-    let declarations: Vec<Edit> = blocks.map(|block| Edit::parse(block).unwrap()).collect();
+    let declarations: Vec<EditableDeclaration> =
+        blocks.map(|block| EditableDeclaration::parse(block).unwrap()).collect();
     assert_eq!(declarations.len(), 2);
     for declaration in declarations {
         assert_eq!(declaration.exceptions().count(), 3);
@@ -43,7 +44,7 @@
     exceptions_of_numbers = { "exceptions = [1]" },
 )]
 fn unusable_declaration(text: &str) {
-    assert!(Edit::parse(text).is_err());
+    assert!(EditableDeclaration::parse(text).is_err());
 }
 
 proptest! {
@@ -56,9 +57,9 @@
 
     #[test]
     fn edited_text_is_read_back(key in "(?s).{0,20}", value in "(?s).{0,20}|[0-9\\[\\]\"{}=, ]{0,9}") {
-        let mut edit = Edit::parse("[defaults]\na = 1\n").unwrap();
+        let mut edit = EditableDeclaration::parse("[defaults]\na = 1\n").unwrap();
         edit.set_default(&key, &value);
-        prop_assert_eq!(Edit::parse(&edit.to_toml()).unwrap(), edit);
+        prop_assert_eq!(EditableDeclaration::parse(&edit.to_toml()).unwrap(), edit);
     }
 
     #[test]
