--- a/crates/cli/src/submit.rs
+++ b/crates/cli/src/submit.rs
@@ -37,7 +37,7 @@
         return Ok(());
     }
     if approval.reason.trim().is_empty() {
-        return Err(Error::usage(r#"--reason: must not be empty; state why the change is made"#));
+        return Err(Error::usage("--reason: must not be empty; state why the change is made"));
     }
     eprint!("{}", printable(&line_diff(&current.toml, &toml)));
     if !approval.yes {
--- a/crates/cli/tests/digest.rs
+++ b/crates/cli/tests/digest.rs
@@ -1,4 +1,4 @@
-//! `dotterelreach digest`: the digest of a key, as settings and declarations take it.
+//! `dotterelreach digest` prints the digest of a key in the form used in settings and declarations.
 
 use std::{
     io::Write as _,
--- a/crates/cli/tests/edit.rs
+++ b/crates/cli/tests/edit.rs
@@ -1,4 +1,4 @@
-//! Edits keep the declaration valid.
+//! Edits of a declaration keep it valid TOML.
 
 use cli::{EditableDeclaration, NewException, line_diff};
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn exception_added_twice_is_one() {
+fn identical_exception_is_added_once() {
     let mut edit = EditableDeclaration::default();
     edit.add_exception(exception("r")).unwrap();
     edit.add_exception(exception("r")).unwrap();
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn declarations_of_the_operators_page_are_read() {
+fn declarations_on_the_operators_page_are_valid() {
     let page = include_str!("../../../docs/OPERATIONS.md");
     let blocks = page.split("```toml\n").skip(1).filter_map(|rest| rest.split("```").next());
     let declarations: Vec<EditableDeclaration> =
@@ -43,7 +43,7 @@
     exceptions_table = { "[exceptions]" },
     exceptions_of_numbers = { "exceptions = [1]" },
 )]
-fn unusable_declaration(text: &str) {
+fn malformed_declaration_is_refused(text: &str) {
     assert!(EditableDeclaration::parse(text).is_err());
 }
 
@@ -56,17 +56,17 @@
     })]
 
     #[test]
-    fn edited_text_is_read_back(key in "(?s).{0,20}", value in "(?s).{0,20}|[0-9\\[\\]\"{}=, ]{0,9}") {
+    fn edited_declaration_round_trips(key in "(?s).{0,20}", value in "(?s).{0,20}|[0-9\\[\\]\"{}=, ]{0,9}") {
         let mut edit = EditableDeclaration::parse("[defaults]\na = 1\n").unwrap();
         edit.set_default(&key, &value);
         prop_assert_eq!(EditableDeclaration::parse(&edit.to_toml()).unwrap(), edit);
     }
 
     #[test]
-    fn diff_holds_both_texts(old in "[abc\n]{0,30}", new in "[abc\n]{0,30}") {
+    fn diff_contains_both_texts(old in "[abc\n]{0,30}", new in "[abc\n]{0,30}") {
         let diff = line_diff(&old, &new);
-        let side = |marks: [&str; 2]| -> Vec<String> {
-            let lines = diff.lines().filter(|line| marks.contains(&&line[..2]));
+        let side = |prefixes: [&str; 2]| -> Vec<String> {
+            let lines = diff.lines().filter(|line| prefixes.contains(&&line[..2]));
             lines.map(|line| line[2..].to_owned()).collect()
         };
         prop_assert_eq!(side(["  ", "- "]), old.lines().collect::<Vec<_>>());
--- a/crates/cli/tests/tool/changes.rs
+++ b/crates/cli/tests/tool/changes.rs
@@ -1,4 +1,4 @@
-//! Changes are made once, or not at all, and the exit code says which.
+//! Changes are applied at most once, and the exit code reports the outcome.
 
 use std::process::Output;
 
@@ -10,10 +10,10 @@
 const APPLIED: &str = r#"{"result": "applied", "revision": 5}"#;
 
 fn current() -> Reply {
-    Reply::Whole(200, serde_json::json!({"revision": 4, "toml": OLD}).to_string())
+    Reply::Complete(200, serde_json::json!({"revision": 4, "toml": OLD}).to_string())
 }
 
-fn on_change(reply: fn() -> Reply) -> impl Fn(&Received) -> Reply + Send + 'static {
+fn reply_to_change(reply: fn() -> Reply) -> impl Fn(&Received) -> Reply + Send + 'static {
     move |req| if req.method == "GET" { current() } else { reply() }
 }
 
@@ -29,11 +29,11 @@
     changes.map(|req| serde_json::from_str(&req.body).unwrap()).collect()
 }
 
-macro_rules! answers {
+macro_rules! outcomes {
     ($($name:ident: $reply:expr => $code:literal, $text:literal;)*) => {$(
         #[test]
         fn $name() {
-            let router = router(on_change(|| $reply));
+            let router = router(reply_to_change(|| $reply));
             let output = apply(&router.address, NEW, &["--yes"]);
             let text = stdout(&output) + &stderr(&output);
             assert_eq!(output.status.code(), Some($code), "{text}");
@@ -42,28 +42,28 @@
     )*};
 }
 
-answers! {
-    applied: Reply::Whole(200, APPLIED.into()) => 0, "applied; revision 5";
-    conflict: Reply::Whole(409, r#"{"result": "conflict", "winner": {"revision": 5, "id": "x",
+outcomes! {
+    applied: Reply::Complete(200, APPLIED.into()) => 0, "applied; revision 5";
+    conflict: Reply::Complete(409, r#"{"result": "conflict", "winner": {"revision": 5, "id": "x",
         "author": "ilka", "at": 0, "reason": "frost"}}"#.into())
         => 1, r#"revision 5 by ilka, "frost"; nothing was changed"#;
-    invalid: Reply::Whole(422, r#"{"result": "invalid", "line": 2, "message": "bad"}"#.into())
+    invalid: Reply::Complete(422, r#"{"result": "invalid", "line": 2, "message": "bad"}"#.into())
         => 1, "declaration, line 2: bad; nothing was changed";
-    unauthorised: Reply::Whole(401, r#"{"status": 401, "title": "wrong key"}"#.into())
+    unauthorised: Reply::Complete(401, r#"{"status": 401, "title": "wrong key"}"#.into())
         => 1, "wrong key (status 401)";
-    no_quorum: Reply::Whole(503, r#"{"status": 503, "title": "no quorum",
+    no_quorum: Reply::Complete(503, r#"{"status": 503, "title": "no quorum",
         "verdict": "not-run"}"#.into()) => 3, "no quorum";
-    may_have_run: Reply::Whole(503, r#"{"status": 503, "title": "leader lost",
+    may_have_run: Reply::Complete(503, r#"{"status": 503, "title": "leader lost",
         "verdict": "may-have-run"}"#.into()) => 4, "leader lost";
-    cut: Reply::Cut(200, APPLIED.into()) => 4, "answer lost: 18 of 36 bytes arrived";
-    closed: Reply::Close => 4, "answer lost";
-    not_json: Reply::Whole(200, "ok".into()) => 4, "cannot be read";
+    truncated: Reply::Truncated(200, APPLIED.into()) => 4, "answer lost: 18 of 36 bytes arrived";
+    closed: Reply::NoResponse => 4, "answer lost";
+    not_json: Reply::Complete(200, "ok".into()) => 4, "cannot be read";
 }
 
 #[test]
-fn lost_answer_is_asked_again_as_the_same_change() {
-    let first = router(on_change(|| Reply::Cut(200, APPLIED.into())));
-    let second = router(on_change(|| Reply::Whole(200, APPLIED.into())));
+fn retry_after_a_lost_response_sends_the_same_change() {
+    let first = router(reply_to_change(|| Reply::Truncated(200, APPLIED.into())));
+    let second = router(reply_to_change(|| Reply::Complete(200, APPLIED.into())));
     let both = format!("{},{}", first.address, second.address);
     let output = apply(&both, NEW, &["--yes"]);
     assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
@@ -75,23 +75,23 @@
 }
 
 #[test]
-fn silent_router_ends_in_a_timeout() {
-    let router = router(on_change(|| Reply::Silence));
+fn unresponsive_router_causes_a_timeout() {
+    let router = router(reply_to_change(|| Reply::Hang));
     let output = apply(&router.address, NEW, &["--yes", "--timeout", "200ms"]);
     assert_eq!(output.status.code(), Some(4), "{}", stderr(&output));
 }
 
 #[test]
-fn refusal_after_a_lost_answer_does_not_hide_it() {
-    let first = router(on_change(|| Reply::Close));
-    let second = router(on_change(|| Reply::Whole(401, "{}".into())));
+fn refusal_after_a_lost_response_leaves_the_outcome_unknown() {
+    let first = router(reply_to_change(|| Reply::NoResponse));
+    let second = router(reply_to_change(|| Reply::Complete(401, "{}".into())));
     let both = format!("{},{}", first.address, second.address);
     assert_eq!(apply(&both, NEW, &["--yes"]).status.code(), Some(4));
 }
 
 #[test]
-fn dead_router_is_passed_over() {
-    let live = router(on_change(|| Reply::Whole(200, APPLIED.into())));
+fn unreachable_router_is_skipped() {
+    let live = router(reply_to_change(|| Reply::Complete(200, APPLIED.into())));
     let both = format!("{},{}", CLOSED_ADDRESS, live.address);
     let output = apply(&both, NEW, &["--yes", "--json"]);
     assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
@@ -102,15 +102,15 @@
 }
 
 #[test]
-fn no_router_at_all() {
+fn no_reachable_router() {
     let output = apply(CLOSED_ADDRESS, NEW, &["--yes"]);
     assert_eq!(output.status.code(), Some(3));
     assert!(stderr(&output).contains("not sent"), "{}", stderr(&output));
 }
 
 #[test]
-fn same_content_changes_nothing() {
-    let router = router(on_change(|| Reply::Close));
+fn unchanged_declaration_is_not_sent() {
+    let router = router(reply_to_change(|| Reply::NoResponse));
     let output = apply(&router.address, &format!("# kept in git\n{OLD}"), &[]);
     assert_eq!(output.status.code(), Some(0));
     assert_eq!(stdout(&output), "nothing to do; revision 4\n");
@@ -118,18 +118,18 @@
 }
 
 #[test]
-fn change_is_shown_and_needs_consent() {
-    let router = router(on_change(|| Reply::Close));
+fn change_is_shown_and_needs_confirmation() {
+    let router = router(reply_to_change(|| Reply::NoResponse));
     let output = apply(&router.address, NEW, &[]);
     assert_eq!(output.status.code(), Some(2));
-    let shown = "  [defaults]\n- wait-weight = 1.0\n+ wait-weight = 2.0\n--yes: not given";
-    assert!(stderr(&output).starts_with(shown), "{}", stderr(&output));
+    let expected = "  [defaults]\n- wait-weight = 1.0\n+ wait-weight = 2.0\n--yes: not given";
+    assert!(stderr(&output).starts_with(expected), "{}", stderr(&output));
     assert!(changes(&router.received).is_empty());
 }
 
 #[test]
 fn default_is_set_in_the_declaration() {
-    let router = router(on_change(|| Reply::Whole(200, APPLIED.into())));
+    let router = router(reply_to_change(|| Reply::Complete(200, APPLIED.into())));
     let args = ["defaults", "set", "-r", &router.address, "--reason", "r", "-y"];
     let output = run(&[&args[..], &["queue-deadline", "800ms"]].concat(), &[]);
     assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
@@ -140,11 +140,11 @@
 
 #[test]
 fn exception_is_added_with_its_reason() {
-    let router = router(on_change(|| Reply::Whole(200, APPLIED.into())));
+    let router = router(reply_to_change(|| Reply::Complete(200, APPLIED.into())));
     let args = ["exceptions", "add", "-r", &router.address, "--reason", "term start", "-y"];
-    let what = ["--scope", "organisation=north-press", "--set", "priority=2"];
+    let scope_and_set = ["--scope", "organisation=north-press", "--set", "priority=2"];
     let until = ["--until", "2027-02-01T00:00:00Z", "term-start"];
-    let output = run(&[&args[..], &what, &until].concat(), &[]);
+    let output = run(&[&args[..], &scope_and_set, &until].concat(), &[]);
     assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
     let sent: toml::Table = changes(&router.received)[0].toml.parse().unwrap();
     let expected: toml::Table = r#"
--- a/crates/cli/tests/tool/fake.rs
+++ b/crates/cli/tests/tool/fake.rs
@@ -1,4 +1,4 @@
-//! A fake router and the tool run against it.
+//! A fake router, and helpers that run the tool.
 
 use std::{
     fs,
@@ -21,15 +21,15 @@
     pub body: String,
 }
 
-/// What the fake router sends.
+/// How the fake router replies to a request.
 pub enum Reply {
-    Whole(u16, String),
-    /// Only half of the announced bytes.
-    Cut(u16, String),
-    /// Nothing, and closes.
-    Close,
-    /// Nothing, and keeps the connection.
-    Silence,
+    Complete(u16, String),
+    /// Sends only half of the body's content length.
+    Truncated(u16, String),
+    /// Closes the connection without a response.
+    NoResponse,
+    /// Keeps the connection open without a response.
+    Hang,
 }
 
 pub struct Router {
@@ -37,7 +37,7 @@
     pub received: mpsc::Receiver<Received>,
 }
 
-/// Starts a router that answers each request by `reply`.
+/// Starts a router that replies to each request with the result of `reply`.
 pub fn router(reply: impl Fn(&Received) -> Reply + Send + 'static) -> Router {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -47,7 +47,8 @@
             let mut stream = stream.unwrap();
             let Some(req) = receive(&stream) else { continue };
             let reply = reply(&req);
-            // Known to the test before the tool can end; a test may not ask for it.
+            // Sent before the reply, so that the test has it when the tool ends. Errors are ignored:
+            // not all tests keep the receiver.
             let _ = tx.send(req);
             send(&mut stream, reply);
         }
@@ -55,7 +56,7 @@
     Router { address, received }
 }
 
-/// An address that refuses connections: no listener of a test can be given its port.
+/// An address that refuses connections: no test's listener can be assigned its port.
 pub const CLOSED_ADDRESS: &str = "127.0.0.1:1";
 
 fn receive(stream: &TcpStream) -> Option<Received> {
@@ -82,11 +83,11 @@
 
 fn send(stream: &mut TcpStream, reply: Reply) {
     let (status, body, sent) = match reply {
-        Reply::Whole(status, body) => (status, body.clone(), body),
-        Reply::Cut(status, body) => (status, body.clone(), body[..body.len() / 2].to_owned()),
-        Reply::Close => return,
-        Reply::Silence => {
-            // Open until the test's process ends.
+        Reply::Complete(status, body) => (status, body.clone(), body),
+        Reply::Truncated(status, body) => (status, body.clone(), body[..body.len() / 2].to_owned()),
+        Reply::NoResponse => return,
+        Reply::Hang => {
+            // Keeps the connection open until the test's process ends.
             std::mem::forget(stream.try_clone().unwrap());
             return;
         }
@@ -97,7 +98,7 @@
     stream.write_all(format!("{head}{sent}").as_bytes()).unwrap();
 }
 
-/// Runs the tool without any variables of this process.
+/// Runs the tool with only the given environment variables.
 pub fn run(args: &[&str], variables: &[(&str, &str)]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_dotterelreach"))
         .env_clear()
@@ -108,7 +109,7 @@
         .unwrap()
 }
 
-/// Writes a file that lives as long as the folder.
+/// Writes a file that is deleted with the returned folder.
 pub fn file(text: &str) -> (TempDir, PathBuf) {
     let folder = TempDir::new().unwrap();
     let path = folder.path().join("declaration.toml");
--- a/crates/cli/tests/tool/main.rs
+++ b/crates/cli/tests/tool/main.rs
@@ -1,4 +1,4 @@
-//! The tool as a process, against a fake router.
+//! Runs the tool as a process against a fake router.
 
 mod changes;
 mod fake;
--- a/crates/cli/tests/tool/queries.rs
+++ b/crates/cli/tests/tool/queries.rs
@@ -1,4 +1,4 @@
-//! Questions print tables or JSON, and wrong command lines say what is allowed.
+//! Queries print tables or JSON, and invalid command lines and settings are reported.
 
 use crate::fake::{CLOSED_ADDRESS, Received, Reply, file, router, run, stderr, stdout};
 use yare::parameterized;
@@ -26,16 +26,16 @@
         "/operator/voters" => r#"{"voters": []}"#,
         "/operator/calls/north-press/order%2F7" => CALL,
         "/operator/calls/north-press/order%2F7/resolve" => CALL,
-        _ => return Reply::Whole(404, r#"{"status": 404, "title": "no such page"}"#.into()),
+        _ => return Reply::Complete(404, r#"{"status": 404, "title": "no such page"}"#.into()),
     };
-    Reply::Whole(200, body.into())
+    Reply::Complete(200, body.into())
 }
 
 #[parameterized(
     state = { &["status"], "host-1" },
     quorum = { &["status"], "leader" },
     laggard = { &["status"], "8 (laggard)" },
-    state_of_a_newer_router = { &["status"], "unknown" },
+    unknown_state_of_a_newer_router = { &["status"], "unknown" },
     endpoints = { &["endpoints"], "LEASE" },
     history = { &["history"], "REASON" },
     voters = { &["voters", "list"], "VOTER" },
@@ -73,12 +73,12 @@
 }
 
 #[parameterized(
-    unreadable = { || Reply::Whole(200, "{}".into()), 4 },
-    refused = { || Reply::Whole(409, r#"{"status": 409, "title": "settled"}"#.into()), 1 },
-    wrong_key = { || Reply::Whole(401, String::new()), 1 },
-    cut = { || Reply::Cut(200, CALL.into()), 4 },
+    malformed = { || Reply::Complete(200, "{}".into()), 4 },
+    refused = { || Reply::Complete(409, r#"{"status": 409, "title": "settled"}"#.into()), 1 },
+    wrong_key = { || Reply::Complete(401, String::new()), 1 },
+    truncated = { || Reply::Truncated(200, CALL.into()), 4 },
 )]
-fn resolution_without_an_answer(reply: fn() -> Reply, code: i32) {
+fn failed_resolution_has_its_exit_code(reply: fn() -> Reply, code: i32) {
     let router = router(move |_| reply());
     let args = ["calls", "resolve", "-r", &router.address, "--ran", "--reason", "r"];
     let output = run(&[&args[..], &["-o", "north-press", "order/7"]].concat(), &[]);
@@ -86,38 +86,38 @@
 }
 
 #[parameterized(
-    refused = { || Reply::Whole(404, r#"{"status": 404, "title": "none"}"#.into()), 1 },
-    cut = { || Reply::Cut(200, STATUS.into()), 3 },
-    failed = { || Reply::Whole(500, "{}".into()), 3 },
+    refused = { || Reply::Complete(404, r#"{"status": 404, "title": "none"}"#.into()), 1 },
+    truncated = { || Reply::Truncated(200, STATUS.into()), 3 },
+    failed = { || Reply::Complete(500, "{}".into()), 3 },
 )]
-fn question_without_an_answer(reply: fn() -> Reply, code: i32) {
+fn failed_query_has_its_exit_code(reply: fn() -> Reply, code: i32) {
     let router = router(move |_| reply());
     assert_eq!(run(&["status", "-r", &router.address], &[]).status.code(), Some(code));
 }
 
 #[test]
-fn answer_cannot_steer_the_terminal() {
+fn control_characters_are_not_printed() {
     let title = r#"{"status": 404, "title": "\u001b[2Jgone"}"#;
-    let router = router(move |_| Reply::Whole(404, title.into()));
+    let router = router(move |_| Reply::Complete(404, title.into()));
     let output = run(&["status", "-r", &router.address], &[]);
     assert_eq!(stderr(&output), " [2Jgone (status 404): no detail given\n");
 }
 
 #[test]
-fn question_after_a_lost_answer_is_answered() {
-    let first = router(|_| Reply::Close);
-    let second = router(|_| Reply::Whole(404, r#"{"status": 404, "title": "none"}"#.into()));
+fn query_is_retried_after_a_lost_response() {
+    let first = router(|_| Reply::NoResponse);
+    let second = router(|_| Reply::Complete(404, r#"{"status": 404, "title": "none"}"#.into()));
     let both = format!("{},{}", first.address, second.address);
     assert_eq!(run(&["status", "-r", &both], &[]).status.code(), Some(1));
 }
 
 #[test]
-fn unreachable() {
+fn unreachable_router() {
     assert_eq!(run(&["status", "-r", CLOSED_ADDRESS], &[]).status.code(), Some(3));
 }
 
 #[test]
-fn every_wrong_setting_is_named() {
+fn all_invalid_settings_are_reported() {
     let variables = [
         ("DOTTERELREACH_ROUTERS", "localhost"),
         ("DOTTERELREACH_TIMEOUT", "5"),
@@ -139,10 +139,10 @@
     unknown_command = { &["reboot"] },
     no_reason = { &["defaults", "set", "-y", "a", "1"] },
     no_scope = { &["exceptions", "add", "--set", "a=1", "--reason", "r", "-y", "id"] },
-    half_pair = {
+    pair_without_value = {
         &["exceptions", "add", "--scope", "a", "--set", "a=1", "--reason", "r", "-y", "id"]
     },
-    bad_end = {
+    invalid_end_time = {
         &["exceptions", "add", "--scope", "a=b", "--set", "a=1", "--until", "soon",
             "--reason", "r", "-y", "id"]
     },
@@ -151,7 +151,7 @@
     },
     no_file = { &["apply", "--reason", "r", "/nonexistent/file"] },
 )]
-fn wrong_command_line(args: &[&str]) {
+fn invalid_command_line(args: &[&str]) {
     let output = run(args, &[("DOTTERELREACH_ROUTERS", CLOSED_ADDRESS)]);
     assert_eq!(output.status.code(), Some(2), "{}", stderr(&output));
 }
