--- a/crates/cli/src/options.rs
+++ b/crates/cli/src/options.rs
@@ -87,7 +87,7 @@
     );
     let endpoints = subcommand(
         "endpoints",
-        "Lists the endpoints in a router's view",
+        "Lists the endpoints that a router has discovered",
         bpaf::pure(Action::Endpoints),
     );
     let history =
@@ -96,7 +96,7 @@
     let exceptions = exceptions();
     let explain = subcommand("explain", "Shows how a request would be routed, and why", explain());
     let diff = subcommand("diff", "Compares a file with the declaration in force", diff());
-    let apply = subcommand("apply", "Replaces the declaration by a file, as a whole", apply());
+    let apply = subcommand("apply", "Replaces the whole declaration with a file", apply());
     let calls = calls();
     let voters = voters();
     let digest = "Prints the digest of a key, read as one line from the standard input";
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -20,7 +20,7 @@
     }
 }
 
-/// Replaces control characters except newlines by spaces, so that untrusted text can't control the
+/// Replaces control characters except newlines with spaces, so that untrusted text can't control the
 /// terminal.
 pub(crate) fn printable(text: &str) -> String {
     let is_plain = |c: char| c == '\n' || !c.is_control();
