--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -20,8 +20,8 @@
     }
 }
 
-/// Replaces control characters except newlines with spaces, so that untrusted text can't control the
-/// terminal.
+/// Replaces control characters except newlines with spaces, so that untrusted text can't control
+/// the terminal.
 pub(crate) fn printable(text: &str) -> String {
     let is_plain = |c: char| c == '\n' || !c.is_control();
     text.chars().map(|c| if is_plain(c) { c } else { ' ' }).collect()
--- a/crates/cli/tests/tool/fake.rs
+++ b/crates/cli/tests/tool/fake.rs
@@ -47,8 +47,8 @@
             let mut stream = stream.unwrap();
             let Some(req) = receive(&stream) else { continue };
             let reply = reply(&req);
-            // Sent before the reply, so that the test has it when the tool ends. Errors are ignored:
-            // not all tests keep the receiver.
+            // Sent before the reply, so that the test has it when the tool ends. Errors are
+            // ignored: not all tests keep the receiver.
             let _ = tx.send(req);
             send(&mut stream, reply);
         }
