--- a/crates/bench/src/demo.rs
+++ b/crates/bench/src/demo.rs
@@ -29,7 +29,7 @@
     let spec = SiteSpec {
         daemons: vec!["a", "b", "c", "a"],
         engines: vec!["a", "a", "b", "b", "c", "c"],
-        kept_kv: Some("a"),
+        kv_store: Some("a"),
         seed,
         ..SiteSpec::small()
     };
--- a/crates/bench/src/fake/engine.rs
+++ b/crates/bench/src/fake/engine.rs
@@ -55,7 +55,7 @@
     /// Time for another place to answer before the prompt is computed.
     pub fetch_timeout: Duration,
     /// The store that takes evicted blocks.
-    pub kept_kv: Option<SocketAddr>,
+    pub kv_store: Option<SocketAddr>,
     /// Whether it refuses an order with an old fencing number.
     pub checks_fencing: bool,
     /// Whether each stream also carries chunks of another request.
@@ -77,7 +77,7 @@
             incarnation: Incarnation::new(1),
             import_block: Duration::from_micros(250),
             fetch_timeout: Duration::from_millis(200),
-            kept_kv: None,
+            kv_store: None,
             checks_fencing: true,
             crosses_answers: false,
         }
--- a/crates/bench/src/fake/kept_kv.rs
+++ b/crates/bench/src/fake/kept_kv.rs
@@ -12,14 +12,14 @@
 };
 
 /// A store of kept KV: blocks that engines evicted, least recently used out first.
-pub struct KeptKv {
+pub struct KvStore {
     server: Server,
     state: Arc<Mutex<State>>,
 }
 
 /// What a store of kept KV counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct KeptKvCounts {
+pub struct KvStoreCounts {
     /// Fetches asked for.
     pub gets: u64,
     /// Fetches that found a block at least.
@@ -35,7 +35,7 @@
     clock: u64,
     blocks: HashMap<u64, Kept>,
     order: BTreeMap<u64, u64>,
-    counts: KeptKvCounts,
+    counts: KvStoreCounts,
 }
 
 struct Kept {
@@ -43,7 +43,7 @@
     used: u64,
 }
 
-impl KeptKv {
+impl KvStore {
     /// Starts a store that holds `capacity` blocks.
     pub fn start(capacity: usize) -> Self {
         let state = Arc::new(Mutex::new(State {
@@ -51,7 +51,7 @@
             clock: 0,
             blocks: HashMap::new(),
             order: BTreeMap::new(),
-            counts: KeptKvCounts::default(),
+            counts: KvStoreCounts::default(),
         }));
         let handler = {
             let state = Arc::clone(&state);
@@ -69,9 +69,9 @@
     }
 
     /// Returns what it counted.
-    pub fn counts(&self) -> KeptKvCounts {
+    pub fn counts(&self) -> KvStoreCounts {
         let state = lock(&self.state);
-        KeptKvCounts { held: state.blocks.len() as u64, ..state.counts }
+        KvStoreCounts { held: state.blocks.len() as u64, ..state.counts }
     }
 }
 
--- a/crates/bench/src/fake/mod.rs
+++ b/crates/bench/src/fake/mod.rs
@@ -19,7 +19,7 @@
     cache::{BlockCache, Lookup, block_hashes},
     counts::EngineCounts,
     engine::{Engine, EngineConfig},
-    kept_kv::{KeptKv, KeptKvCounts},
+    kept_kv::{KvStore, KvStoreCounts},
     server::Server,
     service::{Service, ServiceCounts},
     tally::{SharedTally, Tally},
--- a/crates/bench/src/fake/transfers.rs
+++ b/crates/bench/src/fake/transfers.rs
@@ -64,7 +64,7 @@
 
     /// Puts evicted blocks into the store, if there is one.
     pub(super) fn keep(&self, evicted: Vec<Evicted>) {
-        let Some(store) = self.cfg.kept_kv else { return };
+        let Some(store) = self.cfg.kv_store else { return };
         for evicted in evicted.chunk_by(|a, b| a.salt == b.salt) {
             let blocks = evicted.iter().map(|evicted| evicted.block).collect();
             let name = self.kv_name(&evicted[0].salt);
--- a/crates/bench/src/run.rs
+++ b/crates/bench/src/run.rs
@@ -96,8 +96,8 @@
 ///
 /// Returns an error if the site doesn't come up.
 pub fn run(program: &Program, spec: &RunSpec) -> eyre::Result<RunSummary> {
-    let kept_kv = spec.kv_transfer.asks_store().then_some("a");
-    let mut site = Site::start(program, SiteSpec { kept_kv, ..spec.site.spec(spec.seed) })?;
+    let kv_store = spec.kv_transfer.asks_store().then_some("a");
+    let mut site = Site::start(program, SiteSpec { kv_store, ..spec.site.spec(spec.seed) })?;
     sites::separate_data_centres(&site, spec.site.one_way());
     sites::place_kept_kv(&site, spec.site.one_way());
     let declaration = spec.site.declaration(spec.policy);
--- a/crates/bench/src/site.rs
+++ b/crates/bench/src/site.rs
@@ -12,7 +12,7 @@
 use crate::{
     Fault, Proxy,
     fake::{
-        Announced, Announcer, Engine, EngineConfig, EngineCounts, KeptKv, Service, ServiceCounts,
+        Announced, Announcer, Engine, EngineConfig, EngineCounts, KvStore, Service, ServiceCounts,
         SharedTally,
     },
     process::{Daemon, DaemonSpec, Program, wait_until},
@@ -48,7 +48,7 @@
     /// Data centre of each endpoint of the plain service.
     pub services: Vec<&'static str>,
     /// Data centre of the store of kept KV, if there is one.
-    pub kept_kv: Option<&'static str>,
+    pub kv_store: Option<&'static str>,
     /// The model that the engines serve.
     pub model: ModelId,
     /// The plain service.
@@ -76,7 +76,7 @@
     /// The endpoints of the plain service.
     pub services: Vec<ServiceNode>,
     /// The store of kept KV.
-    pub kept_kv: Option<KeptKvNode>,
+    pub kv_store: Option<KeptKvNode>,
     /// What the engines count together.
     pub tally: SharedTally,
     /// How often each order ran.
@@ -108,7 +108,7 @@
 /// A store of kept KV, behind a proxy.
 pub struct KeptKvNode {
     /// The store.
-    pub store: KeptKv,
+    pub store: KvStore,
     /// The proxy before it.
     pub proxy: Proxy,
     /// What announces it.
@@ -129,7 +129,7 @@
             voters: 3,
             engines: vec!["a", "b", "c"],
             services: vec!["a", "b"],
-            kept_kv: None,
+            kv_store: None,
             model: id_model("diary-8b"),
             service: "orders".parse().expect("a valid id"),
             organisations: (1..=8).map(|n| id(&format!("school-{n}"))).collect(),
@@ -191,7 +191,7 @@
             data,
             engines: Vec::new(),
             services: Vec::new(),
-            kept_kv: None,
+            kv_store: None,
             tally: SharedTally::default(),
             orders: ServiceCounts::default(),
             spec,
@@ -213,7 +213,7 @@
     /// Returns an error if that takes too long.
     pub fn wait_endpoints(&self) -> eyre::Result<()> {
         let expected =
-            self.engines.len() + self.services.len() + usize::from(self.kept_kv.is_some());
+            self.engines.len() + self.services.len() + usize::from(self.kv_store.is_some());
         self.daemons.iter().try_for_each(|daemon| self.wait_known_by(daemon, expected))
     }
 
@@ -233,7 +233,7 @@
     }
 
     fn start_endpoints(&mut self) {
-        self.kept_kv = self.spec.kept_kv.map(|data_centre| self.start_kept_kv(data_centre));
+        self.kv_store = self.spec.kv_store.map(|data_centre| self.start_kept_kv(data_centre));
         for (i, data_centre) in self.spec.engines.clone().into_iter().enumerate() {
             let node = self.start_engine(i, data_centre);
             self.engines.push(node);
@@ -265,7 +265,7 @@
         let weights: WeightsVersion = "v1".parse().expect("a valid id");
         let mut cfg = EngineConfig::new(engine_id(i), self.spec.model.clone(), weights);
         cfg.incarnation = incarnation;
-        cfg.kept_kv = self.kept_kv.as_ref().map(|node| node.proxy.address());
+        cfg.kv_store = self.kv_store.as_ref().map(|node| node.proxy.address());
         (self.spec.tune)(&mut cfg);
         Engine::start(cfg, self.tally.clone())
     }
@@ -281,7 +281,7 @@
 
     fn start_kept_kv(&self, data_centre: &str) -> KeptKvNode {
         let id: EndpointId = format!("{STORE}-1").parse().expect("a valid id");
-        let store = KeptKv::start(KEPT_BLOCKS);
+        let store = KvStore::start(KEPT_BLOCKS);
         let proxy = Proxy::start(store.address(), self.spec.seed);
         let announced = announced(id, data_centre, &proxy);
         let service = STORE.parse().expect("a valid id");
--- a/crates/bench/src/sites.rs
+++ b/crates/bench/src/sites.rs
@@ -95,7 +95,7 @@
             voters: 3,
             engines: data_centres.into_iter().cycle().take(engines).collect(),
             services: data_centres.to_vec(),
-            kept_kv: None,
+            kv_store: None,
             model: model.parse().expect("a valid id"),
             service: service.parse().expect("a valid id"),
             organisations: (1..=8).map(id).collect(),
@@ -151,7 +151,7 @@
 
 /// Puts the time to the own data centre's neighbours before the store, from wherever it is asked.
 pub fn place_kept_kv(site: &Site, one_way: Duration) {
-    if let Some(node) = &site.kept_kv {
+    if let Some(node) = &site.kv_store {
         node.proxy.set(Fault::delay(one_way));
     }
 }
--- a/crates/bench/tests/kv.rs
+++ b/crates/bench/tests/kv.rs
@@ -7,7 +7,7 @@
     Fault, Proxy,
     caller::{self, Ask, Outcome},
     declare::declare,
-    fake::{Engine, EngineConfig, EngineCounts, KeptKv, SharedTally, block_hashes},
+    fake::{Engine, EngineConfig, EngineCounts, KvStore, SharedTally, block_hashes},
     process::{Program, wait_until},
     site::{Site, SiteSpec, organisation_key},
 };
@@ -135,11 +135,11 @@
 
 #[test]
 fn store_gives_evicted_blocks_under_their_name_only() {
-    let store = KeptKv::start(1_000);
+    let store = KvStore::start(1_000);
     let address = store.address();
     let small = move |cfg: &mut EngineConfig| {
         cfg.cache_blocks = PROMPT_BLOCKS as usize;
-        cfg.kept_kv = Some(address);
+        cfg.kv_store = Some(address);
     };
     let engine = Engine::start(config("engine-1", small), SharedTally::default());
     ask_engine(&engine, SALT, &prompt(), None);
@@ -190,11 +190,11 @@
 /// Returns what an engine counted that got a page back after it had evicted it.
 fn after_eviction(kv_transfer: &str) -> EngineCounts {
     let tune = |cfg: &mut EngineConfig| cfg.cache_blocks = 30;
-    let spec = SiteSpec { engines: vec!["a"], kept_kv: Some("a"), tune, ..SiteSpec::small() };
+    let spec = SiteSpec { engines: vec!["a"], kv_store: Some("a"), tune, ..SiteSpec::small() };
     let site = start(spec, kv_transfer);
     ask(&site, 0, 0);
     ask(&site, 1, 0);
-    let store = &site.kept_kv.as_ref().unwrap().store;
+    let store = &site.kv_store.as_ref().unwrap().store;
     wait_until("evicted blocks are kept", IN_TIME, || store.counts().held != 0).unwrap();
     ask(&site, 0, 1);
     assert_eq!(site.tally.lock().wrong_transfers, 0);
@@ -228,7 +228,7 @@
 
 #[test]
 fn callers_can_not_ask_the_store() {
-    let site = start(SiteSpec { kept_kv: Some("a"), ..SiteSpec::small() }, "both");
+    let site = start(SiteSpec { kv_store: Some("a"), ..SiteSpec::small() }, "both");
     let router = site.daemons[0].spec().listen;
     let url = format!("http://{router}/services/kept-kv/kv/{SALT}/00");
     let key = organisation_key(&site.spec.organisations[0]);
@@ -238,5 +238,5 @@
     assert_eq!(answer.status().as_u16(), 404);
     let refusal: Problem = serde_json::from_str(&answer.text().unwrap()).unwrap();
     assert_eq!(refusal.verdict, Some(Verdict::NotRun), "the router refuses, not the store");
-    assert_eq!(site.kept_kv.as_ref().unwrap().store.counts().gets, 0);
+    assert_eq!(site.kv_store.as_ref().unwrap().store.counts().gets, 0);
 }
