--- a/crates/bench/src/fake/announcer.rs
+++ b/crates/bench/src/fake/announcer.rs
@@ -25,7 +25,7 @@
 }
 
 /// What an announcer says.
-pub struct Announced {
+pub struct AnnouncedEndpoint {
     /// The endpoint.
     pub id: EndpointId,
     /// The life of its process.
@@ -39,7 +39,7 @@
 impl Announcer {
     /// Announces an engine.
     pub fn engine(
-        announced: Announced,
+        announced: AnnouncedEndpoint,
         describe: impl Fn() -> EngineBody + Send + 'static,
         routers: Vec<SocketAddr>,
         fleet_key: &str,
@@ -49,7 +49,7 @@
 
     /// Announces an endpoint of a plain service.
     pub fn service(
-        announced: Announced,
+        announced: AnnouncedEndpoint,
         service: ServiceId,
         routers: Vec<SocketAddr>,
         fleet_key: &str,
@@ -63,7 +63,7 @@
     }
 
     fn start(
-        announced: Announced,
+        announced: AnnouncedEndpoint,
         describe: impl Fn() -> (Option<EngineBody>, Option<ServiceId>) + Send + 'static,
         routers: Vec<SocketAddr>,
         fleet_key: &str,
@@ -112,7 +112,7 @@
 }
 
 /// Spreads the endpoints over the routers.
-fn first_router(announced: &Announced, routers: usize) -> usize {
+fn first_router(announced: &AnnouncedEndpoint, routers: usize) -> usize {
     let bytes = announced.id.as_str().bytes();
     bytes.map(usize::from).sum::<usize>() % routers.max(1)
 }
--- a/crates/bench/src/fake/mod.rs
+++ b/crates/bench/src/fake/mod.rs
@@ -15,7 +15,7 @@
 mod transfers;
 
 pub use self::{
-    announcer::{Announced, Announcer},
+    announcer::{AnnouncedEndpoint, Announcer},
     cache::{BlockCache, Lookup, block_hashes},
     counts::EngineCounts,
     engine::{Engine, EngineConfig},
--- a/crates/bench/src/site.rs
+++ b/crates/bench/src/site.rs
@@ -12,8 +12,8 @@
 use crate::{
     Fault, Proxy,
     fake::{
-        Announced, Announcer, Engine, EngineConfig, EngineCounts, KvStore, Service, ServiceCounts,
-        SharedTally,
+        AnnouncedEndpoint, Announcer, Engine, EngineConfig, EngineCounts, KvStore, Service,
+        ServiceCounts, SharedTally,
     },
     process::{Daemon, DaemonSpec, Program, wait_until},
 };
@@ -254,7 +254,8 @@
         node.proxy.set(Fault { refuse: true, ..Fault::default() });
         let proxy = Proxy::start(engine.address(), self.spec.seed.wrapping_add(i as u64) << 32);
         let id = engine_id(i);
-        let announced = Announced { incarnation, ..announced(id, self.spec.engines[i], &proxy) };
+        let announced =
+            AnnouncedEndpoint { incarnation, ..announced(id, self.spec.engines[i], &proxy) };
         let routers = self.daemons.iter().map(|daemon| daemon.spec().listen).collect();
         let announcer = Announcer::engine(announced, engine.describer(), routers, FLEET_KEY);
         *node = EngineNode { engine, proxy, announcer };
@@ -305,8 +306,8 @@
     format!("engine-{}", i + 1).parse().expect("a valid id")
 }
 
-fn announced(id: EndpointId, data_centre: &str, proxy: &Proxy) -> Announced {
-    Announced {
+fn announced(id: EndpointId, data_centre: &str, proxy: &Proxy) -> AnnouncedEndpoint {
+    AnnouncedEndpoint {
         id,
         incarnation: Incarnation::new(1),
         data_centre: data_centre.parse().expect("a valid id"),
