--- a/crates/bench/src/fake/engine.rs
+++ b/crates/bench/src/fake/engine.rs
@@ -59,7 +59,7 @@
     /// Whether it refuses an order with an old fencing number.
     pub checks_fencing: bool,
     /// Whether each stream also carries chunks of another request.
-    pub crosses_answers: bool,
+    pub sends_mismatched_chunks: bool,
 }
 
 impl EngineConfig {
@@ -79,7 +79,7 @@
             fetch_timeout: Duration::from_millis(200),
             kv_store: None,
             checks_fencing: true,
-            crosses_answers: false,
+            sends_mismatched_chunks: false,
         }
     }
 }
--- a/crates/bench/src/fake/generation.rs
+++ b/crates/bench/src/fake/generation.rs
@@ -87,7 +87,7 @@
         if i == 0 {
             note_first_token(state, job);
         }
-        if state.cfg.crosses_answers {
+        if state.cfg.sends_mismatched_chunks {
             let stray = chunk("another-request", job.chat, 0, "stray");
             tx.send_async(Event::data(stray.to_string()).to_text().into()).await.ok()?;
         }
--- a/crates/bench/tests/streams.rs
+++ b/crates/bench/tests/streams.rs
@@ -294,7 +294,7 @@
     let site = start(SiteSpec {
         daemons: vec!["a"],
         engines: vec!["a"],
-        tune: |cfg| cfg.crosses_answers = true,
+        tune: |cfg| cfg.sends_mismatched_chunks = true,
         ..SiteSpec::small()
     });
     for chat in [false, true] {
