--- a/crates/bench/src/fake/cache.rs
+++ b/crates/bench/src/fake/cache.rs
@@ -70,7 +70,12 @@
     }
 
     /// Looks a prompt up and caches its blocks; `computed` holds all blocks computed on the site.
-    pub fn take(&mut self, salt: &str, prompt: &[u8], computed: &mut HashSet<u64>) -> Lookup {
+    pub fn lookup_and_insert(
+        &mut self,
+        salt: &str,
+        prompt: &[u8],
+        computed: &mut HashSet<u64>,
+    ) -> Lookup {
         let mut lookup = Lookup { prompt_tokens: token_count(prompt), ..Lookup::default() };
         let salt: Arc<str> = salt.into();
         let mut warm = true;
--- a/crates/bench/src/fake/engine.rs
+++ b/crates/bench/src/fake/engine.rs
@@ -168,7 +168,7 @@
         let mut tally = self.tally.lock();
         tally.check_salt(&self.cfg, &job.salt, &job.prompt);
         let mut inner = self.lock();
-        let lookup = inner.cache.take(&job.salt, &job.prompt, &mut tally.computed);
+        let lookup = inner.cache.lookup_and_insert(&job.salt, &job.prompt, &mut tally.computed);
         inner.counts.requests += 1;
         inner.counts.prompt_tokens += lookup.prompt_tokens;
         inner.counts.cached_tokens += lookup.cached_tokens;
--- a/crates/bench/src/workload.rs
+++ b/crates/bench/src/workload.rs
@@ -184,7 +184,8 @@
     for request in planned {
         let Kind::Ask(ask) = &request.kind else { continue };
         let text = ask.text();
-        let lookup = cache.take(request.organisation.as_str(), text.as_bytes(), &mut computed);
+        let lookup =
+            cache.lookup_and_insert(request.organisation.as_str(), text.as_bytes(), &mut computed);
         if request.measured {
             prompt_tokens += lookup.prompt_tokens;
             cached_tokens += lookup.cached_tokens;
