--- a/crates/bench/src/fake/service.rs
+++ b/crates/bench/src/fake/service.rs
@@ -28,7 +28,7 @@
     }
 
     /// Returns how many orders ran more than once.
-    pub fn doubled(&self) -> u64 {
+    pub fn repeated_orders(&self) -> u64 {
         self.lock().values().filter(|&&runs| 1 < runs).count() as u64
     }
 
--- a/crates/bench/tests/claims_chaos.rs
+++ b/crates/bench/tests/claims_chaos.rs
@@ -142,7 +142,7 @@
     fail_in_turn(&mut site);
     stopped.store(true, Ordering::Relaxed);
     let tallies = senders.join().expect("no sender saw a wrong answer");
-    assert_eq!(site.orders.doubled(), 0);
+    assert_eq!(site.orders.repeated_orders(), 0);
     let answered: u64 = tallies.iter().map(|tally| tally.answered).sum();
     let in_doubt: u64 = tallies.iter().map(|tally| tally.in_doubt).sum();
     println!("answered {answered}, in doubt {in_doubt}");
