--- a/crates/bench/src/fake/announcer.rs
+++ b/crates/bench/src/fake/announcer.rs
@@ -4,17 +4,17 @@
 use wire::announcement::{AnnouncementBody, EngineBody};
 
 /// Time between two announcements.
-const PERIOD: Duration = Duration::from_millis(500);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long an announcement counts, in milliseconds.
+/// Lease of an announcement, in milliseconds.
 const LEASE_MS: u64 = 2_000;
 
-/// Time for one announcement.
-const TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of one announcement.
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A thread that announces an endpoint until it is dropped.
+/// Handle of a thread that announces an endpoint until the handle is dropped.
 ///
-/// It posts to one router, and to the next one when that fails.
+/// It posts to one router, and fails over to the next one.
 pub struct Announcer {
     tx: flume::Sender<Message>,
 }
@@ -24,46 +24,46 @@
     Stop,
 }
 
-/// What an announcer says.
+/// The constant fields of an endpoint's announcements.
 pub struct AnnouncedEndpoint {
-    /// The endpoint.
+    /// The endpoint's id.
     pub id: EndpointId,
-    /// The life of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
-    /// The data centre it stands in.
+    /// The data centre that it is in.
     pub data_centre: DataCentreId,
-    /// Where it takes requests.
+    /// The address at which it accepts requests.
     pub address: SocketAddr,
 }
 
 impl Announcer {
     /// Announces an engine.
     pub fn engine(
-        announced: AnnouncedEndpoint,
+        endpoint: AnnouncedEndpoint,
         describe: impl Fn() -> EngineBody + Send + 'static,
         routers: Vec<SocketAddr>,
         fleet_key: &str,
     ) -> Self {
-        Self::start(announced, move || (Some(describe()), None), routers, fleet_key)
+        Self::start(endpoint, move || (Some(describe()), None), routers, fleet_key)
     }
 
     /// Announces an endpoint of a plain service.
     pub fn service(
-        announced: AnnouncedEndpoint,
+        endpoint: AnnouncedEndpoint,
         service: ServiceId,
         routers: Vec<SocketAddr>,
         fleet_key: &str,
     ) -> Self {
-        Self::start(announced, move || (None, Some(service.clone())), routers, fleet_key)
+        Self::start(endpoint, move || (None, Some(service.clone())), routers, fleet_key)
     }
 
-    /// Announces that the endpoint is leaving, and goes on to renew that.
+    /// Announces that the endpoint is leaving, and keeps renewing that announcement.
     pub fn leave(&self) {
         let _ = self.tx.send(Message::Leave);
     }
 
     fn start(
-        announced: AnnouncedEndpoint,
+        endpoint: AnnouncedEndpoint,
         describe: impl Fn() -> (Option<EngineBody>, Option<ServiceId>) + Send + 'static,
         routers: Vec<SocketAddr>,
         fleet_key: &str,
@@ -73,16 +73,16 @@
         std::thread::spawn(move || {
             let mut sequence = Sequence::ZERO;
             let mut leaving = false;
-            let mut router = first_router(&announced, routers.len());
+            let mut router = first_router(&endpoint, routers.len());
             loop {
                 sequence = sequence.next();
                 let (engine, service) = describe();
                 let body = AnnouncementBody {
-                    id: announced.id.clone(),
-                    incarnation: announced.incarnation,
+                    id: endpoint.id.clone(),
+                    incarnation: endpoint.incarnation,
                     sequence,
-                    data_centre: announced.data_centre.clone(),
-                    address: announced.address,
+                    data_centre: endpoint.data_centre.clone(),
+                    address: endpoint.address,
                     lease_ms: LEASE_MS,
                     leaving,
                     engine,
@@ -94,7 +94,7 @@
                     }
                     router = (router + 1) % routers.len();
                 }
-                match rx.recv_timeout(PERIOD) {
+                match rx.recv_timeout(ANNOUNCE_INTERVAL) {
                     Ok(Message::Leave) => leaving = true,
                     Ok(Message::Stop) | Err(flume::RecvTimeoutError::Disconnected) => return,
                     Err(flume::RecvTimeoutError::Timeout) => {}
@@ -111,19 +111,23 @@
     }
 }
 
-/// Spreads the endpoints over the routers.
-fn first_router(announced: &AnnouncedEndpoint, routers: usize) -> usize {
-    let bytes = announced.id.as_str().bytes();
+/// Returns the router to try first; it differs by endpoint to spread the load.
+fn first_router(endpoint: &AnnouncedEndpoint, routers: usize) -> usize {
+    let bytes = endpoint.id.as_str().bytes();
     bytes.map(usize::from).sum::<usize>() % routers.max(1)
 }
 
 fn post(router: SocketAddr, fleet_key: &str, body: &AnnouncementBody) -> eyre::Result<()> {
     let response = attohttpc::post(format!("http://{router}/announce"))
-        .timeout(TIMEOUT)
-        .connect_timeout(TIMEOUT)
+        .timeout(ANNOUNCE_TIMEOUT)
+        .connect_timeout(ANNOUNCE_TIMEOUT)
         .bearer_auth(fleet_key)
         .text(serde_json::to_string(body)?)
         .send()?;
-    eyre::ensure!(response.is_success(), "the router answered {}", response.status());
+    eyre::ensure!(
+        response.is_success(),
+        "announcement refused: router {router}, status {}",
+        response.status()
+    );
     Ok(())
 }
--- a/crates/bench/src/fake/cache.rs
+++ b/crates/bench/src/fake/cache.rs
@@ -10,32 +10,32 @@
 /// Tokens in a cached block.
 pub const BLOCK_TOKENS: usize = 16;
 
-/// An engine's cache of prompt prefixes: blocks, least recently used out first.
+/// An engine's LRU cache of prompt prefix blocks.
 #[derive(Debug)]
 pub struct BlockCache {
     capacity: usize,
     clock: u64,
-    used: HashMap<u64, Cached>,
+    blocks: HashMap<u64, CachedBlock>,
     order: BTreeMap<u64, u64>,
-    evicted: Vec<Evicted>,
+    evicted: Vec<EvictedBlock>,
 }
 
 #[derive(Debug)]
-struct Cached {
+struct CachedBlock {
     salt: Arc<str>,
-    used: u64,
+    last_used: u64,
 }
 
-/// A block that no longer fitted.
+/// A block that was evicted from the cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Evicted {
-    /// The salt of its prompt.
+pub struct EvictedBlock {
+    /// The cache salt of its prompt.
     pub salt: Arc<str>,
     /// Its hash.
     pub block: u64,
 }
 
-/// Returns the hashes of a prompt's whole blocks; each names all blocks before it.
+/// Returns the hashes of a prompt's full blocks; each hash covers all blocks before it too.
 pub fn block_hashes(salt: &str, prompt: &[u8]) -> Vec<u64> {
     let mut last = xxh3_64_with_seed(salt.as_bytes(), 0);
     let blocks = prompt.chunks_exact(BLOCK_TOKENS * TOKEN_BYTES);
@@ -46,14 +46,14 @@
     hashes.collect()
 }
 
-/// What a prompt found in the cache.
+/// Result of a prompt's cache lookup.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Lookup {
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens that were cached.
+    /// Number of tokens that were cached.
     pub cached_tokens: u64,
-    /// Tokens computed here that had been computed before, here or elsewhere.
+    /// Number of tokens computed here that some engine had computed before.
     pub wasted_tokens: u64,
 }
 
@@ -63,13 +63,13 @@
         Self {
             capacity,
             clock: 0,
-            used: HashMap::new(),
+            blocks: HashMap::new(),
             order: BTreeMap::new(),
             evicted: Vec::new(),
         }
     }
 
-    /// Looks a prompt up and caches its blocks; `computed` holds all blocks computed on the site.
+    /// Looks a prompt up and caches its blocks; `computed` holds every block computed on the site.
     pub fn lookup_and_insert(
         &mut self,
         salt: &str,
@@ -78,12 +78,12 @@
     ) -> Lookup {
         let mut lookup = Lookup { prompt_tokens: token_count(prompt), ..Lookup::default() };
         let salt: Arc<str> = salt.into();
-        let mut warm = true;
+        let mut cached = true;
         self.evicted.clear();
         for block in block_hashes(&salt, prompt) {
-            warm = warm && self.used.contains_key(&block);
-            let first = computed.insert(block);
-            match (warm, first) {
+            cached = cached && self.blocks.contains_key(&block);
+            let is_new = computed.insert(block);
+            match (cached, is_new) {
                 (true, _) => lookup.cached_tokens += BLOCK_TOKENS as u64,
                 (false, false) => lookup.wasted_tokens += BLOCK_TOKENS as u64,
                 (false, true) => {}
@@ -93,13 +93,14 @@
         lookup
     }
 
-    /// Returns how many of the first `blocks` are cached under `salt`.
-    pub fn leading(&self, salt: &str, blocks: &[u64]) -> usize {
-        let is_held = |block: &&u64| self.used.get(block).is_some_and(|held| *held.salt == *salt);
-        blocks.iter().take_while(is_held).count()
+    /// Returns how many leading blocks of `blocks` are cached under `salt`.
+    pub fn prefix_len(&self, salt: &str, blocks: &[u64]) -> usize {
+        let is_cached =
+            |block: &&u64| self.blocks.get(block).is_some_and(|cached| *cached.salt == *salt);
+        blocks.iter().take_while(is_cached).count()
     }
 
-    /// Caches blocks that were fetched.
+    /// Caches fetched blocks.
     pub fn import(&mut self, salt: &str, blocks: &[u64]) {
         let salt: Arc<str> = salt.into();
         self.evicted.clear();
@@ -108,32 +109,32 @@
         }
     }
 
-    /// Takes the blocks that the last lookup or import evicted.
-    pub fn take_evicted(&mut self) -> Vec<Evicted> {
+    /// Takes the blocks evicted by the last lookup or import.
+    pub fn take_evicted(&mut self) -> Vec<EvictedBlock> {
         std::mem::take(&mut self.evicted)
     }
 
     /// Returns how many blocks are cached.
     pub fn len(&self) -> usize {
-        self.used.len()
+        self.blocks.len()
     }
 
-    /// Returns whether nothing is cached.
+    /// Returns whether the cache is empty.
     pub fn is_empty(&self) -> bool {
-        self.used.is_empty()
+        self.blocks.is_empty()
     }
 
     fn touch(&mut self, salt: &Arc<str>, block: u64) {
         self.clock += 1;
-        let cached = Cached { salt: Arc::clone(salt), used: self.clock };
-        if let Some(before) = self.used.insert(block, cached) {
-            self.order.remove(&before.used);
+        let entry = CachedBlock { salt: Arc::clone(salt), last_used: self.clock };
+        if let Some(previous) = self.blocks.insert(block, entry) {
+            self.order.remove(&previous.last_used);
         }
         self.order.insert(self.clock, block);
-        while self.capacity < self.used.len() {
+        while self.capacity < self.blocks.len() {
             let Some((_, oldest)) = self.order.pop_first() else { return };
-            let Some(Cached { salt, .. }) = self.used.remove(&oldest) else { return };
-            self.evicted.push(Evicted { salt, block: oldest });
+            let Some(CachedBlock { salt, .. }) = self.blocks.remove(&oldest) else { return };
+            self.evicted.push(EvictedBlock { salt, block: oldest });
         }
     }
 }
--- a/crates/bench/src/fake/counts.rs
+++ b/crates/bench/src/fake/counts.rs
@@ -1,30 +1,30 @@
-//! What a fake engine counts, with sums and differences.
+//! Counters of a fake engine, with sums and differences.
 
-/// What a fake engine counted.
+/// Counters of a fake engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineCounts {
-    /// Requests that arrived.
+    /// Requests received.
     pub requests: u64,
-    /// Streams that ended before their end mark, since the reader had gone.
+    /// Streams that ended early because the reader disconnected or was replaced.
     pub cancelled: u64,
     /// Streams resumed.
     pub resumed: u64,
     /// Tokens generated.
     pub generated: u64,
-    /// Prompt tokens that arrived.
+    /// Prompt tokens received.
     pub prompt_tokens: u64,
-    /// Prompt tokens that were cached.
+    /// Prompt tokens found in the cache.
     pub cached_tokens: u64,
-    /// Prompt tokens computed again.
+    /// Prompt tokens computed here that some engine had computed before.
     pub wasted_tokens: u64,
-    /// Times that another place was asked for blocks.
+    /// Fetches of blocks from another engine or the store.
     pub fetches: u64,
-    /// Prompt tokens fetched, which then count as cached.
+    /// Prompt tokens fetched; they count as cached too.
     pub fetched_tokens: u64,
 }
 
 impl EngineCounts {
-    /// Returns the sums of what two engines, or two lives of one, counted.
+    /// Returns the sums of the counters of two engines, or of two incarnations of one.
     #[must_use]
     pub fn plus(&self, other: &Self) -> Self {
         Self {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Returns what was counted since an earlier reading.
+    /// Returns the increase since an earlier reading.
     #[must_use]
     pub fn minus(&self, earlier: &Self) -> Self {
         Self {
--- a/crates/bench/src/fake/engine.rs
+++ b/crates/bench/src/fake/engine.rs
@@ -1,4 +1,4 @@
-//! A fake engine: what it holds, and how it takes requests.
+//! A fake engine: its state and its request handler.
 
 use std::{
     net::SocketAddr,
@@ -19,51 +19,51 @@
     generation::{generate, resume},
     job::{self, Job},
     kv,
-    server::{FakeBody, Server, streamed, whole},
-    streams::{NotHeld, Streams},
+    server::{FakeBody, Server, full_response, streaming_response},
+    streams::{ResumeError, Streams},
 };
 
-/// Header that asks for the rest of a stream after some tokens.
-const RESUME_AFTER: &str = "x-resume-after";
+/// Header with the number of tokens after which a stream is resumed.
+const RESUME_AFTER_HEADER: &str = "x-resume-after";
 
-/// Pieces of an answer that wait for a slow reader.
-const RING: usize = 16;
+/// Chunks of a response buffered for a slow reader.
+const RESPONSE_BUFFER_CHUNKS: usize = 16;
 
-/// How a fake engine behaves.
+/// Configuration of a fake engine.
 #[derive(Clone, Debug)]
 pub struct EngineConfig {
-    /// Its name.
+    /// Its endpoint id.
     pub id: EndpointId,
     /// The model it serves.
     pub model: ModelId,
     /// The version of its weights.
     pub weights: WeightsVersion,
-    /// Blocks that its cache holds.
+    /// Capacity of its cache, in blocks.
     pub cache_blocks: usize,
-    /// Time to prefill a token.
+    /// Prefill time per token.
     pub prefill_token: Duration,
-    /// Time between two tokens of a stream, without other streams.
+    /// Time between two tokens of a stream that runs alone.
     pub decode_token: Duration,
-    /// Time that each other running stream adds to that.
+    /// Time between tokens that each other running stream adds.
     pub decode_share: Duration,
-    /// Streams that run at once.
+    /// Maximum number of concurrent streams.
     pub max_running: usize,
-    /// The life of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
-    /// Time to import a fetched block.
+    /// Import time per fetched block.
     pub import_block: Duration,
-    /// Time for another place to answer before the prompt is computed.
+    /// Timeout of a fetch, after which the blocks are computed here.
     pub fetch_timeout: Duration,
-    /// The store that takes evicted blocks.
+    /// Address of the store that evicted blocks are put into.
     pub kv_store: Option<SocketAddr>,
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether it refuses a load order with an old fencing token.
     pub checks_fencing: bool,
-    /// Whether each stream also carries chunks of another request.
+    /// Whether it mixes chunks of another request into each stream.
     pub sends_mismatched_chunks: bool,
 }
 
 impl EngineConfig {
-    /// Returns the settings of a fast engine called `id`.
+    /// Returns the configuration of a fast engine with this id.
     pub fn new(id: EndpointId, model: ModelId, weights: WeightsVersion) -> Self {
         Self {
             id,
@@ -90,7 +90,7 @@
     state: Arc<State>,
 }
 
-/// What the tasks of an engine share.
+/// State that the tasks of an engine share.
 pub(super) struct State {
     pub cfg: EngineConfig,
     pub tally: SharedTally,
@@ -99,14 +99,14 @@
     inner: Mutex<Inner>,
 }
 
-/// What changes while an engine runs.
+/// Mutable state of an engine.
 pub(super) struct Inner {
     pub cache: BlockCache,
     pub counts: EngineCounts,
     pub prefill_tokens: u64,
     pub running: u32,
     pub waiting: u32,
-    prefill_free: Instant,
+    prefill_free_at: Instant,
 }
 
 impl Engine {
@@ -118,7 +118,7 @@
             prefill_tokens: 0,
             running: 0,
             waiting: 0,
-            prefill_free: Instant::now(),
+            prefill_free_at: Instant::now(),
         };
         let slots = Semaphore::new(cfg.max_running);
         let state = Arc::new(State {
@@ -130,7 +130,7 @@
         });
         let handler = {
             let state = Arc::clone(&state);
-            move |req| answer(Arc::clone(&state), req)
+            move |req| handle_request(Arc::clone(&state), req)
         };
         Self { server: Server::start(handler), state }
     }
@@ -140,17 +140,17 @@
         self.server.address()
     }
 
-    /// Returns what it counted.
+    /// Returns its counters.
     pub fn counts(&self) -> EngineCounts {
         self.state.lock().counts
     }
 
-    /// Returns what it announces.
+    /// Returns the engine part of its announcement.
     pub fn describe(&self) -> EngineBody {
         self.state.describe()
     }
 
-    /// Returns a function that gives what it announces, for as long as it runs.
+    /// Returns a function that returns the current engine part of its announcement.
     pub fn describer(&self) -> impl Fn() -> EngineBody + Send + 'static {
         let state = Arc::clone(&self.state);
         move || state.describe()
@@ -158,12 +158,12 @@
 }
 
 impl State {
-    /// Locks what changes.
+    /// Locks the mutable state.
     pub(super) fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Looks the prompt up and returns when its prefill will have ended.
+    /// Looks the prompt up in the cache and returns when its prefill will have ended.
     pub(super) fn begin_prefill(&self, job: &Job) -> (Lookup, Instant) {
         let mut tally = self.tally.lock();
         tally.check_salt(&self.cfg, &job.salt, &job.prompt);
@@ -173,17 +173,18 @@
         inner.counts.prompt_tokens += lookup.prompt_tokens;
         inner.counts.cached_tokens += lookup.cached_tokens;
         inner.counts.wasted_tokens += lookup.wasted_tokens;
-        let cold = lookup.prompt_tokens - lookup.cached_tokens;
-        let span = self.cfg.prefill_token * u32::try_from(cold).unwrap_or(u32::MAX);
-        inner.prefill_free = inner.prefill_free.max(Instant::now()) + span;
-        inner.prefill_tokens += cold;
+        let uncached_tokens = lookup.prompt_tokens - lookup.cached_tokens;
+        let prefill_time =
+            self.cfg.prefill_token * u32::try_from(uncached_tokens).unwrap_or(u32::MAX);
+        inner.prefill_free_at = inner.prefill_free_at.max(Instant::now()) + prefill_time;
+        inner.prefill_tokens += uncached_tokens;
         let evicted = inner.cache.take_evicted();
-        self.keep(evicted);
-        (lookup, inner.prefill_free)
+        self.store_evicted(evicted);
+        (lookup, inner.prefill_free_at)
     }
 
-    /// Returns the time to the next token of a stream, beside the others that run.
-    pub(super) fn decode_span(&self) -> Duration {
+    /// Returns the time to the next token of a stream, given the streams that run now.
+    pub(super) fn decode_delay(&self) -> Duration {
         let others = self.lock().running.saturating_sub(1);
         self.cfg.decode_token + self.cfg.decode_share * others
     }
@@ -208,51 +209,53 @@
     }
 }
 
-async fn answer(state: Arc<State>, req: Request<Incoming>) -> Response<FakeBody> {
-    let arrived = Instant::now();
+async fn handle_request(state: Arc<State>, req: Request<Incoming>) -> Response<FakeBody> {
+    let arrived_at = Instant::now();
     if let Some((name, blocks)) = kv::parse(&req) {
         return state.export(&req, &name, &blocks);
     }
     let (parts, body) = req.into_parts();
     if !job::is_completion(&parts) {
-        return whole(StatusCode::NOT_FOUND, "{}");
+        return full_response(StatusCode::NOT_FOUND, "{}");
     }
     let Ok(body) = body.collect().await else {
-        return whole(StatusCode::BAD_REQUEST, "{}");
+        return full_response(StatusCode::BAD_REQUEST, "{}");
     };
     let Ok(fields) = serde_json::from_slice::<Value>(&body.to_bytes()) else {
-        return whole(StatusCode::BAD_REQUEST, "{}");
+        return full_response(StatusCode::BAD_REQUEST, "{}");
     };
     if fields["model"] != state.cfg.model.as_str() {
-        return whole(StatusCode::NOT_FOUND, "{\"error\": \"unknown model\"}");
+        return full_response(StatusCode::NOT_FOUND, "{\"error\": \"unknown model\"}");
     }
-    let job = Job::new(&parts, &fields, arrived);
+    let job = Job::new(&parts, &fields, arrived_at);
     match resume_after(&parts) {
-        None => begin(state, job),
-        Some(after) => take_over(state, job, after),
+        None => start_stream(state, job),
+        Some(after) => resume_stream(state, job, after),
     }
 }
 
-/// Returns after how many tokens a stream should go on, if a request asks for that.
+/// Returns the number of tokens after which the request resumes a stream, if it does.
 fn resume_after(parts: &Parts) -> Option<usize> {
-    parts.headers.get(RESUME_AFTER).and_then(|n| n.to_str().ok()?.parse().ok())
+    parts.headers.get(RESUME_AFTER_HEADER).and_then(|n| n.to_str().ok()?.parse().ok())
 }
 
-fn begin(state: Arc<State>, job: Job) -> Response<FakeBody> {
-    let (tx, rx) = flume::bounded(RING);
+fn start_stream(state: Arc<State>, job: Job) -> Response<FakeBody> {
+    let (tx, rx) = flume::bounded(RESPONSE_BUFFER_CHUNKS);
     tokio::task::spawn_local(generate(state, job, tx));
-    streamed(rx)
+    streaming_response(rx)
 }
 
-fn take_over(state: Arc<State>, job: Job, after: usize) -> Response<FakeBody> {
+fn resume_stream(state: Arc<State>, job: Job, after: usize) -> Response<FakeBody> {
     let reader = match state.streams.resume(job.key(), &job.prompt) {
         Ok(reader) => reader,
-        Err(NotHeld::Gone) => return whole(StatusCode::GONE, "{\"error\": \"not held\"}"),
-        Err(NotHeld::OtherPrompt) => {
-            return whole(StatusCode::CONFLICT, "{\"error\": \"another prompt\"}");
+        Err(ResumeError::Gone) => {
+            return full_response(StatusCode::GONE, "{\"error\": \"not held\"}");
+        }
+        Err(ResumeError::OtherPrompt) => {
+            return full_response(StatusCode::CONFLICT, "{\"error\": \"another prompt\"}");
         }
     };
-    let (tx, rx) = flume::bounded(RING);
+    let (tx, rx) = flume::bounded(RESPONSE_BUFFER_CHUNKS);
     tokio::task::spawn_local(resume(state, job, reader, after, tx));
-    streamed(rx)
+    streaming_response(rx)
 }
--- a/crates/bench/src/fake/generation.rs
+++ b/crates/bench/src/fake/generation.rs
@@ -1,4 +1,4 @@
-//! Streams of tokens that a fake engine generates and sends.
+//! Generation and sending of a fake engine's token streams.
 
 use std::sync::Arc;
 
@@ -8,17 +8,17 @@
 
 use super::{engine::State, job::Job, streams::Reader};
 
-/// Type of the event that tells a reader that another one has taken its stream over.
-const TAKEN_OVER: &str = "taken-over";
+/// Type of the event sent to a reader when another reader has taken over its stream.
+const TAKEN_OVER_EVENT: &str = "taken-over";
 
-/// Generates a stream as soon as a slot is free and its prompt is read.
+/// Generates a stream once a slot is free and the prompt is prefilled.
 pub(super) async fn generate(state: Arc<State>, job: Job, tx: flume::Sender<Bytes>) {
     state.lock().waiting += 1;
     let slot = state.slots.acquire().await;
     state.lock().waiting -= 1;
     state.import(&job).await;
-    let (lookup, prefilled) = state.begin_prefill(&job);
-    tokio::time::sleep_until(prefilled.into()).await;
+    let (lookup, prefill_end) = state.begin_prefill(&job);
+    tokio::time::sleep_until(prefill_end.into()).await;
     {
         let mut inner = state.lock();
         inner.prefill_tokens -= lookup.prompt_tokens - lookup.cached_tokens;
@@ -31,7 +31,7 @@
     drop(slot);
 }
 
-/// Sends the tokens after the first `after` ones of a stream that is still held.
+/// Sends the tokens after the first `after` ones of a stream that is still retained.
 pub(super) async fn resume(
     state: Arc<State>,
     job: Job,
@@ -54,16 +54,16 @@
     after: usize,
     tx: &flume::Sender<Bytes>,
 ) {
-    let whole = stream_tokens(state, job, reader, after, tx).await;
+    let completed = stream_tokens(state, job, reader, after, tx).await;
     state.streams.end(reader);
     let mut inner = state.lock();
     inner.running -= 1;
-    if whole.is_none() {
+    if completed.is_none() {
         inner.counts.cancelled += 1;
     }
 }
 
-/// Sends the tokens; returns `None` if the reader has gone.
+/// Sends the tokens; returns `None` if the reader disconnected or was replaced.
 async fn stream_tokens(
     state: &State,
     job: &Job,
@@ -79,17 +79,17 @@
             decode(state, reader, i).await;
         }
         if !state.streams.is_current(reader) {
-            let taken_over = Event { kind: Some(TAKEN_OVER.into()), ..Event::data("{}") };
+            let taken_over = Event { kind: Some(TAKEN_OVER_EVENT.into()), ..Event::data("{}") };
             let _ = tx.try_send(taken_over.to_text().into());
             return None;
         }
         let token = state.streams.generated(reader, i)?;
         if i == 0 {
-            note_first_token(state, job);
+            record_first_token(state, job);
         }
         if state.cfg.sends_mismatched_chunks {
-            let stray = chunk("another-request", job.chat, 0, "stray");
-            tx.send_async(Event::data(stray.to_string()).to_text().into()).await.ok()?;
+            let mismatched = chunk("another-request", job.chat, 0, "stray");
+            tx.send_async(Event::data(mismatched.to_string()).to_text().into()).await.ok()?;
         }
         let choice = i % reader.choices;
         let mut event = Event::data(chunk(&job.request, job.chat, choice, &token).to_string());
@@ -101,19 +101,19 @@
     tx.send_async(Event::data(DONE).to_text().into()).await.ok()
 }
 
-/// Generates the token at `i`, after the time that this takes.
+/// Generates the token at `i` after the decode delay.
 async fn decode(state: &State, reader: &Reader, i: usize) {
-    let span = state.decode_span();
-    if !span.is_zero() {
-        tokio::time::sleep(span).await;
+    let delay = state.decode_delay();
+    if !delay.is_zero() {
+        tokio::time::sleep(delay).await;
     }
     let generated = state.streams.generate(reader, i);
     state.lock().counts.generated += generated;
 }
 
-fn note_first_token(state: &State, job: &Job) {
-    let span = job.arrived.elapsed();
-    state.tally.lock().first_tokens.entry(job.request.clone()).or_insert(span);
+fn record_first_token(state: &State, job: &Job) {
+    let time_to_first_token = job.arrived_at.elapsed();
+    state.tally.lock().first_tokens.entry(job.request.clone()).or_insert(time_to_first_token);
 }
 
 fn chunk(request: &str, chat: bool, index: usize, token: &str) -> Value {
@@ -125,7 +125,7 @@
     json!({"id": format!("cmpl-{request}"), "choices": [choice]})
 }
 
-/// Returns the chunk that ends all answers and tells the usage.
+/// Returns the chunk that ends all choices and reports the usage.
 fn last_chunk(job: &Job, reader: &Reader) -> Value {
     let lookup = reader.lookup;
     let usage = json!({
--- a/crates/bench/src/fake/kv.rs
+++ b/crates/bench/src/fake/kv.rs
@@ -1,4 +1,4 @@
-//! Export and import of cached blocks, as `docs/PROTOCOLS.md` fixes it.
+//! Export and import of cached blocks, as specified in `docs/PROTOCOLS.md`.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,89 +11,103 @@
 
 use crate::caller;
 
-use super::server::{FakeBody, whole};
+use super::server::{FakeBody, full_response};
 
-/// Start of the path under which blocks are asked for and put.
-const PATH: &str = "/kv/";
+/// Path prefix under which blocks are fetched and put.
+const KV_PATH_PREFIX: &str = "/kv/";
 
-const MODEL: &str = "x-kv-model";
-const WEIGHTS: &str = "x-kv-weights";
-const ENDPOINT: &str = "x-kv-endpoint";
-const INCARNATION: &str = "x-kv-incarnation";
+const MODEL_HEADER: &str = "x-kv-model";
+const WEIGHTS_HEADER: &str = "x-kv-weights";
+const ENDPOINT_HEADER: &str = "x-kv-endpoint";
+const INCARNATION_HEADER: &str = "x-kv-incarnation";
 
-/// What a block must share with a request to be reused, besides its hash.
+/// What a block must have in common with a request, besides its hash, to be reused.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct KvName {
+pub(super) struct KvNamespace {
     pub salt: String,
     pub model: String,
     pub weights: String,
 }
 
-/// What a source answers: how many leading blocks it gives, and their name as it holds them.
+/// Response of a source: the number of leading blocks that it has, and their namespace.
 #[derive(Serialize, Deserialize)]
-struct Found {
+struct FetchResponse {
     salt: String,
     model: String,
     weights: String,
     blocks: usize,
 }
 
-/// Reads the name and the blocks of a request, unless it is for something else.
-pub(super) fn parse<B>(req: &Request<B>) -> Option<(KvName, Vec<u64>)> {
-    let (salt, blocks) = req.uri().path().strip_prefix(PATH)?.split_once('/')?;
+/// Parses the namespace and block hashes of a KV request; `None` for any other request.
+pub(super) fn parse<B>(req: &Request<B>) -> Option<(KvNamespace, Vec<u64>)> {
+    let (salt, blocks) = req.uri().path().strip_prefix(KV_PATH_PREFIX)?.split_once('/')?;
     let blocks = blocks.split(',').map(|hash| u64::from_str_radix(hash, 16).ok());
-    let name = KvName {
+    let namespace = KvNamespace {
         salt: salt.to_owned(),
-        model: header(req, MODEL)?.to_owned(),
-        weights: header(req, WEIGHTS)?.to_owned(),
+        model: header(req, MODEL_HEADER)?.to_owned(),
+        weights: header(req, WEIGHTS_HEADER)?.to_owned(),
     };
-    Some((name, blocks.collect::<Option<_>>()?))
+    Some((namespace, blocks.collect::<Option<_>>()?))
 }
 
-/// Returns whether a request asks for this endpoint in this life of it.
-pub(super) fn is_for<B>(req: &Request<B>, endpoint: &str, incarnation: Incarnation) -> bool {
-    let life = header(req, INCARNATION).and_then(|life| life.parse().ok());
-    header(req, ENDPOINT) == Some(endpoint) && life == Some(incarnation)
+/// Returns whether a request is addressed to this endpoint and incarnation.
+pub(super) fn is_addressed_to<B>(
+    req: &Request<B>,
+    endpoint: &str,
+    incarnation: Incarnation,
+) -> bool {
+    let requested = header(req, INCARNATION_HEADER).and_then(|value| value.parse().ok());
+    header(req, ENDPOINT_HEADER) == Some(endpoint) && requested == Some(incarnation)
 }
 
-/// Returns the answer of a source that holds blocks under `name`.
-pub(super) fn found(name: &KvName, blocks: usize) -> Response<FakeBody> {
-    let found = Found {
-        salt: name.salt.clone(),
-        model: name.model.clone(),
-        weights: name.weights.clone(),
+/// Returns the response of a source that holds `blocks` leading blocks in `namespace`.
+pub(super) fn fetch_response(namespace: &KvNamespace, blocks: usize) -> Response<FakeBody> {
+    let response = FetchResponse {
+        salt: namespace.salt.clone(),
+        model: namespace.model.clone(),
+        weights: namespace.weights.clone(),
         blocks,
     };
-    whole(StatusCode::OK, serde_json::to_string(&found).expect("an answer is JSON"))
+    full_response(
+        StatusCode::OK,
+        serde_json::to_string(&response).expect("a response is valid JSON"),
+    )
 }
 
-/// Asks the source that `transfer` names for blocks, and returns how many it gives under which name.
+/// Fetches blocks from the source in `transfer`; returns their namespace and number.
 ///
-/// `None` if it has none, is not what it was, or gives no answer within `timeout`.
+/// Returns `None` if it has none, is another endpoint or incarnation, or does not respond within
+/// `timeout`.
 pub(super) async fn fetch(
     transfer: &KvTransfer,
-    name: &KvName,
+    namespace: &KvNamespace,
     blocks: &[u64],
     timeout: Duration,
-) -> Option<(KvName, usize)> {
-    let mut req = request(Method::GET, transfer.address, name, blocks);
+) -> Option<(KvNamespace, usize)> {
+    let mut req = request(Method::GET, transfer.address, namespace, blocks);
     let headers = req.headers_mut();
-    headers.insert(ENDPOINT, transfer.endpoint.as_str().parse().ok()?);
-    headers.insert(INCARNATION, transfer.incarnation.to_string().parse().ok()?);
-    let found = tokio::time::timeout(timeout, ask(transfer.address, req)).await.ok()??;
-    let Found { salt, model, weights, blocks: held } = found;
-    Some((KvName { salt, model, weights }, held.min(blocks.len())))
+    headers.insert(ENDPOINT_HEADER, transfer.endpoint.as_str().parse().ok()?);
+    headers.insert(INCARNATION_HEADER, transfer.incarnation.to_string().parse().ok()?);
+    let response =
+        tokio::time::timeout(timeout, send_fetch(transfer.address, req)).await.ok()??;
+    let FetchResponse { salt, model, weights, blocks: held } = response;
+    Some((KvNamespace { salt, model, weights }, held.min(blocks.len())))
 }
 
 /// Puts evicted blocks into a store.
-pub(super) async fn put(store: SocketAddr, name: KvName, blocks: Vec<u64>, timeout: Duration) {
-    let req = request(Method::PUT, store, &name, &blocks);
+pub(super) async fn put(
+    store: SocketAddr,
+    namespace: KvNamespace,
+    blocks: Vec<u64>,
+    timeout: Duration,
+) {
+    let req = request(Method::PUT, store, &namespace, &blocks);
     if !matches!(tokio::time::timeout(timeout, caller::send(store, req)).await, Ok(Ok(_))) {
-        log::debug!("the store at {store} took no evicted blocks");
+        log::debug!("failed to put evicted blocks: store {store}");
     }
 }
 
-async fn ask(source: SocketAddr, req: Request<Full<Bytes>>) -> Option<Found> {
+async fn send_fetch(source: SocketAddr, req: Request<Full<Bytes>>) -> Option<FetchResponse> {
     let response = caller::send(source, req).await.ok()?;
     if response.status() != StatusCode::OK {
         return None;
@@ -104,18 +118,18 @@
 fn request(
     method: Method,
     address: SocketAddr,
-    name: &KvName,
+    namespace: &KvNamespace,
     blocks: &[u64],
 ) -> Request<Full<Bytes>> {
     let blocks: Vec<_> = blocks.iter().map(|block| format!("{block:016x}")).collect();
     Request::builder()
         .method(method)
-        .uri(format!("{PATH}{}/{}", name.salt, blocks.join(",")))
+        .uri(format!("{KV_PATH_PREFIX}{}/{}", namespace.salt, blocks.join(",")))
         .header(HOST, address.to_string())
-        .header(MODEL, &name.model)
-        .header(WEIGHTS, &name.weights)
+        .header(MODEL_HEADER, &namespace.model)
+        .header(WEIGHTS_HEADER, &namespace.weights)
         .body(Full::default())
-        .expect("the request's parts are valid")
+        .expect("a valid request")
 }
 
 fn header<'a, B>(req: &'a Request<B>, name: &str) -> Option<&'a str> {
--- a/crates/bench/src/fake/kept_kv.rs
+++ b/crates/bench/src/fake/kv_store.rs
@@ -7,40 +7,40 @@
 use hyper::{Method, Request, Response, StatusCode, body::Incoming};
 
 use super::{
-    kv::{self, KvName},
-    server::{FakeBody, Server, whole},
+    kv::{self, KvNamespace},
+    server::{FakeBody, Server, full_response},
 };
 
-/// A store of kept KV: blocks that engines evicted, least recently used out first.
+/// A store of KV blocks that engines evicted, itself with LRU eviction.
 pub struct KvStore {
     server: Server,
     state: Arc<Mutex<State>>,
 }
 
-/// What a store of kept KV counted.
+/// Counters of a KV store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KvStoreCounts {
-    /// Fetches asked for.
+    /// Fetches received.
     pub gets: u64,
-    /// Fetches that found a block at least.
+    /// Fetches that found at least one block.
     pub hits: u64,
-    /// Blocks that came in.
+    /// Blocks received.
     pub puts: u64,
-    /// Blocks held.
+    /// Blocks stored now.
     pub held: u64,
 }
 
 struct State {
     capacity: usize,
     clock: u64,
-    blocks: HashMap<u64, Kept>,
+    blocks: HashMap<u64, StoredBlock>,
     order: BTreeMap<u64, u64>,
     counts: KvStoreCounts,
 }
 
-struct Kept {
-    name: KvName,
-    used: u64,
+struct StoredBlock {
+    namespace: KvNamespace,
+    last_used: u64,
 }
 
 impl KvStore {
@@ -56,8 +56,8 @@
         let handler = {
             let state = Arc::clone(&state);
             move |req: Request<Incoming>| {
-                let answer = lock(&state).answer(&req);
-                async move { answer }
+                let response = lock(&state).handle_request(&req);
+                async move { response }
             }
         };
         Self { server: Server::start(handler), state }
@@ -68,7 +68,7 @@
         self.server.address()
     }
 
-    /// Returns what it counted.
+    /// Returns its counters.
     pub fn counts(&self) -> KvStoreCounts {
         let state = lock(&self.state);
         KvStoreCounts { held: state.blocks.len() as u64, ..state.counts }
@@ -76,27 +76,27 @@
 }
 
 impl State {
-    fn answer(&mut self, req: &Request<Incoming>) -> Response<FakeBody> {
-        let Some((name, blocks)) = kv::parse(req) else {
-            return whole(StatusCode::NOT_FOUND, "{}");
+    fn handle_request(&mut self, req: &Request<Incoming>) -> Response<FakeBody> {
+        let Some((namespace, blocks)) = kv::parse(req) else {
+            return full_response(StatusCode::NOT_FOUND, "{}");
         };
         if req.method() == Method::PUT {
-            self.put(&name, &blocks);
-            return whole(StatusCode::NO_CONTENT, "");
+            self.put(&namespace, &blocks);
+            return full_response(StatusCode::NO_CONTENT, "");
         }
         self.counts.gets += 1;
-        let held = self.leading(&name, &blocks);
+        let held = self.prefix_len(&namespace, &blocks);
         let Some(first) = blocks.first().filter(|_| held != 0) else {
-            return whole(StatusCode::NOT_FOUND, "{}");
+            return full_response(StatusCode::NOT_FOUND, "{}");
         };
         self.counts.hits += 1;
-        kv::found(&self.blocks[first].name, held)
+        kv::fetch_response(&self.blocks[first].namespace, held)
     }
 
-    fn put(&mut self, name: &KvName, blocks: &[u64]) {
+    fn put(&mut self, namespace: &KvNamespace, blocks: &[u64]) {
         self.counts.puts += blocks.len() as u64;
         for &block in blocks {
-            self.use_block(block, name.clone());
+            self.insert_or_touch(block, namespace.clone());
         }
         while self.capacity < self.blocks.len() {
             let Some((_, oldest)) = self.order.pop_first() else { return };
@@ -104,20 +104,24 @@
         }
     }
 
-    /// Returns how many of the first `blocks` are held under exactly `name`.
-    fn leading(&mut self, name: &KvName, blocks: &[u64]) -> usize {
-        let is_held = |block: &&u64| self.blocks.get(block).is_some_and(|kept| kept.name == *name);
-        let held = blocks.iter().take_while(is_held).count();
+    /// Returns how many leading blocks of `blocks` are stored in exactly this namespace.
+    fn prefix_len(&mut self, namespace: &KvNamespace, blocks: &[u64]) -> usize {
+        let is_stored = |block: &&u64| {
+            self.blocks.get(block).is_some_and(|stored| stored.namespace == *namespace)
+        };
+        let held = blocks.iter().take_while(is_stored).count();
         for &block in &blocks[..held] {
-            self.use_block(block, name.clone());
+            self.insert_or_touch(block, namespace.clone());
         }
         held
     }
 
-    fn use_block(&mut self, block: u64, name: KvName) {
+    fn insert_or_touch(&mut self, block: u64, namespace: KvNamespace) {
         self.clock += 1;
-        if let Some(before) = self.blocks.insert(block, Kept { name, used: self.clock }) {
-            self.order.remove(&before.used);
+        if let Some(previous) =
+            self.blocks.insert(block, StoredBlock { namespace, last_used: self.clock })
+        {
+            self.order.remove(&previous.last_used);
         }
         self.order.insert(self.clock, block);
     }
--- a/crates/bench/src/fake/mod.rs
+++ b/crates/bench/src/fake/mod.rs
@@ -1,4 +1,4 @@
-//! Small stand-ins for the systems around the router.
+//! Fake engines, services and KV store that the router sends requests to.
 
 mod announcer;
 mod cache;
@@ -6,8 +6,8 @@
 mod engine;
 mod generation;
 mod job;
-mod kept_kv;
 mod kv;
+mod kv_store;
 mod server;
 mod service;
 mod streams;
@@ -19,7 +19,7 @@
     cache::{BlockCache, Lookup, block_hashes},
     counts::EngineCounts,
     engine::{Engine, EngineConfig},
-    kept_kv::{KvStore, KvStoreCounts},
+    kv_store::{KvStore, KvStoreCounts},
     server::Server,
     service::{Service, ServiceCounts},
     tally::{SharedTally, Tally},
--- a/crates/bench/src/fake/server.rs
+++ b/crates/bench/src/fake/server.rs
@@ -17,16 +17,16 @@
 };
 use hyper_util::rt::TokioIo;
 
-/// Body of a fake's answer.
+/// Body of a fake's response.
 pub type FakeBody = Either<Full<Bytes>, StreamBody<FrameStream>>;
 
-/// Pieces of a streamed answer.
+/// Chunks of a streaming response.
 pub type FrameStream = futures_util::stream::Map<
     flume::r#async::RecvStream<'static, Bytes>,
     fn(Bytes) -> Result<Frame<Bytes>, Infallible>,
 >;
 
-/// An HTTP server on a thread of its own; its connections end when it is dropped.
+/// An HTTP server on its own thread; dropping it closes its connections.
 pub struct Server {
     address: SocketAddr,
     stop: Option<flume::Sender<()>>,
@@ -34,7 +34,7 @@
 }
 
 impl Server {
-    /// Starts a server that answers with `handler`.
+    /// Starts a server that handles requests with `handler`.
     ///
     /// # Panics
     ///
@@ -46,12 +46,12 @@
     {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port is free");
         let address = listener.local_addr().expect("a bound listener has an address");
-        listener.set_nonblocking(true).expect("a listener can be made non-blocking");
+        listener.set_nonblocking(true).expect("a listener can be set to non-blocking");
         let (stop_tx, stop_rx) = flume::bounded(1);
         let thread = std::thread::Builder::new()
             .name("fake".into())
             .spawn(move || serve(listener, handler, stop_rx))
-            .expect("a thread can be made");
+            .expect("a thread can be started");
         Self { address, stop: Some(stop_tx), thread: Some(thread) }
     }
 
@@ -78,7 +78,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime can be made");
+        .expect("a runtime can be built");
     let tasks = tokio::task::LocalSet::new();
     tasks.block_on(&runtime, async move {
         let handler = Rc::new(handler);
@@ -98,8 +98,8 @@
         let _ = stream.set_nodelay(true);
         let handler = Rc::clone(&handler);
         let service = service_fn(move |req| {
-            let answer = handler(req);
-            async move { Ok::<_, Infallible>(answer.await) }
+            let response = handler(req);
+            async move { Ok::<_, Infallible>(response.await) }
         });
         tokio::task::spawn_local(
             http1::Builder::new().serve_connection(TokioIo::new(stream), service),
@@ -107,8 +107,8 @@
     }
 }
 
-/// Returns an answer with a whole body.
-pub(super) fn whole(status: StatusCode, body: impl Into<Bytes>) -> Response<FakeBody> {
+/// Returns a response with a complete body.
+pub(super) fn full_response(status: StatusCode, body: impl Into<Bytes>) -> Response<FakeBody> {
     let mut response = Response::new(Either::Left(Full::new(body.into())));
     *response.status_mut() = status;
     let json = "application/json".parse().expect("a valid header");
@@ -116,8 +116,8 @@
     response
 }
 
-/// Returns an answer whose body is written into the ring.
-pub(super) fn streamed(rx: flume::Receiver<Bytes>) -> Response<FakeBody> {
+/// Returns a response whose body is received from a channel.
+pub(super) fn streaming_response(rx: flume::Receiver<Bytes>) -> Response<FakeBody> {
     let frame: fn(Bytes) -> Result<Frame<Bytes>, Infallible> = |bytes| Ok(Frame::data(bytes));
     let mut response = Response::new(Either::Right(StreamBody::new(rx.into_stream().map(frame))));
     let events = "text/event-stream".parse().expect("a valid header");
--- a/crates/bench/src/fake/service.rs
+++ b/crates/bench/src/fake/service.rs
@@ -9,20 +9,20 @@
 use hyper::{Method, Request, Response, StatusCode, body::Incoming};
 use serde_json::json;
 
-use super::server::{FakeBody, Server, whole};
+use super::server::{FakeBody, Server, full_response};
 
-/// A plain service that runs orders and tells their status.
+/// A plain HTTP service that runs orders and returns their status.
 pub struct Service {
     server: Server,
     counts: ServiceCounts,
 }
 
-/// How often each order ran, over all endpoints of a service.
+/// Number of runs of each order, over all endpoints of a service.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceCounts(Arc<Mutex<HashMap<String, u64>>>);
 
 impl ServiceCounts {
-    /// Returns how often the order with `key` ran.
+    /// Returns how often the order with this idempotency key ran.
     pub fn runs(&self, key: &str) -> u64 {
         self.lock().get(key).copied().unwrap_or(0)
     }
@@ -32,12 +32,12 @@
         self.lock().values().filter(|&&runs| 1 < runs).count() as u64
     }
 
-    /// Returns how many orders ran.
+    /// Returns how many orders ran at least once.
     pub fn orders(&self) -> u64 {
         self.lock().len() as u64
     }
 
-    fn run(&self, key: &str) -> u64 {
+    fn record_run(&self, key: &str) -> u64 {
         let mut orders = self.lock();
         let runs = orders.entry(key.to_owned()).or_default();
         *runs += 1;
@@ -50,11 +50,11 @@
 }
 
 impl Service {
-    /// Starts a service that takes `span` for a call and counts into `counts`.
-    pub fn start(span: Duration, counts: ServiceCounts) -> Self {
+    /// Starts a service that delays each response by `delay` and counts runs in `counts`.
+    pub fn start(delay: Duration, counts: ServiceCounts) -> Self {
         let handler = {
             let counts = counts.clone();
-            move |req| answer(counts.clone(), span, req)
+            move |req| handle_request(counts.clone(), delay, req)
         };
         Self { server: Server::start(handler), counts }
     }
@@ -64,30 +64,30 @@
         self.server.address()
     }
 
-    /// Returns what it counted.
+    /// Returns its counters.
     pub fn counts(&self) -> &ServiceCounts {
         &self.counts
     }
 }
 
-/// Runs an order as soon as its body has arrived, then takes its time to answer.
-async fn answer(
+/// Runs an order as soon as its body has arrived, and responds after `delay`.
+async fn handle_request(
     counts: ServiceCounts,
-    span: Duration,
+    delay: Duration,
     req: Request<Incoming>,
 ) -> Response<FakeBody> {
     let (parts, body) = req.into_parts();
     if body.collect().await.is_err() {
-        return whole(StatusCode::BAD_REQUEST, "{}");
+        return full_response(StatusCode::BAD_REQUEST, "{}");
     }
     if parts.method == Method::GET {
-        tokio::time::sleep(span).await;
+        tokio::time::sleep(delay).await;
         let path = parts.uri.path();
-        return whole(StatusCode::OK, json!({"path": path, "status": "known"}).to_string());
+        return full_response(StatusCode::OK, json!({"path": path, "status": "known"}).to_string());
     }
     let key = parts.headers.get("idempotency-key").and_then(|key| key.to_str().ok());
     let key = key.unwrap_or_default().to_owned();
-    let run = counts.run(&key);
-    tokio::time::sleep(span).await;
-    whole(StatusCode::CREATED, json!({"order": key, "run": run}).to_string())
+    let run = counts.record_run(&key);
+    tokio::time::sleep(delay).await;
+    full_response(StatusCode::CREATED, json!({"order": key, "run": run}).to_string())
 }
--- a/crates/bench/src/fake/streams.rs
+++ b/crates/bench/src/fake/streams.rs
@@ -8,24 +8,24 @@
 
 use super::cache::Lookup;
 
-/// Time that a stream is held after its reader has gone or it has ended.
-const HOLD: Duration = Duration::from_secs(10);
+/// Time for which a stream is retained after its reader disconnected or it ended.
+const STREAM_RETENTION: Duration = Duration::from_secs(10);
 
-/// What names a stream: only who shows the same salt may resume it.
+/// Key of a stream; it includes the salt, so that only the same organisation can resume it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct StreamKey {
     pub request: String,
     pub salt: String,
 }
 
-/// The streams that an engine generates, or holds for a reader that comes back.
+/// The streams that an engine generates, or retains for a reader that reconnects.
 ///
 /// A stream without a reader generates nothing.
 #[derive(Default)]
-pub(super) struct Streams(Mutex<Held>);
+pub(super) struct Streams(Mutex<StreamTable>);
 
 #[derive(Default)]
-struct Held {
+struct StreamTable {
     last_reader: u64,
     streams: HashMap<StreamKey, Stream>,
 }
@@ -36,35 +36,35 @@
     lookup: Lookup,
     limit: usize,
     tokens: Vec<String>,
-    /// The text of each answer asked for.
+    /// The text of each requested choice.
     generations: Vec<Generation>,
-    held_until: Option<Instant>,
+    retained_until: Option<Instant>,
 }
 
-/// The right to read a stream, until another reader takes it over.
+/// A reader of a stream; valid until another reader takes the stream over.
 #[derive(Clone, Debug)]
 pub(super) struct Reader {
     key: StreamKey,
     number: u64,
-    /// What the prompt found in the cache.
+    /// The prompt's cache lookup.
     pub lookup: Lookup,
-    /// Tokens to generate.
+    /// Number of tokens to generate.
     pub limit: usize,
-    /// Answers to generate.
+    /// Number of choices to generate.
     pub choices: usize,
 }
 
 /// Why a stream can't be resumed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum NotHeld {
-    /// It was never here, or was dropped.
+pub(super) enum ResumeError {
+    /// It never existed here or is no longer retained.
     Gone,
-    /// It follows another prompt.
+    /// It continues another prompt.
     OtherPrompt,
 }
 
 impl Streams {
-    /// Begins a stream of `choices` answers to `prompt`, of `limit` tokens together.
+    /// Starts a stream of `choices` completions of `prompt`, of `limit` tokens in total.
     pub(super) fn begin(
         &self,
         key: StreamKey,
@@ -73,9 +73,9 @@
         limit: usize,
         lookup: Lookup,
     ) -> Reader {
-        let mut held = self.lock();
-        held.last_reader += 1;
-        let number = held.last_reader;
+        let mut table = self.lock();
+        table.last_reader += 1;
+        let number = table.last_reader;
         let stream = Stream {
             reader: number,
             prompt: prompt.to_vec(),
@@ -83,31 +83,31 @@
             limit,
             tokens: Vec::new(),
             generations: (0..choices).map(|choice| generation(prompt, choice)).collect(),
-            held_until: None,
+            retained_until: None,
         };
-        held.streams.insert(key.clone(), stream);
+        table.streams.insert(key.clone(), stream);
         Reader { key, number, lookup, limit, choices: choices as usize }
     }
 
     /// Takes over a stream whose prompt begins with `prompt`.
-    pub(super) fn resume(&self, key: StreamKey, prompt: &[u8]) -> Result<Reader, NotHeld> {
-        let mut held = self.lock();
+    pub(super) fn resume(&self, key: StreamKey, prompt: &[u8]) -> Result<Reader, ResumeError> {
+        let mut table = self.lock();
         let now = Instant::now();
-        held.streams.retain(|_, stream| stream.held_until.is_none_or(|until| now < until));
-        held.last_reader += 1;
-        let number = held.last_reader;
-        let stream = held.streams.get_mut(&key).ok_or(NotHeld::Gone)?;
+        table.streams.retain(|_, stream| stream.retained_until.is_none_or(|until| now < until));
+        table.last_reader += 1;
+        let number = table.last_reader;
+        let stream = table.streams.get_mut(&key).ok_or(ResumeError::Gone)?;
         if !stream.prompt.starts_with(prompt) {
-            return Err(NotHeld::OtherPrompt);
+            return Err(ResumeError::OtherPrompt);
         }
         stream.reader = number;
-        stream.held_until = None;
+        stream.retained_until = None;
         let Stream { lookup, limit, .. } = *stream;
         let choices = stream.generations.len();
         Ok(Reader { key, number, lookup, limit, choices })
     }
 
-    /// Returns whether no other reader has taken the stream over.
+    /// Returns whether the stream still belongs to this reader.
     pub(super) fn is_current(&self, reader: &Reader) -> bool {
         self.lock().streams.get(&reader.key).is_some_and(|stream| stream.reader == reader.number)
     }
@@ -117,11 +117,11 @@
         self.lock().streams.get(&reader.key)?.tokens.get(i).cloned()
     }
 
-    /// Generates tokens up to token `i` and returns how many that took, unless another reader has
-    /// the stream.
+    /// Generates tokens up to token `i` and returns how many were new, unless another reader has
+    /// taken over the stream.
     pub(super) fn generate(&self, reader: &Reader, i: usize) -> u64 {
-        let mut held = self.lock();
-        let Some(stream) = held.streams.get_mut(&reader.key) else { return 0 };
+        let mut table = self.lock();
+        let Some(stream) = table.streams.get_mut(&reader.key) else { return 0 };
         if stream.reader != reader.number {
             return 0;
         }
@@ -134,22 +134,22 @@
         (stream.tokens.len() - before) as u64
     }
 
-    /// Holds the stream for a while, unless another reader has it.
+    /// Starts the stream's retention time, unless another reader has taken it over.
     pub(super) fn end(&self, reader: &Reader) {
-        let mut held = self.lock();
-        if let Some(stream) = held.streams.get_mut(&reader.key)
+        let mut table = self.lock();
+        if let Some(stream) = table.streams.get_mut(&reader.key)
             && stream.reader == reader.number
         {
-            stream.held_until = Some(Instant::now() + HOLD);
+            stream.retained_until = Some(Instant::now() + STREAM_RETENTION);
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Held> {
+    fn lock(&self) -> MutexGuard<'_, StreamTable> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Returns the text of an answer; each but the first is made different by its number.
+/// Returns the text of a choice; its number makes each but the first different.
 fn generation(prompt: &[u8], choice: u32) -> Generation {
     if choice == 0 {
         return Generation::after(prompt);
--- a/crates/bench/src/fake/tally.rs
+++ b/crates/bench/src/fake/tally.rs
@@ -1,4 +1,4 @@
-//! What all fake engines of a site count together, and whose salts they see.
+//! Counters shared by all fake engines of a site, and a check of their cache salts.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -8,40 +8,42 @@
 
 use super::EngineConfig;
 
-/// Start of the prompt's line that names the organisation.
-const ORGANISATION_LINE: &[u8] = b"organisation ";
+/// Prefix of the prompt's line that names the organisation.
+const ORGANISATION_LINE_PREFIX: &[u8] = b"organisation ";
 
-/// What all fake engines of a site count together.
+/// Counters shared by all fake engines of a site.
 #[derive(Debug, Default)]
 pub struct Tally {
-    /// Every block computed so far.
+    /// Hashes of every block computed so far.
     pub computed: HashSet<u64>,
     /// The owner of each cache salt.
     pub salts: HashMap<String, String>,
     /// Requests whose salt was missing or belonged to another owner.
     pub wrong_salts: u64,
-    /// Fetched blocks whose name was not that of the request.
+    /// Fetches whose blocks belong to another namespace than the request's.
     pub wrong_transfers: u64,
     /// Time from a request's arrival to its first token, by request id.
     pub first_tokens: HashMap<String, Duration>,
 }
 
 impl Tally {
-    /// Counts a salt that is missing, or that another owner uses.
+    /// Counts a salt that is missing or that another owner uses.
     ///
-    /// The owner is the organisation that the prompt names, with the weights version.
+    /// The owner is the organisation named in the prompt, with the model and weights version.
     pub(super) fn check_salt(&mut self, cfg: &EngineConfig, salt: &str, prompt: &[u8]) {
         let mut lines = prompt.split(|&byte| byte == b'\n');
-        let named = lines.find(|line| line.starts_with(ORGANISATION_LINE)).unwrap_or_default();
-        let owner = format!("{} {} {}", String::from_utf8_lossy(named), cfg.model, cfg.weights);
-        let known = self.salts.entry(salt.to_owned()).or_insert_with(|| owner.clone());
-        if salt.is_empty() || *known != owner {
+        let organisation =
+            lines.find(|line| line.starts_with(ORGANISATION_LINE_PREFIX)).unwrap_or_default();
+        let owner =
+            format!("{} {} {}", String::from_utf8_lossy(organisation), cfg.model, cfg.weights);
+        let salt_owner = self.salts.entry(salt.to_owned()).or_insert_with(|| owner.clone());
+        if salt.is_empty() || *salt_owner != owner {
             self.wrong_salts += 1;
         }
     }
 }
 
-/// A tally that engines and the load generator share.
+/// Handle to a tally that engines and the load generator share.
 #[derive(Clone, Debug, Default)]
 pub struct SharedTally(Arc<Mutex<Tally>>);
 
--- a/crates/bench/src/fake/transfers.rs
+++ b/crates/bench/src/fake/transfers.rs
@@ -1,56 +1,61 @@
-//! Cached blocks that a fake engine gives to others, fetches from them, or puts into a store.
+//! Transfer of cached blocks between fake engines, and from them to a store.
 
 use hyper::{Request, Response, StatusCode, body::Incoming};
 
 use super::{
-    cache::{BLOCK_TOKENS, Evicted, block_hashes},
+    cache::{BLOCK_TOKENS, EvictedBlock, block_hashes},
     engine::State,
     job::Job,
-    kv::{self, KvName},
-    server::{FakeBody, whole},
+    kv::{self, KvNamespace},
+    server::{FakeBody, full_response},
 };
 
-/// Fewest missing blocks for which another place is asked.
+/// Minimum number of missing blocks for which a fetch is made.
 const MIN_FETCHED_BLOCKS: usize = 4;
 
 impl State {
-    /// Gives blocks to another engine, if this one is what it asks for.
+    /// Responds to another engine's fetch of blocks if it is addressed to this endpoint, incarnation
+    /// and namespace.
     pub(super) fn export(
         &self,
         req: &Request<Incoming>,
-        name: &KvName,
+        namespace: &KvNamespace,
         blocks: &[u64],
     ) -> Response<FakeBody> {
-        let own = self.kv_name(&name.salt);
-        if own != *name || !kv::is_for(req, self.cfg.id.as_str(), self.cfg.incarnation) {
-            return whole(StatusCode::CONFLICT, "{}");
+        let own = self.kv_namespace(&namespace.salt);
+        if own != *namespace
+            || !kv::is_addressed_to(req, self.cfg.id.as_str(), self.cfg.incarnation)
+        {
+            return full_response(StatusCode::CONFLICT, "{}");
         }
-        match self.lock().cache.leading(&name.salt, blocks) {
-            0 => whole(StatusCode::NOT_FOUND, "{}"),
-            held => kv::found(&own, held),
+        match self.lock().cache.prefix_len(&namespace.salt, blocks) {
+            0 => full_response(StatusCode::NOT_FOUND, "{}"),
+            held => kv::fetch_response(&own, held),
         }
     }
 
-    /// Fetches the blocks that the request says another place holds and this engine lacks.
+    /// Fetches the blocks that this engine lacks from the source given in the request.
     ///
-    /// Whatever goes wrong is a miss.
+    /// Any failure counts as a cache miss.
     pub(super) async fn import(&self, job: &Job) {
         let Some(transfer) = &job.transfer else { return };
-        let name = self.kv_name(&job.salt);
-        let named = (transfer.salt.as_str(), transfer.model.as_str(), transfer.weights.as_str());
-        if named != (&name.salt, &name.model, &name.weights) {
+        let namespace = self.kv_namespace(&job.salt);
+        let requested =
+            (transfer.salt.as_str(), transfer.model.as_str(), transfer.weights.as_str());
+        if requested != (&namespace.salt, &namespace.model, &namespace.weights) {
             return;
         }
         let mut blocks = block_hashes(&job.salt, &job.prompt);
         blocks.truncate(transfer.blocks.as_u64() as usize);
-        let held = self.lock().cache.leading(&job.salt, &blocks);
+        let held = self.lock().cache.prefix_len(&job.salt, &blocks);
         if blocks.len() - held < MIN_FETCHED_BLOCKS {
             return;
         }
         self.lock().counts.fetches += 1;
-        let fetched = kv::fetch(transfer, &name, &blocks[held..], self.cfg.fetch_timeout).await;
-        let Some((found, count)) = fetched else { return };
-        if found != name {
+        let fetched =
+            kv::fetch(transfer, &namespace, &blocks[held..], self.cfg.fetch_timeout).await;
+        let Some((fetched_namespace, count)) = fetched else { return };
+        if fetched_namespace != namespace {
             self.tally.lock().wrong_transfers += 1;
             return;
         }
@@ -59,22 +64,22 @@
         inner.counts.fetched_tokens += (count * BLOCK_TOKENS) as u64;
         inner.cache.import(&job.salt, &blocks[..held + count]);
         let evicted = inner.cache.take_evicted();
-        self.keep(evicted);
+        self.store_evicted(evicted);
     }
 
     /// Puts evicted blocks into the store, if there is one.
-    pub(super) fn keep(&self, evicted: Vec<Evicted>) {
+    pub(super) fn store_evicted(&self, evicted: Vec<EvictedBlock>) {
         let Some(store) = self.cfg.kv_store else { return };
         for evicted in evicted.chunk_by(|a, b| a.salt == b.salt) {
             let blocks = evicted.iter().map(|evicted| evicted.block).collect();
-            let name = self.kv_name(&evicted[0].salt);
+            let namespace = self.kv_namespace(&evicted[0].salt);
             let timeout = self.cfg.fetch_timeout;
-            tokio::task::spawn_local(kv::put(store, name, blocks, timeout));
+            tokio::task::spawn_local(kv::put(store, namespace, blocks, timeout));
         }
     }
 
-    fn kv_name(&self, salt: &str) -> KvName {
-        KvName {
+    fn kv_namespace(&self, salt: &str) -> KvNamespace {
+        KvNamespace {
             salt: salt.to_owned(),
             model: self.cfg.model.to_string(),
             weights: self.cfg.weights.to_string(),
