--- a/crates/bench/src/slopes/cache.rs
+++ b/crates/bench/src/slopes/cache.rs
@@ -1,4 +1,4 @@
-//! The index of cached blocks, and the events that fill it.
+//! The prefix index and the cache events that update it.
 
 use std::time::{Duration, Instant};
 
@@ -12,15 +12,15 @@
 
 use super::Slope;
 
-const HOLDINGS: [usize; 5] = [10_000, 50_000, 100_000, 500_000, 1_000_000];
+const INDEX_SIZES: [usize; 5] = [10_000, 50_000, 100_000, 500_000, 1_000_000];
 const EVENT_BLOCKS: [usize; 5] = [1, 4, 16, 32, 64];
-const RATES: [usize; 4] = [10_000, 50_000, 250_000, 1_000_000];
+const EVENT_RATES: [usize; 4] = [10_000, 50_000, 250_000, 1_000_000];
 const ENGINES: usize = 1_800;
 
-/// Blocks of one cache event in the measurements of time.
-const BLOCKS: usize = 16;
+/// Blocks of one cache event in the time measurements.
+const BLOCKS_PER_EVENT: usize = 16;
 
-/// Blocks of a prompt looked up.
+/// Blocks of each prompt that is looked up.
 const PROMPT_BLOCKS: usize = 64;
 
 const PROMPTS: usize = 64;
@@ -28,30 +28,29 @@
 
 const MIB: f64 = 1_048_576.0;
 
-/// A cache event with the fields that an engine publishes.
+/// A cache event as an engine publishes it.
 #[derive(Serialize)]
-struct Published {
+struct PublishedEvent {
     incarnation: u64,
     sequence: u64,
     stored: Vec<u64>,
 }
 
-/// Measures the index and its events.
+/// Measures the index and the cache events.
 pub(super) fn slopes() -> Vec<Slope> {
     let indexes: Vec<_> =
-        HOLDINGS.iter().map(|&holdings| (holdings, Filled::new(holdings))).collect();
+        INDEX_SIZES.iter().map(|&entries| (entries, FullIndex::new(entries))).collect();
     let memory = indexes
         .iter()
-        .map(|(holdings, filled)| [*holdings as f64, filled.index.memory().as_u64() as f64 / MIB]);
-    let lookups =
-        indexes.iter().map(|(holdings, filled)| [*holdings as f64, filled.lookup_micros()]);
-    let encoded = |write: fn(&Published) -> usize| {
-        EVENT_BLOCKS.iter().map(|&n| [n as f64, write(&published(n)) as f64]).collect()
+        .map(|(entries, filled)| [*entries as f64, filled.index.memory().as_u64() as f64 / MIB]);
+    let lookups = indexes.iter().map(|(entries, filled)| [*entries as f64, filled.lookup_micros()]);
+    let event_sizes = |encoded_len: fn(&PublishedEvent) -> usize| {
+        EVENT_BLOCKS.iter().map(|&n| [n as f64, encoded_len(&published_event(n)) as f64]).collect()
     };
-    let postcard = encoded(|event| postcard::to_stdvec(event).map_or(0, |bytes| bytes.len()));
-    let json = encoded(|event| serde_json::to_vec(event).map_or(0, |bytes| bytes.len()));
-    let mut full = Filled::new(HOLDINGS[HOLDINGS.len() - 1]);
-    let rates = RATES.iter().map(|&blocks| [blocks as f64, full.apply(blocks).as_secs_f64()]);
+    let postcard = event_sizes(|event| postcard::to_stdvec(event).map_or(0, |bytes| bytes.len()));
+    let json = event_sizes(|event| serde_json::to_vec(event).map_or(0, |bytes| bytes.len()));
+    let mut full = FullIndex::new(INDEX_SIZES[INDEX_SIZES.len() - 1]);
+    let rates = EVENT_RATES.iter().map(|&blocks| [blocks as f64, full.apply(blocks).as_secs_f64()]);
     vec![
         Slope::fit("blocks/index memory", "holdings", "MiB", memory.collect()),
         Slope::fit("blocks/lookup of 64 blocks", "holdings", "µs", lookups.collect()),
@@ -61,17 +60,17 @@
     ]
 }
 
-fn published(blocks: usize) -> Published {
+fn published_event(blocks: usize) -> PublishedEvent {
     let mut rng = Pcg64Mcg::seed_from_u64(3);
-    Published {
+    PublishedEvent {
         incarnation: 1_764_800_000,
         sequence: 10_000_000,
         stored: (0..blocks).map(|_| rng.random()).collect(),
     }
 }
 
-/// A full index.
-struct Filled {
+/// An index that holds its maximum number of entries.
+struct FullIndex {
     index: WarmIndex,
     slots: Vec<Slot>,
     prompts: Vec<Chain>,
@@ -79,9 +78,9 @@
     rng: Pcg64Mcg,
 }
 
-impl Filled {
-    fn new(holdings: usize) -> Self {
-        let memory = ByteCount::new((holdings * WarmIndex::ENTRY_BYTES) as u64);
+impl FullIndex {
+    fn new(entries: usize) -> Self {
+        let memory = ByteCount::new((entries * WarmIndex::ENTRY_BYTES) as u64);
         let mut index = WarmIndex::new(IndexSettings { memory, ..IndexSettings::default() });
         let bind = |engine| {
             let id = format!("engine-{engine}").parse().expect("a valid id");
@@ -91,36 +90,38 @@
         let prompts = (0..PROMPTS).map(prompt).collect();
         let rng = Pcg64Mcg::seed_from_u64(8);
         let mut filled = Self { index, slots, prompts, sequence: 0, rng };
-        filled.apply(holdings);
+        filled.apply(entries);
         for (chain, slot) in filled.prompts.iter().zip(&filled.slots) {
             filled.index.record_sent(now(), *slot, chain);
         }
         filled
     }
 
-    /// Returns the time to apply events with so many blocks in all.
+    /// Returns the time to apply events with `blocks` blocks in total.
     fn apply(&mut self, blocks: usize) -> Duration {
-        let life = Incarnation::new(1);
-        let events: Vec<_> = (0..blocks / BLOCKS)
+        let incarnation = Incarnation::new(1);
+        let events: Vec<_> = (0..blocks / BLOCKS_PER_EVENT)
             .map(|_| {
-                CacheEvent::Stored((0..BLOCKS).map(|_| BlockHash::new(self.rng.random())).collect())
+                CacheEvent::Stored(
+                    (0..BLOCKS_PER_EVENT).map(|_| BlockHash::new(self.rng.random())).collect(),
+                )
             })
             .collect();
         let begun = Instant::now();
         for event in &events {
             self.sequence += 1;
             let slot = self.slots[self.sequence as usize % ENGINES];
-            self.index.apply(now(), slot, life, Sequence::new(self.sequence), event);
+            self.index.apply(now(), slot, incarnation, Sequence::new(self.sequence), event);
         }
         begun.elapsed()
     }
 
-    /// Returns the mean time to find the believed prefix of a prompt at all engines.
+    /// Returns the mean time to look up a prompt's cached prefix on all engines.
     fn lookup_micros(&self) -> f64 {
-        let mut warmth = PrefixMatches::default();
+        let mut matches = PrefixMatches::default();
         let begun = Instant::now();
         for lookup in 0..LOOKUPS {
-            self.index.match_prefix(now(), &self.prompts[lookup % PROMPTS], &mut warmth);
+            self.index.match_prefix(now(), &self.prompts[lookup % PROMPTS], &mut matches);
         }
         begun.elapsed().as_secs_f64() * 1e6 / LOOKUPS as f64
     }
@@ -135,7 +136,7 @@
     chain(numbers)
 }
 
-/// Returns the chain of a prompt that has a number in each block.
+/// Returns the chain of a prompt with one number in each block.
 pub(super) fn chain(numbers: impl Iterator<Item = usize>) -> Chain {
     let text: Vec<u8> = numbers.flat_map(|number| (number as u64).to_le_bytes()).collect();
     let salt = Salt::new(
--- a/crates/bench/src/slopes/claims.rs
+++ b/crates/bench/src/slopes/claims.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated: two commits each, the claim and the outcome.
+//! Calls under an idempotency key: two commits each, one for the claim and one for the outcome.
 
 use std::{
     hint::black_box,
@@ -17,32 +17,32 @@
 
 use super::{Slope, voters::Voters};
 
-const BATCHES: [usize; 5] = [1, 8, 32, 64, 128];
-const KEPT: [usize; 5] = [1_024, 8_192, 16_384, 32_768, 65_536];
-const VOTERS: [usize; 4] = [3, 5, 7, 9];
+const BATCH_SIZES: [usize; 5] = [1, 8, 32, 64, 128];
+const STORED_CALLS: [usize; 5] = [1_024, 8_192, 16_384, 32_768, 65_536];
+const QUORUM_SIZES: [usize; 4] = [3, 5, 7, 9];
 
-/// Voters of the measurements by batch.
-const QUORUM: usize = 5;
+/// Voters in the measurements by batch size.
+const BATCH_VOTERS: usize = 5;
 
-/// Calls of each measurement, about.
+/// Approximate number of calls of each measurement.
 const CALLS: usize = 4_096;
 
-/// Batches of each measurement.
-const ROUNDS: RangeInclusive<usize> = 32..=256;
+/// Bounds of the number of batches of each measurement.
+const BATCHES_PER_MEASUREMENT: RangeInclusive<usize> = 32..=256;
 
-/// Organisations that the calls belong to.
+/// Number of organisations that the calls belong to.
 const ORGANISATIONS: u64 = 3_100;
 
-/// Bytes of an answer kept.
-const ANSWER_BYTES: usize = 200;
+/// Body size of a stored response.
+const RESPONSE_BYTES: usize = 200;
 
-/// Virtual time of the measurement of heartbeats.
-const HEARTBEATS: Duration = Duration::from_secs(10);
+/// Virtual time over which heartbeats are measured.
+const HEARTBEAT_MEASUREMENT_TIME: Duration = Duration::from_secs(10);
 
 const KIB: f64 = 1_024.0;
 
-/// What one size of batch showed, a batch.
-struct Batch {
+/// Cost of a batch of one size.
+struct BatchCost {
     wire_bytes: f64,
     disk_bytes: f64,
     cpu_millis: f64,
@@ -52,9 +52,9 @@
 
 /// Measures batches, snapshots and heartbeats.
 pub(super) fn slopes() -> eyre::Result<Vec<Slope>> {
-    let batches = BATCHES.map(|calls| measure(calls).map(|batch| (calls, batch)));
+    let batches = BATCH_SIZES.map(|calls| measure(calls).map(|batch| (calls, batch)));
     let batches = batches.into_iter().collect::<eyre::Result<Vec<_>>>()?;
-    let fit = |name, unit_y, y: fn(&Batch) -> f64| {
+    let fit = |name, unit_y, y: fn(&BatchCost) -> f64| {
         let points = batches.iter().map(|(calls, batch)| [*calls as f64, y(batch)]).collect();
         Slope::fit(name, "calls a batch", unit_y, points)
     };
@@ -66,16 +66,17 @@
         fit("claims/time of two commits with 5 syncs each in turn", "ms a batch", |batch| {
             batch.wall_millis
         }),
-        submitted(),
+        leader_requests(),
     ];
     slopes.extend(snapshots());
     slopes.push(heartbeats()?);
     Ok(slopes)
 }
 
-fn measure(calls: usize) -> eyre::Result<Batch> {
-    let mut voters = Voters::led(QUORUM)?;
-    let rounds = (CALLS / calls).clamp(*ROUNDS.start(), *ROUNDS.end());
+fn measure(calls: usize) -> eyre::Result<BatchCost> {
+    let mut voters = Voters::with_leader(BATCH_VOTERS)?;
+    let rounds =
+        (CALLS / calls).clamp(*BATCHES_PER_MEASUREMENT.start(), *BATCHES_PER_MEASUREMENT.end());
     voters.sent_bytes = 0;
     voters.leader_busy = Duration::ZERO;
     let disk = voters.leader_disk_bytes()?;
@@ -88,7 +89,7 @@
     }
     let wall = begun.elapsed();
     let rounds = rounds as f64;
-    Ok(Batch {
+    Ok(BatchCost {
         wire_bytes: voters.sent_bytes as f64 / rounds,
         disk_bytes: (voters.leader_disk_bytes()? - disk) as f64 / rounds,
         cpu_millis: millis(thread_cpu()? - cpu) / rounds,
@@ -97,22 +98,25 @@
     })
 }
 
-/// Returns the bytes between an owner and the leader.
-fn submitted() -> Slope {
+/// Measures the bytes exchanged between an owner and the leader.
+fn leader_requests() -> Slope {
     let send_within = Duration::from_secs(2);
     let claimed = Reply::Claim(ClaimReply::Claimed { send_within });
     let finished = Reply::Finish(FinishReply::Recorded);
-    let exchange = |command, reply| {
+    let exchange_bytes = |command, reply| {
         let request = LeaderRequest::Command(command).to_bytes().len();
         request + LeaderAnswer::Reply(reply).to_bytes().len()
     };
     let bytes = |calls: usize| -> usize {
         let calls = 0..calls as u64;
         calls
-            .map(|n| exchange(claim(n), claimed.clone()) + exchange(finish(n), finished.clone()))
+            .map(|n| {
+                exchange_bytes(claim(n), claimed.clone())
+                    + exchange_bytes(finish(n), finished.clone())
+            })
             .sum()
     };
-    let points = BATCHES.iter().map(|&calls| [calls as f64, bytes(calls) as f64]).collect();
+    let points = BATCH_SIZES.iter().map(|&calls| [calls as f64, bytes(calls) as f64]).collect();
     Slope::fit("claims/requests to the leader and answers", "calls", "bytes", points)
 }
 
@@ -122,18 +126,18 @@
     let mut reads = Vec::new();
     let mut fleet = Fleet::default();
     let mut next = 0;
-    for kept in KEPT {
-        for call in next..kept as u64 {
+    for stored in STORED_CALLS {
+        for call in next..stored as u64 {
             fleet.apply(LogIndex::new(2 * call + 1), &claim(call));
             fleet.apply(LogIndex::new(2 * call + 2), &finish(call));
         }
-        next = kept as u64;
+        next = stored as u64;
         let calls = fleet.ledger().len() as f64;
         let begun = Instant::now();
         let snapshot = fleet.to_snapshot();
         writes.push([calls, millis(begun.elapsed())]);
         let begun = Instant::now();
-        black_box(Fleet::from_snapshot(&snapshot).expect("own bytes can be read"));
+        black_box(Fleet::from_snapshot(&snapshot).expect("decodes what was encoded"));
         reads.push([calls, millis(begun.elapsed())]);
         sizes.push([calls, snapshot.len() as f64 / KIB]);
     }
@@ -144,22 +148,22 @@
     ]
 }
 
-/// Returns the bytes that an idle quorum exchanges.
+/// Measures the bytes that an idle quorum exchanges.
 fn heartbeats() -> eyre::Result<Slope> {
     let mut points = Vec::new();
-    for count in VOTERS {
-        let mut voters = Voters::led(count)?;
+    for count in QUORUM_SIZES {
+        let mut voters = Voters::with_leader(count)?;
         voters.sent_bytes = 0;
-        voters.pass(HEARTBEATS)?;
+        voters.advance(HEARTBEAT_MEASUREMENT_TIME)?;
         points.push([
             (count * (count - 1)) as f64,
-            voters.sent_bytes as f64 / HEARTBEATS.as_secs_f64(),
+            voters.sent_bytes as f64 / HEARTBEAT_MEASUREMENT_TIME.as_secs_f64(),
         ]);
     }
     Ok(Slope::fit("voters/heartbeats at the leader", "voters × followers", "bytes/s", points))
 }
 
-/// Returns a claim of one of many organisations.
+/// Returns the command that claims call `n`.
 pub(super) fn claim(n: u64) -> Command {
     Command::Claim(Claim {
         call: call(n),
@@ -170,18 +174,18 @@
     })
 }
 
-/// Returns the outcome of a claimed call.
+/// Returns the command that records the outcome of call `n`.
 pub(super) fn finish(n: u64) -> Command {
-    let answer = Answer {
+    let response = Answer {
         status: 201,
         content_type: Some("application/json".into()),
-        body: Some(vec![b'a'; ANSWER_BYTES].into()),
+        body: Some(vec![b'a'; RESPONSE_BYTES].into()),
     };
     Command::Finish(Finish {
         call: call(n),
         id: ClaimId::new(u128::from(n) << 64),
         owner: owner(n),
-        outcome: Outcome::Answered(answer),
+        outcome: Outcome::Answered(response),
         at: UnixMillis::new(1_764_800_000_000 + n),
     })
 }
--- a/crates/bench/src/slopes/fit.rs
+++ b/crates/bench/src/slopes/fit.rs
@@ -1,30 +1,30 @@
-//! Straight lines through measured points.
+//! Linear regression of measured points.
 
 use serde::Serialize;
 
-/// How a quantity grows with a size: measured points, and the line of least squares through them.
+/// Growth of a quantity with a size: the measured points and their least-squares line.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Slope {
-    /// What was measured.
+    /// The name of the measurement.
     pub name: &'static str,
-    /// What the size counts.
+    /// The unit of the size.
     pub unit_x: &'static str,
     /// The unit of the quantity.
     pub unit_y: &'static str,
-    /// The points, each a size and a quantity.
+    /// The measured points, each a size and a quantity.
     pub points: Vec<[f64; 2]>,
     /// The line's value at size zero.
     pub intercept: f64,
-    /// The line's growth for one unit of size.
+    /// The line's increase per unit of size.
     pub slope: f64,
-    /// Root mean square of the points' distances from the line, in the quantity's unit.
+    /// Root mean square of the residuals, in the quantity's unit.
     pub residual: f64,
-    /// Share of the points' variance that the line explains.
+    /// Coefficient of determination of the line.
     pub r2: f64,
 }
 
 impl Slope {
-    /// Fits a line to points with at least two sizes.
+    /// Fits a line to points with at least two different sizes.
     pub fn fit(
         name: &'static str,
         unit_x: &'static str,
@@ -38,10 +38,10 @@
         };
         let slope = sum(&|x, y| x * y) / sum(&|x, _| x * x);
         let intercept = mean_y - slope * mean_x;
-        let misses = sum(&|x, y| (y - slope * x).powi(2));
-        let spread = sum(&|_, y| y * y);
-        let residual = (misses / points.len() as f64).sqrt();
-        let r2 = if spread == 0.0 { 1.0 } else { 1.0 - misses / spread };
+        let residual_sum = sum(&|x, y| (y - slope * x).powi(2));
+        let total_sum = sum(&|_, y| y * y);
+        let residual = (residual_sum / points.len() as f64).sqrt();
+        let r2 = if total_sum == 0.0 { 1.0 } else { 1.0 - residual_sum / total_sum };
         Self { name, unit_x, unit_y, points, intercept, slope, residual, r2 }
     }
 }
--- a/crates/bench/src/slopes/frame.rs
+++ b/crates/bench/src/slopes/frame.rs
@@ -1,4 +1,4 @@
-//! Bytes that a call between routers adds to the message that it carries.
+//! Overhead in bytes of a call between routers, by the size of its message.
 
 use capnp::{message::Builder, serialize};
 use capnp_rpc::rpc_capnp;
@@ -7,17 +7,17 @@
 use super::Slope;
 
 /// Sizes of the messages, in bytes.
-const MESSAGES: [usize; 4] = [0, 250, 1_000, 16_000];
+const MESSAGE_SIZES: [usize; 4] = [0, 250, 1_000, 16_000];
 
-/// A number as high as those of a connection that has been open for days.
-const QUESTION: u32 = 1_000_000;
+/// A question id as high as on a connection that has been open for days.
+const QUESTION_ID: u32 = 1_000_000;
 
 /// Interface id of `Router` in the schema.
-const ROUTER: u64 = <router::Client as capnp::traits::HasTypeId>::TYPE_ID;
+const ROUTER_INTERFACE_ID: u64 = <router::Client as capnp::traits::HasTypeId>::TYPE_ID;
 
-/// Measures gossip calls whose message and answer are of equal size.
+/// Measures gossip calls whose request and response are of equal size.
 pub(super) fn slopes() -> Vec<Slope> {
-    let points = MESSAGES.iter().map(|&size| [2.0 * size as f64, exchange_bytes(size) as f64]);
+    let points = MESSAGE_SIZES.iter().map(|&size| [2.0 * size as f64, exchange_bytes(size) as f64]);
     vec![Slope::fit(
         "frame/gossip call and answer",
         "bytes of both messages",
@@ -33,8 +33,8 @@
 fn call_bytes(message: &[u8]) -> usize {
     let mut frame = Builder::new_default();
     let mut call = frame.init_root::<rpc_capnp::message::Builder<'_>>().init_call();
-    call.set_question_id(QUESTION);
-    call.set_interface_id(ROUTER);
+    call.set_question_id(QUESTION_ID);
+    call.set_interface_id(ROUTER_INTERFACE_ID);
     call.reborrow().init_target().set_imported_cap(1);
     let payload = call.init_params();
     payload.get_content().init_as::<router::gossip_params::Builder<'_>>().set_message(message);
@@ -43,9 +43,9 @@
 
 fn return_bytes(reply: &[u8]) -> usize {
     let mut frame = Builder::new_default();
-    let mut answer = frame.init_root::<rpc_capnp::message::Builder<'_>>().init_return();
-    answer.set_answer_id(QUESTION);
-    let payload = answer.init_results();
+    let mut response = frame.init_root::<rpc_capnp::message::Builder<'_>>().init_return();
+    response.set_answer_id(QUESTION_ID);
+    let payload = response.init_results();
     payload.get_content().init_as::<router::gossip_results::Builder<'_>>().set_reply(reply);
     length(&frame)
 }
@@ -53,7 +53,7 @@
 fn finish_bytes() -> usize {
     let mut frame = Builder::new_default();
     let mut finish = frame.init_root::<rpc_capnp::message::Builder<'_>>().init_finish();
-    finish.set_question_id(QUESTION);
+    finish.set_question_id(QUESTION_ID);
     length(&frame)
 }
 
--- a/crates/bench/src/slopes/gossip.rs
+++ b/crates/bench/src/slopes/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip between routers: bytes, processor time, and the time that news takes.
+//! Gossip between routers: bytes, processor time and propagation time.
 
 use std::{
     sync::{Mutex, PoisonError},
@@ -11,39 +11,39 @@
 
 use super::{Slope, net::Net};
 
-/// Routers of today's fleets and beyond, before today's endpoints.
+/// Numbers of routers, up to and beyond today's fleets, each with [`FEW_ENDPOINTS`].
 const PEERS: [usize; 7] = [4, 8, 16, 32, 64, 128, 350];
 
-/// Endpoints of today's fleets.
+/// Endpoints in today's fleets.
 const FEW_ENDPOINTS: usize = 24;
 
-/// Endpoints up to the size to design for, behind [`SOME_PEERS`] routers.
+/// Numbers of endpoints up to the design size, with [`SOME_PEERS`] routers.
 const ENDPOINTS: [usize; 4] = [18, 180, 600, 1_800];
 
-/// Routers before the endpoints.
+/// Routers in the measurements by endpoints.
 const SOME_PEERS: usize = 64;
 
-/// Routers before all endpoints.
+/// Numbers of routers with the largest number of endpoints.
 const PEERS_OF_ALL: [usize; 4] = [16, 64, 128, 350];
 
-/// Virtual time until a fleet is steady.
+/// Virtual time until a fleet reaches a steady state.
 const WARM_UP: Duration = Duration::from_secs(25);
 
 /// Virtual time of a measurement.
-const SPAN: Duration = Duration::from_secs(10);
+const MEASUREMENT_TIME: Duration = Duration::from_secs(10);
 
-/// Virtual time after which news counts as not spread.
-const SPREAD_TIMEOUT: Duration = Duration::from_secs(60);
+/// Virtual time after which waiting for an update to propagate is given up.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Share of the endpoints that a restarted router must know, in percent.
+/// Percentage of the endpoints that a restarted router must know.
 const KNOWN_PERCENT: usize = 99;
 
-/// Fleets simulated at once.
+/// Number of fleets simulated in parallel.
 const WORKERS: usize = 3;
 
-/// What one fleet showed.
+/// Measurements of one fleet.
 #[derive(Clone, Copy, Debug)]
-struct Fleet {
+struct FleetStats {
     peers: usize,
     endpoints: usize,
     mean_bytes: f64,
@@ -55,7 +55,7 @@
     pull_millis: f64,
 }
 
-/// Measures fleets of many sizes.
+/// Measures fleets of different sizes.
 pub(super) fn slopes() -> eyre::Result<Vec<Slope>> {
     let fleets = measure_all()?;
     let mut slopes = by_peers(&fleets);
@@ -64,11 +64,11 @@
     Ok(slopes)
 }
 
-fn by_peers(fleets: &[Fleet]) -> Vec<Slope> {
-    let few = |y: fn(&Fleet) -> f64| {
+fn by_peers(fleets: &[FleetStats]) -> Vec<Slope> {
+    let few = |y: fn(&FleetStats) -> f64| {
         PEERS.iter().map(|&n| [n as f64, y(find(fleets, n, FEW_ENDPOINTS))]).collect::<Vec<_>>()
     };
-    let all = |y: fn(&Fleet) -> f64| {
+    let all = |y: fn(&FleetStats) -> f64| {
         let endpoints = ENDPOINTS[ENDPOINTS.len() - 1];
         PEERS_OF_ALL.iter().map(|&n| [n as f64, y(find(fleets, n, endpoints))]).collect::<Vec<_>>()
     };
@@ -90,8 +90,8 @@
     ]
 }
 
-fn by_endpoints(fleets: &[Fleet]) -> Vec<Slope> {
-    let points = |y: fn(&Fleet) -> f64| {
+fn by_endpoints(fleets: &[FleetStats]) -> Vec<Slope> {
+    let points = |y: fn(&FleetStats) -> f64| {
         ENDPOINTS.iter().map(|&n| [n as f64, y(find(fleets, SOME_PEERS, n))]).collect::<Vec<_>>()
     };
     let fit = |name, unit_y, points| Slope::fit(name, "endpoints", unit_y, points);
@@ -116,7 +116,7 @@
     ]
 }
 
-/// Returns the shortest lease that counts at a fleet of the size to design for.
+/// Returns the shortest lease that a fleet of the design size accepts.
 fn lease_floor() -> Slope {
     let peers = PEERS[PEERS.len() - 1];
     let points = ENDPOINTS.iter().map(|&endpoints| {
@@ -125,50 +125,50 @@
     Slope::fit("endpoints/shortest lease, 350 peers", "endpoints", "s", points.collect())
 }
 
-fn find(fleets: &[Fleet], peers: usize, endpoints: usize) -> &Fleet {
+fn find(fleets: &[FleetStats], peers: usize, endpoints: usize) -> &FleetStats {
     fleets
         .iter()
         .find(|fleet| (fleet.peers, fleet.endpoints) == (peers, endpoints))
         .expect("every size listed is measured")
 }
 
-/// Measures every fleet, a few at once, the largest first.
-fn measure_all() -> eyre::Result<Vec<Fleet>> {
+/// Measures every fleet, a few in parallel, largest first.
+fn measure_all() -> eyre::Result<Vec<FleetStats>> {
     let mut sizes: Vec<_> = PEERS.iter().map(|&peers| (peers, FEW_ENDPOINTS)).collect();
     sizes.extend(ENDPOINTS.iter().map(|&endpoints| (SOME_PEERS, endpoints)));
     sizes.extend(PEERS_OF_ALL.iter().map(|&peers| (peers, ENDPOINTS[ENDPOINTS.len() - 1])));
     sizes.sort_unstable_by_key(|(peers, endpoints)| peers * (endpoints + 500));
     sizes.dedup();
-    let left = Mutex::new(sizes);
+    let remaining = Mutex::new(sizes);
     let worker = || {
         let mut fleets = Vec::new();
         loop {
-            let size = left.lock().unwrap_or_else(PoisonError::into_inner).pop();
+            let size = remaining.lock().unwrap_or_else(PoisonError::into_inner).pop();
             let Some((peers, endpoints)) = size else { return Ok(fleets) };
             fleets.push(measure(peers, endpoints)?);
-            eprintln!("  {peers} routers before {endpoints} endpoints");
+            eprintln!("  {peers} routers with {endpoints} endpoints");
         }
     };
     std::thread::scope(|scope| {
         let workers: Vec<_> = (0..WORKERS).map(|_| scope.spawn(worker)).collect();
         let mut fleets = Vec::new();
         for worker in workers {
-            let measured: eyre::Result<Vec<Fleet>> = worker.join().expect("no worker panics");
+            let measured: eyre::Result<Vec<FleetStats>> = worker.join().expect("no worker panics");
             fleets.extend(measured?);
         }
         Ok(fleets)
     })
 }
 
-fn measure(peers: usize, endpoints: usize) -> eyre::Result<Fleet> {
+fn measure(peers: usize, endpoints: usize) -> eyre::Result<FleetStats> {
     let mut net = Net::start(peers, endpoints);
     net.run(WARM_UP);
     net.bytes.fill(0);
     net.calls.fill(0);
     let before = thread_cpu()?;
-    net.run(SPAN);
+    net.run(MEASUREMENT_TIME);
     let cpu = thread_cpu()? - before;
-    let node_seconds = peers as f64 * SPAN.as_secs_f64();
+    let node_seconds = peers as f64 * MEASUREMENT_TIME.as_secs_f64();
     let mean_bytes = net.bytes.iter().sum::<u64>() as f64 / node_seconds;
     let highest = net.bytes.iter().max().copied().unwrap_or(0);
     let calls = net.calls.iter().sum::<u64>() as f64 / node_seconds;
@@ -176,11 +176,11 @@
         SOME_PEERS => measure_restart(&mut net, peers - 1, endpoints),
         _ => (0.0, 0.0),
     };
-    Ok(Fleet {
+    Ok(FleetStats {
         peers,
         endpoints,
         mean_bytes,
-        highest_bytes: highest as f64 / SPAN.as_secs_f64(),
+        highest_bytes: highest as f64 / MEASUREMENT_TIME.as_secs_f64(),
         calls,
         cores: cpu.as_secs_f64() / node_seconds,
         leave_millis: measure_leave(&mut net),
@@ -189,24 +189,24 @@
     })
 }
 
-/// Returns the bytes and the time that a restarted router takes to know nearly all endpoints.
+/// Returns the bytes and the time until a restarted router knows [`KNOWN_PERCENT`] of the endpoints.
 fn measure_restart(net: &mut Net, router: usize, endpoints: usize) -> (f64, f64) {
     net.bytes.fill(0);
     net.restart(router, 2);
     let begun = net.now;
     while net.routers[router].ready().count() < endpoints * KNOWN_PERCENT / 100
-        && net.now.saturating_since(begun) < SPREAD_TIMEOUT
+        && net.now.saturating_since(begun) < PROPAGATION_TIMEOUT
     {
         net.step();
     }
     (net.bytes[router] as f64, millis(net.now.saturating_since(begun)))
 }
 
-/// Returns the time until no router gives new work to an endpoint that leaves.
+/// Returns the time until no router sends new requests to a leaving endpoint.
 fn measure_leave(net: &mut Net) -> f64 {
     let begun = net.now;
     net.leave(0);
-    while net.is_ready_anywhere(0) && net.now.saturating_since(begun) < SPREAD_TIMEOUT {
+    while net.is_ready_anywhere(0) && net.now.saturating_since(begun) < PROPAGATION_TIMEOUT {
         net.step();
     }
     millis(net.now.saturating_since(begun))
--- a/crates/bench/src/slopes/memory.rs
+++ b/crates/bench/src/slopes/memory.rs
@@ -1,7 +1,7 @@
-//! Resident memory of what grows with peers, endpoints, calls and organisations.
+//! Resident memory of state that grows with peers, endpoints, calls and organisations.
 //!
-//! Measured first and with nothing freed in between, so that the process's resident growth is that
-//! of the copies made.
+//! This runs first and frees nothing in between, so that the growth of the process's resident
+//! memory is that of the copies made.
 
 use std::hint::black_box;
 
@@ -22,27 +22,27 @@
 const ORGANISATIONS: [usize; 4] = [100, 800, 1_600, 3_100];
 
 /// Copies of a router's state made at each size.
-const ROUTERS: usize = 48;
+const ROUTER_COPIES: usize = 48;
 
 /// Copies of a ledger made at each size.
-const LEDGERS: usize = 2;
+const LEDGER_COPIES: usize = 2;
 
 /// Copies of a declaration made at each size.
-const DECLARATIONS: usize = 12;
+const DECLARATION_COPIES: usize = 12;
 
 const KIB: f64 = 1_024.0;
 
-/// Measures each kind of state.
+/// Measures the memory of each kind of state.
 pub(super) fn slopes() -> eyre::Result<Vec<Slope>> {
     Ok(vec![
-        slope("peers/memory", "peers", &PEERS, ROUTERS, router_with_peers)?,
-        slope("endpoints/memory", "endpoints", &ENDPOINTS, ROUTERS, router_with_endpoints)?,
-        slope("calls/ledger memory", "calls kept", &CALLS, LEDGERS, ledger)?,
+        slope("peers/memory", "peers", &PEERS, ROUTER_COPIES, router_with_peers)?,
+        slope("endpoints/memory", "endpoints", &ENDPOINTS, ROUTER_COPIES, router_with_endpoints)?,
+        slope("calls/ledger memory", "calls kept", &CALLS, LEDGER_COPIES, ledger)?,
         slope(
             "organisations/memory",
             "organisations",
             &ORGANISATIONS,
-            DECLARATIONS,
+            DECLARATION_COPIES,
             |organisations| {
                 let text = organisations::declaration(organisations);
                 Declaration::from_toml(&text).expect("the declaration is valid")
@@ -58,24 +58,24 @@
     copies: usize,
     make: impl Fn(usize) -> T,
 ) -> eyre::Result<Slope> {
-    let mut kept = Vec::with_capacity(sizes.len() * copies);
+    let mut all_copies = Vec::with_capacity(sizes.len() * copies);
     let mut points = Vec::new();
     for &size in sizes {
         let before = resident_bytes()?;
-        kept.extend((0..copies).map(|_| make(size)));
-        let grown = (resident_bytes()? - before) / copies as f64;
-        points.push([size as f64, grown / KIB]);
+        all_copies.extend((0..copies).map(|_| make(size)));
+        let growth = (resident_bytes()? - before) / copies as f64;
+        points.push([size as f64, growth / KIB]);
     }
-    black_box(&kept);
-    // Freed memory would be taken again by what is measured next.
-    std::mem::forget(kept);
+    black_box(&all_copies);
+    // Freed memory would be reused by the next measurement and hide its growth.
+    std::mem::forget(all_copies);
     Ok(Slope::fit(name, unit_x, "KiB", points))
 }
 
 fn router_with_peers(peers: usize) -> member::Membership {
     let gossip =
         Gossip { peers: (2..peers + 2).map(|i| net::peer(i, 1)).collect(), ..first_message() };
-    told(gossip)
+    router_after(gossip)
 }
 
 fn router_with_endpoints(endpoints: usize) -> member::Membership {
@@ -83,14 +83,14 @@
         announcement: net::announcement(endpoint, 1).into(),
         age: std::time::Duration::ZERO,
     };
-    told(Gossip { endpoints: (0..endpoints).map(update).collect(), ..first_message() })
+    router_after(Gossip { endpoints: (0..endpoints).map(update).collect(), ..first_message() })
 }
 
-/// Returns a router that got a message over the wire.
-fn told(gossip: Gossip) -> member::Membership {
+/// Returns a router that received a message decoded from the wire format.
+fn router_after(gossip: Gossip) -> member::Membership {
     let now = MonotonicTime::from_millis(1_000);
     let mut router = net::router(now, 0, 1);
-    let gossip = gossip_from_bytes(&gossip_to_bytes(&gossip)).expect("own bytes can be read");
+    let gossip = gossip_from_bytes(&gossip_to_bytes(&gossip)).expect("decodes what was encoded");
     router.handle_request(now, gossip);
     router
 }
--- a/crates/bench/src/slopes/net.rs
+++ b/crates/bench/src/slopes/net.rs
@@ -1,4 +1,4 @@
-//! Routers that gossip in memory, on a virtual clock and without loss.
+//! In-memory simulation of gossiping routers, on a virtual clock and without loss.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -11,21 +11,21 @@
 use rand_pcg::Pcg64;
 use wire::peer::{gossip_from_bytes, gossip_to_bytes};
 
-/// Models that the endpoints serve, one each.
+/// Number of models; each endpoint serves one of them.
 pub(super) const MODELS: usize = 7;
 
-/// Data centres that the routers and endpoints stand in.
+/// Number of data centres of the routers and endpoints.
 const DATA_CENTRES: usize = 16;
 
-/// Delay of a message, in milliseconds.
+/// Range of a message's delay, in milliseconds.
 const DELAY_MILLIS: std::ops::Range<u64> = 3..6;
 
 /// Time between two announcements of one endpoint.
-const ANNOUNCE_PERIOD: Duration = Duration::from_secs(1);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
 
 const FIRST_PORT: u16 = 10_000;
 
-/// Routers and the messages between them.
+/// Simulated routers and the messages in flight between them.
 pub(super) struct Net {
     /// The virtual time.
     pub now: MonotonicTime,
@@ -33,26 +33,27 @@
     pub routers: Vec<Membership>,
     /// Bytes that each router sent and received.
     pub bytes: Vec<u64>,
-    /// Calls that each router made.
+    /// Requests that each router sent.
     pub calls: Vec<u64>,
     running: Vec<bool>,
     endpoints: usize,
     leaving: Option<usize>,
     rng: Pcg64,
-    under_way: BTreeMap<(MonotonicTime, u64), Message>,
-    sent: u64,
+    in_flight: BTreeMap<(MonotonicTime, u64), Message>,
+    sent_count: u64,
 }
 
 struct Message {
     from: usize,
     to: usize,
-    sent: MonotonicTime,
-    is_answer: bool,
+    sent_at: MonotonicTime,
+    is_response: bool,
     body: Vec<u8>,
 }
 
 impl Net {
-    /// Starts routers, the running ones doubling each two seconds, before announced endpoints.
+    /// Starts routers with announcing endpoints; the number of running routers doubles every two
+    /// seconds.
     pub(super) fn start(routers: usize, endpoints: usize) -> Self {
         let now = MonotonicTime::from_millis(1_000);
         let mut net = Self {
@@ -64,8 +65,8 @@
             endpoints,
             leaving: None,
             rng: Pcg64::seed_from_u64(21),
-            under_way: BTreeMap::new(),
-            sent: 0,
+            in_flight: BTreeMap::new(),
+            sent_count: 0,
         };
         let mut running = 0;
         while running < routers {
@@ -77,25 +78,25 @@
         net
     }
 
-    /// Replaces a router's process by a new one that knows nothing.
+    /// Replaces a router by a new incarnation without state.
     pub(super) fn restart(&mut self, i: usize, incarnation: u64) {
         self.routers[i] = router(self.now, i, incarnation);
         self.running[i] = true;
     }
 
-    /// Lets an endpoint announce to one router that it leaves.
+    /// Makes an endpoint announce to one router that it is leaving.
     pub(super) fn leave(&mut self, endpoint: usize) {
         self.leaving = Some(endpoint);
         self.announce(endpoint);
     }
 
-    /// Returns whether any router would still give the endpoint new work.
+    /// Returns whether any router would still send the endpoint new requests.
     pub(super) fn is_ready_anywhere(&self, endpoint: usize) -> bool {
         let id = endpoint_id(endpoint);
         self.routers.iter().any(|router| router.ready().any(|known| known.endpoint == id))
     }
 
-    /// Lets virtual time pass.
+    /// Advances the virtual time by `span`.
     pub(super) fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
@@ -103,10 +104,10 @@
         }
     }
 
-    /// Lets one tick pass.
+    /// Advances the virtual time by one tick.
     pub(super) fn step(&mut self) {
         let millis = self.now.since_origin().as_millis();
-        if millis.is_multiple_of(ANNOUNCE_PERIOD.as_millis()) {
+        if millis.is_multiple_of(ANNOUNCE_INTERVAL.as_millis()) {
             (0..self.endpoints).for_each(|endpoint| self.announce(endpoint));
         }
         for i in 0..self.routers.len() {
@@ -124,7 +125,10 @@
             self.calls[i] += 1;
             let to = index(outgoing.to);
             let body = gossip_to_bytes(&outgoing.message);
-            self.post(self.now, Message { from: i, to, sent: self.now, is_answer: false, body });
+            self.send(
+                self.now,
+                Message { from: i, to, sent_at: self.now, is_response: false, body },
+            );
         }
     }
 
@@ -135,28 +139,28 @@
             at = self.rng.random_range(0..self.routers.len());
         }
         let millis = self.now.since_origin().as_millis() as u64;
-        let mut news = announcement(endpoint, millis);
+        let mut announcement = announcement(endpoint, millis);
         if self.leaving == Some(endpoint) {
-            news.leaving = true;
-            news.sequence = Sequence::new(millis + 1);
+            announcement.leaving = true;
+            announcement.sequence = Sequence::new(millis + 1);
         }
-        let _ = self.routers[at].announce(self.now, news);
+        let _ = self.routers[at].announce(self.now, announcement);
     }
 
-    fn post(&mut self, at: MonotonicTime, message: Message) {
+    fn send(&mut self, at: MonotonicTime, message: Message) {
         self.bytes[message.from] += message.body.len() as u64;
         self.bytes[message.to] += message.body.len() as u64;
         let delay = Duration::from_millis(self.rng.random_range(DELAY_MILLIS));
-        self.sent += 1;
-        self.under_way.insert((at + delay, self.sent), message);
+        self.sent_count += 1;
+        self.in_flight.insert((at + delay, self.sent_count), message);
     }
 
     fn deliver_until(&mut self, end: MonotonicTime) {
-        while let Some(((at, _), _)) = self.under_way.first_key_value() {
+        while let Some(((at, _), _)) = self.in_flight.first_key_value() {
             if end <= *at {
                 return;
             }
-            let Some(((at, _), message)) = self.under_way.pop_first() else { return };
+            let Some(((at, _), message)) = self.in_flight.pop_first() else { return };
             if self.running[message.to] {
                 self.deliver(at, message);
             }
@@ -164,23 +168,23 @@
     }
 
     fn deliver(&mut self, at: MonotonicTime, message: Message) {
-        let Message { from, to, sent, is_answer, body } = message;
-        let gossip = gossip_from_bytes(&body).expect("own bytes can be read");
-        if !is_answer {
+        let Message { from, to, sent_at, is_response, body } = message;
+        let gossip = gossip_from_bytes(&body).expect("decodes what was encoded");
+        if !is_response {
             let body = gossip_to_bytes(&self.routers[to].handle_request(at, gossip));
-            return self.post(at, Message { from: to, to: from, sent, is_answer: true, body });
+            return self.send(at, Message { from: to, to: from, sent_at, is_response: true, body });
         }
-        for outgoing in self.routers[to].handle_response(at, sent, gossip) {
+        for outgoing in self.routers[to].handle_response(at, sent_at, gossip) {
             self.calls[to] += 1;
             let body = gossip_to_bytes(&outgoing.message);
             let from = to;
             let to = index(outgoing.to);
-            self.post(at, Message { from, to, sent: at, is_answer: false, body });
+            self.send(at, Message { from, to, sent_at: at, is_response: false, body });
         }
     }
 }
 
-/// Returns the state of a router that has just started.
+/// Returns the peer state of a router that has just started.
 pub(super) fn peer(i: usize, incarnation: u64) -> PeerUpdate {
     PeerUpdate {
         host: format!("entry-host-{i}").parse().expect("a valid id"),
@@ -202,7 +206,7 @@
     Membership::new(now, peer(i, incarnation), vec![address(0), address(1)], Budget::default())
 }
 
-/// Returns the announcement of an engine that serves one of the models.
+/// Returns an announcement of an engine that serves one of the models.
 pub(super) fn announcement(endpoint: usize, sequence: u64) -> Announcement {
     let model = ServedModel {
         model: format!("model-{}", endpoint % MODELS).parse().expect("a valid id"),
@@ -221,7 +225,7 @@
         sequence: Sequence::new(sequence),
         data_centre: format!("data-centre-{}", endpoint % DATA_CENTRES).parse().expect("valid"),
         address: address(endpoint),
-        lease: 3 * ANNOUNCE_PERIOD,
+        lease: 3 * ANNOUNCE_INTERVAL,
         leaving: false,
         kind: EndpointKind::Engine(Engine {
             service: None,
--- a/crates/bench/src/slopes/organisations.rs
+++ b/crates/bench/src/slopes/organisations.rs
@@ -1,4 +1,4 @@
-//! Declarations, changes of them, and shares, by the number of organisations.
+//! Declarations, declaration changes and admission, by the number of organisations.
 
 use std::{
     fmt::Write as _,
@@ -14,22 +14,22 @@
 
 const ORGANISATIONS: [usize; 5] = [8, 100, 800, 1_600, 3_100];
 
-/// Organisations for each one that has an exception.
-const ORGANISATIONS_AN_EXCEPTION: usize = 10;
+/// Number of organisations per exception.
+const ORGANISATIONS_PER_EXCEPTION: usize = 10;
 
-const REPEATS: usize = 5;
+const RUNS: usize = 5;
 const LOOKUPS: usize = 200;
 const REQUESTS: usize = 20_000;
 
-/// Requests under way at once in the measurement of admission.
-const CAPACITY: u32 = 1_000;
+/// Maximum number of requests in flight in the admission measurement.
+const ADMISSION_CAPACITY: u32 = 1_000;
 
-/// Requests under way or waiting in the measurement of admission.
-const PRESENT: usize = 2_000;
+/// Requests in flight or queued in the admission measurement.
+const PRESENT_REQUESTS: usize = 2_000;
 
 const KIB: f64 = 1_024.0;
 
-/// Measures each size.
+/// Measures each quantity at each size.
 pub(super) fn slopes() -> eyre::Result<Vec<Slope>> {
     let fit = |name, unit_y, y: fn(usize) -> f64| {
         let points = ORGANISATIONS.iter().map(|&n| [n as f64, y(n)]).collect();
@@ -49,7 +49,7 @@
     ])
 }
 
-/// Writes a declaration with an exception for every tenth organisation.
+/// Returns a declaration with an exception for every tenth organisation.
 pub(super) fn declaration(organisations: usize) -> String {
     let mut text = "[defaults]\nrequest-timeout = '20s'\n\n".to_owned();
     for n in 0..organisations {
@@ -57,7 +57,7 @@
         let entry = format!("[[organisations]]\nid = 'organisation-{n:04}'\nkeys = ['{key}']\n\n");
         text.push_str(&entry);
     }
-    for n in (0..organisations).step_by(ORGANISATIONS_AN_EXCEPTION) {
+    for n in (0..organisations).step_by(ORGANISATIONS_PER_EXCEPTION) {
         let _ = write!(
             text,
             "[[exceptions]]\nid = 'exception-{n:04}'\nreason = 'long proofs before the press run'\n\
@@ -82,18 +82,18 @@
     let declaration =
         Declaration::from_toml(&declaration(organisations)).expect("the declaration is valid");
     let scope = Scope::organisation(organisation(organisations / 2));
-    let took = fastest(|| {
+    let time = fastest(|| {
         for _ in 0..LOOKUPS {
             black_box(declaration.effective(black_box(&scope), UnixMillis::new(1_000)));
         }
     });
-    micros(took) / LOOKUPS as f64
+    micros(time) / LOOKUPS as f64
 }
 
-/// Returns the time to admit and release one request while as many again wait.
+/// Returns the time to admit and release one request while 1,000 run and 1,000 are queued.
 fn admission_micros(organisations: usize) -> f64 {
     let ids: Vec<_> = (0..organisations).map(organisation).collect();
-    let cfg = AdmissionSettings { capacity: CAPACITY, ..AdmissionSettings::default() };
+    let cfg = AdmissionSettings { capacity: ADMISSION_CAPACITY, ..AdmissionSettings::default() };
     let mut admission = Admission::new(cfg);
     let mut running = std::collections::VecDeque::new();
     let now = MonotonicTime::from_millis(1_000);
@@ -103,7 +103,7 @@
         deadline: now + Duration::from_secs(600),
         cost: TokenCount::new(1_000),
     };
-    for n in 0..PRESENT {
+    for n in 0..PRESENT_REQUESTS {
         if let Decision::Run(ticket) = admission.admit(now, arrival(n)) {
             running.push_back(ticket);
         }
@@ -132,7 +132,7 @@
     let mut revision = 0;
     millis(fastest(|| {
         let command = change(organisations, revision).to_bytes();
-        let command = Command::from_bytes(&command).expect("own bytes can be read");
+        let command = Command::from_bytes(&command).expect("decodes what was encoded");
         let reply = fleet.apply(LogIndex::new(revision + 1), &command);
         assert!(matches!(reply, Reply::Change(ChangeReply::Changed(_))), "{reply:?}");
         revision += 1;
@@ -154,9 +154,9 @@
     format!("organisation-{n:04}").parse().expect("a valid id")
 }
 
-/// Returns the shortest of several runs, which other work on the machine lengthened least.
+/// Returns the shortest time of several runs, the one least disturbed by other load.
 fn fastest(mut run: impl FnMut()) -> Duration {
-    let times = (0..REPEATS).map(|_| {
+    let times = (0..RUNS).map(|_| {
         let begun = Instant::now();
         run();
         begun.elapsed()
--- a/crates/bench/src/slopes/voters.rs
+++ b/crates/bench/src/slopes/voters.rs
@@ -1,4 +1,4 @@
-//! Voters of a quorum in one process, each with a log on disk.
+//! A quorum whose voters run in one process, each with a log on disk.
 
 use std::{
     collections::VecDeque,
@@ -15,17 +15,17 @@
 use tempfile::TempDir;
 use wire::peer::{quorum_from_bytes, quorum_to_bytes};
 
-/// Virtual time between two looks at the clock, as in the daemon.
-const TICK: Duration = Duration::from_millis(20);
+/// Virtual time between two ticks, as in the daemon.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Virtual time within which a leader is elected.
-const ELECTION: Duration = Duration::from_secs(5);
+/// Virtual time within which a leader must be elected.
+const ELECTION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A quorum whose messages arrive at once and in order.
+/// A quorum whose messages are delivered at once and in order.
 pub(super) struct Voters {
-    /// Bytes of messages sent so far by all voters.
+    /// Bytes of messages sent by all voters so far.
     pub sent_bytes: u64,
-    /// Time that the leader took so far, without its syncs.
+    /// Processing time of the leader so far, without its syncs.
     pub leader_busy: Duration,
     voters: Vec<Voter>,
     packets: VecDeque<Packet>,
@@ -49,8 +49,8 @@
 }
 
 impl Voters {
-    /// Starts voters and waits for their leader.
-    pub(super) fn led(count: usize) -> eyre::Result<Self> {
+    /// Starts voters and waits until they have a leader.
+    pub(super) fn with_leader(count: usize) -> eyre::Result<Self> {
         let data = tempfile::tempdir()?;
         let founders: Vec<HostId> = (0..count).map(host).collect();
         let voters =
@@ -65,16 +65,16 @@
             next_proposal: 0,
             data,
         };
-        quorum.pass(ELECTION)?;
-        eyre::ensure!(quorum.leader().is_some(), "no leader within {ELECTION:?}");
+        quorum.advance(ELECTION_TIMEOUT)?;
+        eyre::ensure!(quorum.leader().is_some(), "no leader within {ELECTION_TIMEOUT:?}");
         Ok(quorum)
     }
 
-    /// Lets virtual time pass.
-    pub(super) fn pass(&mut self, span: Duration) -> eyre::Result<()> {
+    /// Advances the virtual time by `span`.
+    pub(super) fn advance(&mut self, span: Duration) -> eyre::Result<()> {
         let end = self.now + span;
         while self.now < end {
-            self.now += TICK;
+            self.now += TICK_INTERVAL;
             for i in 0..self.voters.len() {
                 self.step(i, vec![Input::Tick])?;
             }
@@ -85,7 +85,7 @@
 
     /// Commits commands in one batch and applies them at the leader.
     pub(super) fn commit(&mut self, commands: Vec<Command>) -> eyre::Result<()> {
-        let Some(leader) = self.leader() else { eyre::bail!("the leader was lost") };
+        let Some(leader) = self.leader() else { eyre::bail!("no leader") };
         let expected = self.replies + commands.len();
         let inputs = commands.into_iter().map(|command| {
             self.next_proposal += 1;
@@ -95,7 +95,11 @@
         let inputs = inputs.collect();
         self.step(leader, inputs)?;
         self.deliver()?;
-        eyre::ensure!(self.replies == expected, "{} of {expected} replies", self.replies);
+        eyre::ensure!(
+            self.replies == expected,
+            "expected {expected} replies, got {}",
+            self.replies
+        );
         Ok(())
     }
 
@@ -129,7 +133,7 @@
         for input in inputs {
             voter.node.step(self.now, input, &mut actions);
         }
-        let synced = voter.persist(&actions)?;
+        let sync_time = voter.persist(&actions)?;
         for action in actions {
             match action {
                 Action::Send { to, message } => self.send(i, &to, &message),
@@ -141,7 +145,7 @@
             }
         }
         if is_leader {
-            self.leader_busy += begun.elapsed() - synced;
+            self.leader_busy += begun.elapsed() - sync_time;
         }
         Ok(())
     }
@@ -165,7 +169,7 @@
         Ok(Self { host, node, log, fleet: Fleet::default() })
     }
 
-    /// Makes durable what must be, and returns the time that the disk took.
+    /// Writes and syncs the log entries and hard state in `actions`; returns the sync time.
     fn persist(&mut self, actions: &[Action]) -> eyre::Result<Duration> {
         let mut staged = false;
         for action in actions {
@@ -182,7 +186,7 @@
         Ok(begun.elapsed())
     }
 
-    /// Applies entries and returns how many held a command that led to a reply.
+    /// Applies entries and returns how many of their commands were applied for the first time.
     fn apply(&mut self, entries: &[quorum::Entry]) -> usize {
         let mut replies = 0;
         for entry in entries {
@@ -190,7 +194,7 @@
                 self.fleet.skip(entry.index);
                 continue;
             };
-            let command = Command::from_bytes(command).expect("own bytes can be read");
+            let command = Command::from_bytes(command).expect("decodes what was encoded");
             let reply = self.fleet.apply(entry.index, &command);
             replies += usize::from(reply != Reply::AlreadyApplied);
         }
