--- a/crates/bench/src/slopes/claims.rs
+++ b/crates/bench/src/slopes/claims.rs
@@ -1,4 +1,4 @@
-//! Calls under an idempotency key: two commits each, one for the claim and one for the outcome.
+//! Calls that run at most once: two commits each, one for the claim and one for the outcome.
 
 use std::{
     hint::black_box,
--- a/crates/bench/src/slopes/organisations.rs
+++ b/crates/bench/src/slopes/organisations.rs
@@ -17,7 +17,7 @@
 /// Number of organisations per exception.
 const ORGANISATIONS_PER_EXCEPTION: usize = 10;
 
-const RUNS: usize = 5;
+const RUNS_PER_MEASUREMENT: usize = 5;
 const LOOKUPS: usize = 200;
 const REQUESTS: usize = 20_000;
 
@@ -156,7 +156,7 @@
 
 /// Returns the shortest time of several runs, the one least disturbed by other load.
 fn fastest(mut run: impl FnMut()) -> Duration {
-    let times = (0..RUNS).map(|_| {
+    let times = (0..RUNS_PER_MEASUREMENT).map(|_| {
         let begun = Instant::now();
         run();
         begun.elapsed()
--- a/crates/bench/tests/claims.rs
+++ b/crates/bench/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated run at most once.
+//! Non-idempotent calls with an idempotency key run at most once.
 
 use std::{path::PathBuf, time::Duration};
 
@@ -16,13 +16,13 @@
     Program { path: PathBuf::from(env!("CARGO_BIN_EXE_bench")), args: vec!["daemon".into()] }
 }
 
-/// Runs a future on a thread of its own, with what callers need.
+/// Runs a future on a current-thread runtime with a set of local tasks.
 fn block_on<T>(future: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, future)
 }
 
-async fn order(site: &Site, host: usize, key: &str, body: &str) -> CallOutcome {
+async fn send_order(site: &Site, host: usize, key: &str, body: &str) -> CallOutcome {
     let organisation = organisation_key(&site.spec.organisations[0]);
     let router = site.daemons[host].spec().listen;
     let path = "/services/orders/orders";
@@ -30,10 +30,10 @@
 }
 
 #[test]
-fn same_key_at_every_host_at_once_runs_once_and_all_get_its_answer() {
+fn concurrent_calls_with_one_key_run_once_and_get_the_same_response() {
     let site = Site::start(&program(), SiteSpec::small()).unwrap();
     block_on(async {
-        let calls = (0..HOSTS * RESENDS).map(|i| order(&site, i % HOSTS, "order-1", "{}"));
+        let calls = (0..HOSTS * RESENDS).map(|i| send_order(&site, i % HOSTS, "order-1", "{}"));
         let outcomes = futures_util::future::join_all(calls).await;
         let answered =
             |outcome: &CallOutcome| matches!(outcome, CallOutcome::Answered { status: 201, .. });
@@ -47,8 +47,8 @@
 fn same_key_with_another_body_is_refused_as_not_run() {
     let site = Site::start(&program(), SiteSpec::small()).unwrap();
     block_on(async {
-        let first = order(&site, 0, "order-2", "{}").await;
-        let second = order(&site, 1, "order-2", "{\"copies\": 2}").await;
+        let first = send_order(&site, 0, "order-2", "{}").await;
+        let second = send_order(&site, 1, "order-2", "{\"copies\": 2}").await;
         assert!(matches!(first, CallOutcome::Answered { .. }), "{first:?}");
         assert_eq!(second.verdict(), Some(base::Verdict::NotRun), "{second:?}");
     });
@@ -56,9 +56,9 @@
 }
 
 #[test]
-fn answer_outlives_a_restart_of_every_host() {
+fn outcome_survives_a_restart_of_every_host() {
     let mut site = Site::start(&program(), SiteSpec::small()).unwrap();
-    let first = block_on(order(&site, 0, "order-3", "{}"));
+    let first = block_on(send_order(&site, 0, "order-3", "{}"));
     for daemon in &mut site.daemons {
         daemon.kill().unwrap();
     }
@@ -69,7 +69,7 @@
         daemon.wait_ready(Duration::from_secs(10)).unwrap();
     }
     site.wait_endpoints().unwrap();
-    let second = block_on(order(&site, 1, "order-3", "{}"));
+    let second = block_on(send_order(&site, 1, "order-3", "{}"));
     assert_eq!(site.orders.runs("order-3"), 1, "{first:?} then {second:?}");
     assert!(matches!(second.verdict(), Some(base::Verdict::Ran | base::Verdict::MayHaveRun)));
 }
--- a/crates/bench/tests/claims_chaos.rs
+++ b/crates/bench/tests/claims_chaos.rs
@@ -1,4 +1,4 @@
-//! Many orders while hosts are killed, frozen and cut off in turn.
+//! Orders run at most once while hosts are killed, frozen and isolated in turn.
 
 use std::{
     net::SocketAddr,
@@ -23,13 +23,13 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 const SENDERS: u64 = 6;
 const ROUNDS: usize = 2;
 /// Time after which an order without an outcome counts as in doubt.
-const SETTLED: Duration = Duration::from_secs(6);
-/// Longer than a lease and an election.
-const PAUSE: Duration = Duration::from_millis(900);
+const OUTCOME_TIMEOUT: Duration = Duration::from_secs(6);
+/// Duration of each fault: longer than a lease and an election.
+const FAULT_DURATION: Duration = Duration::from_millis(900);
 const SHORT_WAIT: &str = "[defaults]\nclaim-wait = \"500ms\"\n";
 
 fn program() -> Program {
@@ -41,40 +41,40 @@
     tokio::task::LocalSet::new().block_on(&runtime, future)
 }
 
-/// What senders need.
+/// A client that sends orders and checks how often they ran.
 #[derive(Clone)]
-struct Desk {
+struct OrderClient {
     routers: Vec<SocketAddr>,
     key: String,
     counts: ServiceCounts,
     stopped: Arc<AtomicBool>,
 }
 
-/// What became of a sender's orders.
+/// Outcomes of a sender's orders.
 #[derive(Clone, Copy, Debug, Default)]
-struct Tally {
+struct OrderCounts {
     answered: u64,
     in_doubt: u64,
 }
 
-impl Desk {
-    /// Sends orders one after another, each at random hosts until it is settled.
-    async fn send_orders(self, seed: u64) -> Tally {
+impl OrderClient {
+    /// Sends orders one after another, each to random hosts until its outcome is known.
+    async fn send_orders(self, seed: u64) -> OrderCounts {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut tally = Tally::default();
+        let mut outcomes = OrderCounts::default();
         let mut number = 0;
         while !self.stopped.load(Ordering::Relaxed) {
             number += 1;
-            match self.settle(&format!("order-{seed}-{number}"), &mut rng).await {
-                Verdict::Ran => tally.answered += 1,
-                _ => tally.in_doubt += 1,
+            match self.send_until_settled(&format!("order-{seed}-{number}"), &mut rng).await {
+                Verdict::Ran => outcomes.answered += 1,
+                _ => outcomes.in_doubt += 1,
             }
         }
-        tally
+        outcomes
     }
 
-    async fn settle(&self, key: &str, rng: &mut Pcg64Mcg) -> Verdict {
-        let deadline = Instant::now() + SETTLED;
+    async fn send_until_settled(&self, key: &str, rng: &mut Pcg64Mcg) -> Verdict {
+        let deadline = Instant::now() + OUTCOME_TIMEOUT;
         loop {
             let router = self.routers[rng.random_range(0..self.routers.len())];
             let path = "/services/orders/orders";
@@ -97,7 +97,7 @@
     }
 }
 
-fn cut_off(site: &Site, host: usize) {
+fn isolate(site: &Site, host: usize) {
     let ip = site.daemons[host].spec().listen.ip();
     for (other, proxy) in site.peer_proxies.iter().enumerate() {
         if other == host {
@@ -108,17 +108,17 @@
     }
 }
 
-fn fail_in_turn(site: &mut Site) {
+fn inject_faults(site: &mut Site) {
     let hosts = site.daemons.len();
     for host in (0..ROUNDS * hosts).map(|turn| turn % hosts) {
         site.daemons[host].restart().unwrap();
-        site.daemons[host].wait_ready(PATIENCE).unwrap();
+        site.daemons[host].wait_ready(READY_TIMEOUT).unwrap();
         let frozen = (host + 1) % hosts;
         site.daemons[frozen].freeze().unwrap();
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(FAULT_DURATION);
         site.daemons[frozen].thaw().unwrap();
-        cut_off(site, (host + 2) % hosts);
-        std::thread::sleep(PAUSE);
+        isolate(site, (host + 2) % hosts);
+        std::thread::sleep(FAULT_DURATION);
         site.peer_proxies.iter().for_each(Proxy::heal);
     }
 }
@@ -128,23 +128,23 @@
     let spec = SiteSpec { engines: vec![], ..SiteSpec::small() };
     let mut site = Site::start(&program(), spec).unwrap();
     block_on(operator::submit_change(&site.daemons, operator::change("c", 0, SHORT_WAIT))).unwrap();
-    let desk = Desk {
+    let client = OrderClient {
         routers: site.routers(),
         key: organisation_key(&site.spec.organisations[0]),
         counts: site.orders.clone(),
         stopped: Arc::default(),
     };
-    let stopped = Arc::clone(&desk.stopped);
+    let stopped = Arc::clone(&client.stopped);
     let senders = std::thread::spawn(move || {
-        let sending = (0..SENDERS).map(|seed| desk.clone().send_orders(seed));
+        let sending = (0..SENDERS).map(|seed| client.clone().send_orders(seed));
         block_on(futures_util::future::join_all(sending))
     });
-    fail_in_turn(&mut site);
+    inject_faults(&mut site);
     stopped.store(true, Ordering::Relaxed);
-    let tallies = senders.join().expect("no sender saw a wrong answer");
+    let outcomes = senders.join().expect("no sender saw a wrong outcome");
     assert_eq!(site.orders.repeated_orders(), 0);
-    let answered: u64 = tallies.iter().map(|tally| tally.answered).sum();
-    let in_doubt: u64 = tallies.iter().map(|tally| tally.in_doubt).sum();
+    let answered: u64 = outcomes.iter().map(|outcomes| outcomes.answered).sum();
+    let in_doubt: u64 = outcomes.iter().map(|outcomes| outcomes.in_doubt).sum();
     println!("answered {answered}, in doubt {in_doubt}");
-    assert!(in_doubt < answered, "{tallies:?}");
+    assert!(in_doubt < answered, "{outcomes:?}");
 }
--- a/crates/bench/tests/claims_faults.rs
+++ b/crates/bench/tests/claims_faults.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated, with hosts that fail at each step of a claim.
+//! Calls that run at most once, with hosts that fail at each step of a claim.
 
 use std::{net::IpAddr, path::PathBuf, rc::Rc, time::Duration};
 
@@ -16,10 +16,10 @@
 use wire::leader::LeaderRequest;
 
 const KEY: &str = "order-1";
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 const SHORT_WAIT: &str = "[defaults]\nclaim-wait = \"500ms\"\n";
 
-/// How far a call got when a host fails.
+/// Step of a call at which a host fails.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
     Connected,
@@ -29,7 +29,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Victim {
+enum FailedHost {
     Sender,
     Leader,
 }
@@ -43,15 +43,15 @@
     tokio::task::LocalSet::new().block_on(&runtime, future)
 }
 
-/// A site whose orders pass a gate, with a leader and a sender that is another host.
-struct Scene {
+/// A site whose orders pass through a gate; leader and sender are different hosts.
+struct Fixture {
     site: Site,
     gate: Gate,
     leader: usize,
     sender: usize,
 }
 
-impl Scene {
+impl Fixture {
     async fn start() -> Self {
         let spec = SiteSpec { engines: vec![], ..SiteSpec::small() };
         let site = Site::start(&program(), spec).unwrap();
@@ -64,7 +64,7 @@
         Self { site, gate, leader, sender }
     }
 
-    fn third(&self) -> usize {
+    fn third_host(&self) -> usize {
         (self.leader + 2) % self.site.daemons.len()
     }
 
@@ -72,8 +72,8 @@
         self.site.daemons[host].spec().listen.ip()
     }
 
-    /// Cuts what `from` sends to the others.
-    fn hold_from(&self, from: usize, fault: &Fault) {
+    /// Injects a fault into the connections from `from` to the other hosts.
+    fn inject_fault_from(&self, from: usize, fault: &Fault) {
         for (to, proxy) in self.site.peer_proxies.iter().enumerate() {
             if to != from {
                 proxy.set_for(self.ip(from), fault.clone());
@@ -81,9 +81,9 @@
         }
     }
 
-    /// Cuts `host` off from the others, both ways.
-    fn cut_off(&self, host: usize) {
-        self.hold_from(host, &Fault::partition());
+    /// Partitions `host` from the others in both directions.
+    fn isolate(&self, host: usize) {
+        self.inject_fault_from(host, &Fault::partition());
         self.site.peer_proxies[host].set(Fault::partition());
     }
 
@@ -96,12 +96,12 @@
         self.site.orders.runs(KEY)
     }
 
-    fn call(&self) -> CallKey {
+    fn call_key(&self) -> CallKey {
         let organisation = self.site.spec.organisations[0].clone();
         CallKey { organisation, key: KEY.parse().unwrap() }
     }
 
-    fn order(&self, host: usize) -> impl Future<Output = CallOutcome> + use<> {
+    fn send_order(&self, host: usize) -> impl Future<Output = CallOutcome> + use<> {
         let key = organisation_key(&self.site.spec.organisations[0]);
         let router = self.site.daemons[host].spec().listen;
         async move {
@@ -110,14 +110,14 @@
         }
     }
 
-    /// Sends the order and checks that the answer is true.
-    async fn checked_order(&self, host: usize) -> CallOutcome {
-        let outcome = self.order(host).await;
-        self.check(&outcome);
+    /// Sends the order and checks that its verdict matches the number of runs.
+    async fn send_checked_order(&self, host: usize) -> CallOutcome {
+        let outcome = self.send_order(host).await;
+        self.check_outcome(&outcome);
         outcome
     }
 
-    fn check(&self, outcome: &CallOutcome) {
+    fn check_outcome(&self, outcome: &CallOutcome) {
         let runs = self.runs();
         assert!(runs <= 1, "{runs} runs");
         match outcome.verdict() {
@@ -128,9 +128,9 @@
     }
 
     async fn resend_until(&self, host: usize, done: impl Fn(&CallOutcome) -> bool) -> CallOutcome {
-        let deadline = std::time::Instant::now() + PATIENCE;
+        let deadline = std::time::Instant::now() + WAIT_TIMEOUT;
         loop {
-            let outcome = self.checked_order(host).await;
+            let outcome = self.send_checked_order(host).await;
             if done(&outcome) {
                 return outcome;
             }
@@ -140,9 +140,9 @@
 
     async fn wait_claimed(&self) {
         let leader = &self.site.daemons[self.leader..=self.leader];
-        let deadline = std::time::Instant::now() + PATIENCE;
+        let deadline = std::time::Instant::now() + WAIT_TIMEOUT;
         loop {
-            let call = operator::read_call(leader, &self.call()).await.unwrap();
+            let call = operator::read_call(leader, &self.call_key()).await.unwrap();
             if call.as_ref().is_some_and(|call| matches!(call.state, CallState::Claimed(_))) {
                 return;
             }
@@ -150,18 +150,18 @@
         }
     }
 
-    async fn wait_passage(&self, wanted: Passage) {
+    async fn wait_gate_event(&self, wanted: Passage) {
         let passages = self.gate.passages();
         let seen = async { while passages.recv_async().await != Ok(wanted) {} };
-        tokio::time::timeout(PATIENCE, seen).await.expect("the call gets that far");
+        tokio::time::timeout(WAIT_TIMEOUT, seen).await.expect("the call reaches the gate in time");
     }
 
-    /// Sends the order and returns once it has got as far as `step`.
+    /// Sends the order and returns once it has reached `step`.
     async fn send_until(&self, step: Step) -> tokio::task::JoinHandle<CallOutcome> {
         match step {
             Step::Connected => {
                 let held = Fault { hold_requests: true, ..Fault::default() };
-                self.hold_from(self.sender, &held);
+                self.inject_fault_from(self.sender, &held);
             }
             Step::Claimed => {
                 let held = Fault { hold_answers: true, ..Fault::default() };
@@ -170,11 +170,11 @@
             Step::Sent => self.gate.hold_answers(true),
             Step::Answered => {}
         }
-        let order = tokio::task::spawn_local(self.order(self.sender));
+        let order = tokio::task::spawn_local(self.send_order(self.sender));
         match step {
-            Step::Connected => self.wait_passage(Passage::Connected).await,
+            Step::Connected => self.wait_gate_event(Passage::Connected).await,
             Step::Claimed => self.wait_claimed().await,
-            Step::Sent => self.wait_passage(Passage::Answered).await,
+            Step::Sent => self.wait_gate_event(Passage::Answered).await,
             Step::Answered => {
                 while !order.is_finished() {
                     tokio::task::yield_now().await;
@@ -185,29 +185,29 @@
     }
 }
 
-/// Kills a host at a step of a claim, resends elsewhere, restarts the host and resends there.
-fn kill(step: Step, victim: Victim) {
+/// Kills a host at a step of a claim, resends to another, restarts the host and resends to it.
+fn kill_at_step(step: Step, failed_host: FailedHost) {
     block_on(async {
-        let mut scene = Scene::start().await;
-        let killed = match victim {
-            Victim::Sender => scene.sender,
-            Victim::Leader => scene.leader,
+        let mut fixture = Fixture::start().await;
+        let killed = match failed_host {
+            FailedHost::Sender => fixture.sender,
+            FailedHost::Leader => fixture.leader,
         };
-        let order = scene.send_until(step).await;
-        scene.site.daemons[killed].kill().unwrap();
-        scene.heal();
+        let order = fixture.send_until(step).await;
+        fixture.site.daemons[killed].kill().unwrap();
+        fixture.heal();
         let first = order.await.unwrap();
-        scene.check(&first);
+        fixture.check_outcome(&first);
         let settled =
             |outcome: &CallOutcome| outcome.verdict().is_some_and(|v| v != Verdict::NotRun);
-        scene.resend_until(scene.third(), settled).await;
-        scene.site.daemons[killed].start_again().unwrap();
-        scene.site.daemons[killed].wait_ready(PATIENCE).unwrap();
-        scene.site.wait_endpoints().unwrap();
-        let last = scene.resend_until(killed, settled).await;
+        fixture.resend_until(fixture.third_host(), settled).await;
+        fixture.site.daemons[killed].start_again().unwrap();
+        fixture.site.daemons[killed].wait_ready(WAIT_TIMEOUT).unwrap();
+        fixture.site.wait_endpoints().unwrap();
+        let last = fixture.resend_until(killed, settled).await;
         match step {
-            Step::Sent | Step::Answered => assert_eq!(scene.runs(), 1, "{last:?}"),
-            Step::Connected | Step::Claimed => assert!(scene.runs() <= 1, "{last:?}"),
+            Step::Sent | Step::Answered => assert_eq!(fixture.runs(), 1, "{last:?}"),
+            Step::Connected | Step::Claimed => assert!(fixture.runs() <= 1, "{last:?}"),
         }
         if step == Step::Answered {
             assert_eq!(first, last);
@@ -216,49 +216,49 @@
 }
 
 #[yare::parameterized(
-    sender_before_commit = { Step::Connected, Victim::Sender },
-    sender_between_claim_and_send = { Step::Claimed, Victim::Sender },
-    sender_after_send = { Step::Sent, Victim::Sender },
-    sender_after_answer = { Step::Answered, Victim::Sender },
-    leader_before_commit = { Step::Connected, Victim::Leader },
-    leader_between_claim_and_send = { Step::Claimed, Victim::Leader },
-    leader_after_send = { Step::Sent, Victim::Leader },
-    leader_after_answer = { Step::Answered, Victim::Leader },
+    sender_before_commit = { Step::Connected, FailedHost::Sender },
+    sender_between_claim_and_send = { Step::Claimed, FailedHost::Sender },
+    sender_after_send = { Step::Sent, FailedHost::Sender },
+    sender_after_answer = { Step::Answered, FailedHost::Sender },
+    leader_before_commit = { Step::Connected, FailedHost::Leader },
+    leader_between_claim_and_send = { Step::Claimed, FailedHost::Leader },
+    leader_after_send = { Step::Sent, FailedHost::Leader },
+    leader_after_answer = { Step::Answered, FailedHost::Leader },
 )]
-fn killed_at_any_step_the_order_runs_at_most_once(step: Step, victim: Victim) {
-    kill(step, victim);
+fn order_runs_at_most_once_if_a_host_is_killed_at_any_step(step: Step, failed_host: FailedHost) {
+    kill_at_step(step, failed_host);
 }
 
 #[test]
-fn sender_frozen_between_claim_and_send_does_not_send_once_woken() {
+fn sender_frozen_between_claim_and_send_does_not_send_after_thawing() {
     block_on(async {
-        let mut scene = Scene::start().await;
-        let order = scene.send_until(Step::Claimed).await;
-        let sender = scene.sender;
-        scene.site.daemons[sender].freeze().unwrap();
-        scene.heal();
-        let elsewhere = scene.checked_order(scene.third()).await;
+        let mut fixture = Fixture::start().await;
+        let order = fixture.send_until(Step::Claimed).await;
+        let sender = fixture.sender;
+        fixture.site.daemons[sender].freeze().unwrap();
+        fixture.heal();
+        let elsewhere = fixture.send_checked_order(fixture.third_host()).await;
         assert_eq!(elsewhere.verdict(), Some(Verdict::MayHaveRun), "{elsewhere:?}");
         tokio::time::sleep(Duration::from_millis(2_500)).await;
-        scene.site.daemons[sender].thaw().unwrap();
-        scene.check(&order.await.unwrap());
+        fixture.site.daemons[sender].thaw().unwrap();
+        fixture.check_outcome(&order.await.unwrap());
         let answered = |outcome: &CallOutcome| matches!(outcome, CallOutcome::Answered { .. });
-        scene.resend_until(scene.third(), answered).await;
-        assert_eq!(scene.runs(), 1);
+        fixture.resend_until(fixture.third_host(), answered).await;
+        assert_eq!(fixture.runs(), 1);
     });
 }
 
 #[test]
-fn leader_frozen_past_its_lease_answers_nothing_stale_once_woken() {
+fn leader_frozen_past_its_lease_returns_no_stale_state_after_thawing() {
     block_on(async {
-        let mut scene = Scene::start().await;
-        let leader = scene.leader;
-        scene.site.daemons[leader].freeze().unwrap();
+        let mut fixture = Fixture::start().await;
+        let leader = fixture.leader;
+        fixture.site.daemons[leader].freeze().unwrap();
         let answered = |outcome: &CallOutcome| matches!(outcome, CallOutcome::Answered { .. });
-        let first = scene.resend_until(scene.sender, answered).await;
-        scene.site.daemons[leader].thaw().unwrap();
-        let read = LeaderRequest::ReadCall(scene.call());
-        match operator::ask(&scene.site.daemons[leader], &read).await.unwrap() {
+        let first = fixture.resend_until(fixture.sender, answered).await;
+        fixture.site.daemons[leader].thaw().unwrap();
+        let read = LeaderRequest::ReadCall(fixture.call_key());
+        match operator::ask(&fixture.site.daemons[leader], &read).await.unwrap() {
             daemon::PeerAnswer::Answered(wire::leader::LeaderAnswer::Call(call)) => {
                 let state = call.map(|call| call.state);
                 assert!(matches!(state, Some(CallState::Finished(..))), "stale: {state:?}");
@@ -266,121 +266,122 @@
             daemon::PeerAnswer::Answered(other) => panic!("unexpected {other:?}"),
             _ => {}
         }
-        let second = scene.resend_until(leader, answered).await;
+        let second = fixture.resend_until(leader, answered).await;
         assert_eq!(first, second);
-        assert_eq!(scene.runs(), 1);
+        assert_eq!(fixture.runs(), 1);
     });
 }
 
 #[test]
-fn host_cut_off_from_the_quorum_never_calls_an_order_that_ran_not_run() {
+fn isolated_host_never_returns_not_run_for_an_order_that_ran() {
     block_on(async {
-        let scene = Scene::start().await;
-        let first = scene.checked_order(scene.sender).await;
+        let fixture = Fixture::start().await;
+        let first = fixture.send_checked_order(fixture.sender).await;
         assert!(matches!(first, CallOutcome::Answered { .. }), "{first:?}");
-        scene.cut_off(scene.leader);
-        scene.checked_order(scene.leader).await;
-        scene.heal();
+        fixture.isolate(fixture.leader);
+        fixture.send_checked_order(fixture.leader).await;
+        fixture.heal();
         let answered = |outcome: &CallOutcome| matches!(outcome, CallOutcome::Answered { .. });
-        assert_eq!(scene.resend_until(scene.leader, answered).await, first);
+        assert_eq!(fixture.resend_until(fixture.leader, answered).await, first);
     });
 }
 
 #[test]
-fn outcome_is_told_after_a_cut() {
+fn outcome_is_recorded_after_a_partition() {
     block_on(async {
-        let scene = Scene::start().await;
-        let order = scene.send_until(Step::Sent).await;
-        scene.cut_off(scene.sender);
-        scene.gate.hold_answers(false);
+        let fixture = Fixture::start().await;
+        let order = fixture.send_until(Step::Sent).await;
+        fixture.isolate(fixture.sender);
+        fixture.gate.hold_answers(false);
         let first = order.await.unwrap();
         assert!(matches!(first, CallOutcome::Answered { .. }), "{first:?}");
-        let elsewhere = scene.checked_order(scene.third()).await;
+        let elsewhere = fixture.send_checked_order(fixture.third_host()).await;
         assert_eq!(elsewhere.verdict(), Some(Verdict::MayHaveRun), "{elsewhere:?}");
-        scene.heal();
+        fixture.heal();
         let answered = |outcome: &CallOutcome| matches!(outcome, CallOutcome::Answered { .. });
-        assert_eq!(scene.resend_until(scene.third(), answered).await, first);
-        assert_eq!(scene.runs(), 1);
+        assert_eq!(fixture.resend_until(fixture.third_host(), answered).await, first);
+        assert_eq!(fixture.runs(), 1);
     });
 }
 
 #[test]
-fn delayed_and_lossy_links_neither_lose_nor_double_an_order() {
+fn order_runs_once_over_delayed_and_lossy_links() {
     block_on(async {
-        let scene = Rc::new(Scene::start().await);
+        let fixture = Rc::new(Fixture::start().await);
         let lossy = Fault { loss: 0.05, ..Fault::delay(Duration::from_millis(5)) };
-        scene.site.peer_proxies.iter().for_each(|proxy| proxy.set(lossy.clone()));
+        fixture.site.peer_proxies.iter().for_each(|proxy| proxy.set(lossy.clone()));
         let one_way = Fault { hold_requests: true, ..lossy.clone() };
-        scene.site.peer_proxies[scene.leader].set_for(scene.ip(scene.sender), one_way);
+        fixture.site.peer_proxies[fixture.leader].set_for(fixture.ip(fixture.sender), one_way);
         let answered = |outcome: &CallOutcome| matches!(outcome, CallOutcome::Answered { .. });
-        let first = scene.resend_until(scene.third(), answered).await;
-        let second = scene.resend_until(scene.leader, answered).await;
-        scene.heal();
-        let last = scene.resend_until(scene.sender, answered).await;
+        let first = fixture.resend_until(fixture.third_host(), answered).await;
+        let second = fixture.resend_until(fixture.leader, answered).await;
+        fixture.heal();
+        let last = fixture.resend_until(fixture.sender, answered).await;
         assert_eq!((&first, &first), (&second, &last));
-        assert_eq!(scene.runs(), 1);
+        assert_eq!(fixture.runs(), 1);
     });
 }
 
 #[test]
-fn request_cut_short_by_its_timeout_leaves_no_claim_behind() {
+fn request_timeout_leaves_no_claim_behind() {
     block_on(async {
-        let scene = Scene::start().await;
+        let fixture = Fixture::start().await;
         let short = "[defaults]\nclaim-wait = \"500ms\"\nrequest-timeout = \"700ms\"\n";
-        let changed = operator::submit_change(&scene.site.daemons, operator::change("d", 1, short));
+        let changed =
+            operator::submit_change(&fixture.site.daemons, operator::change("d", 1, short));
         assert!(matches!(changed.await.unwrap(), ChangeReply::Changed(_)));
-        for daemon in &scene.site.daemons {
+        for daemon in &fixture.site.daemons {
             let in_force = async {
                 let newer = Revision::new(1);
                 let client = operator::connect(daemon).await.unwrap();
                 while client.configuration(newer).await.unwrap().is_none() {}
             };
-            tokio::time::timeout(PATIENCE, in_force).await.expect("the change is in force");
+            tokio::time::timeout(WAIT_TIMEOUT, in_force).await.expect("the change is in force");
         }
-        let order = scene.send_until(Step::Claimed).await;
-        scene.check(&order.await.unwrap());
-        scene.heal();
+        let order = fixture.send_until(Step::Claimed).await;
+        fixture.check_outcome(&order.await.unwrap());
+        fixture.heal();
         let answered = |outcome: &CallOutcome| matches!(outcome, CallOutcome::Answered { .. });
-        scene.resend_until(scene.third(), answered).await;
-        assert_eq!(scene.runs(), 1);
+        fixture.resend_until(fixture.third_host(), answered).await;
+        assert_eq!(fixture.runs(), 1);
     });
 }
 
 #[test]
-fn host_that_is_told_to_end_leaves_the_outcome_behind() {
+fn terminated_host_records_the_outcome_before_it_exits() {
     block_on(async {
-        let mut scene = Scene::start().await;
-        let order = scene.send_until(Step::Sent).await;
-        let sender = scene.sender;
-        scene.site.daemons[sender].terminate().unwrap();
-        scene.gate.hold_answers(false);
+        let mut fixture = Fixture::start().await;
+        let order = fixture.send_until(Step::Sent).await;
+        let sender = fixture.sender;
+        fixture.site.daemons[sender].terminate().unwrap();
+        fixture.gate.hold_answers(false);
         let first = order.await.unwrap();
         assert!(matches!(first, CallOutcome::Answered { .. }), "{first:?}");
-        let status = scene.site.daemons[sender].wait_end(PATIENCE).unwrap();
+        let status = fixture.site.daemons[sender].wait_end(WAIT_TIMEOUT).unwrap();
         assert_eq!(status.code(), Some(0));
-        assert_eq!(scene.checked_order(scene.third()).await, first);
+        assert_eq!(fixture.send_checked_order(fixture.third_host()).await, first);
     });
 }
 
 #[test]
-fn all_voters_restarting_at_once_keep_the_answer() {
+fn response_survives_a_simultaneous_restart_of_all_voters() {
     block_on(async {
-        let mut scene = Scene::start().await;
-        let first = scene.checked_order(scene.sender).await;
-        for daemon in &mut scene.site.daemons {
+        let mut fixture = Fixture::start().await;
+        let first = fixture.send_checked_order(fixture.sender).await;
+        for daemon in &mut fixture.site.daemons {
             daemon.kill().unwrap();
         }
-        for daemon in &mut scene.site.daemons {
+        for daemon in &mut fixture.site.daemons {
             daemon.start_again().unwrap();
         }
-        wait_until("all are ready", PATIENCE, || {
-            scene.site.daemons.iter_mut().all(|daemon| daemon.wait_ready(PATIENCE).is_ok())
+        wait_until("all are ready", WAIT_TIMEOUT, || {
+            fixture.site.daemons.iter_mut().all(|daemon| daemon.wait_ready(WAIT_TIMEOUT).is_ok())
         })
         .unwrap();
         let answered = |outcome: &CallOutcome| matches!(outcome, CallOutcome::Answered { .. });
         for host in 0..3 {
-            assert_eq!(scene.resend_until(host, answered).await, first);
+            assert_eq!(fixture.resend_until(host, answered).await, first);
         }
-        assert_eq!(scene.runs(), 1);
+        assert_eq!(fixture.runs(), 1);
     });
 }
--- a/crates/bench/tests/configuration.rs
+++ b/crates/bench/tests/configuration.rs
@@ -21,12 +21,12 @@
 use fleet::{ChangeReply, Command, Owner, OwnerGone};
 use wire::{leader::LeaderRequest, operator::ServingState};
 
-const PATIENCE: Duration = Duration::from_secs(20);
-const IN_FORCE: Duration = Duration::from_secs(5);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(5);
 const CHANGES: u64 = 300;
-/// Commands after which each voter has replaced its log by a snapshot.
-const COMMANDS: u64 = 4_300;
-const UNDER_WAY: usize = 64;
+/// Number of commands after which each voter has replaced its log by a snapshot.
+const SNAPSHOT_COMMANDS: u64 = 4_300;
+const MAX_IN_FLIGHT: usize = 64;
 
 fn program() -> Program {
     Program { path: PathBuf::from(env!("CARGO_BIN_EXE_bench")), args: vec!["daemon".into()] }
@@ -37,7 +37,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, future)
 }
 
-/// Three voters and a host without a disk.
+/// Starts three voters and a host without a disk.
 fn site() -> Site {
     let daemons = vec!["a", "b", "c", "a"];
     let spec = SiteSpec { daemons, engines: vec![], services: vec![], ..SiteSpec::small() };
@@ -53,42 +53,42 @@
     (status.state == ServingState::Ready).then_some(status.revision)
 }
 
-/// Watches the revision of each host that is ready; none may ever go down.
-struct Watch {
+/// Polls the revision of each ready host and records every decrease.
+struct RevisionMonitor {
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<Vec<String>>>,
 }
 
-impl Watch {
+impl RevisionMonitor {
     fn start(site: &Site) -> Self {
         let admins: Vec<_> = site.daemons.iter().map(|d| d.spec().admin_listen).collect();
         let stop = Arc::new(AtomicBool::new(false));
         let stopped = Arc::clone(&stop);
         let thread = std::thread::spawn(move || {
             let mut last = vec![Revision::ZERO; admins.len()];
-            let mut fallen = Vec::new();
+            let mut decreases = Vec::new();
             while !stopped.load(Ordering::Relaxed) {
                 for (last, admin) in last.iter_mut().zip(&admins) {
                     let Some(now) = revision(*admin) else { continue };
                     if now < *last {
-                        fallen.push(format!("{admin}: {last} then {now}"));
+                        decreases.push(format!("{admin}: {last} then {now}"));
                     }
                     *last = now;
                 }
             }
-            fallen
+            decreases
         });
         Self { stop, thread: Some(thread) }
     }
 
     fn finish(mut self) {
         self.stop.store(true, Ordering::Relaxed);
-        let fallen = self.thread.take().unwrap().join().unwrap();
-        assert!(fallen.is_empty(), "{fallen:?}");
+        let decreases = self.thread.take().unwrap().join().unwrap();
+        assert!(decreases.is_empty(), "{decreases:?}");
     }
 }
 
-impl Drop for Watch {
+impl Drop for RevisionMonitor {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
     }
@@ -99,15 +99,15 @@
     for daemon in &site.daemons {
         let admin = daemon.spec().admin_listen;
         let in_force = || Some(Revision::new(number)) <= revision(admin);
-        wait_until("the change is in force", IN_FORCE, in_force).unwrap();
+        wait_until("the change is in force", PROPAGATION_TIMEOUT, in_force).unwrap();
     }
-    assert!(begun.elapsed() < IN_FORCE);
+    assert!(begun.elapsed() < PROPAGATION_TIMEOUT);
 }
 
 fn restart_all(site: &mut Site) {
     site.daemons.iter_mut().for_each(|daemon| daemon.kill().unwrap());
     site.daemons.iter_mut().for_each(|daemon| daemon.start_again().unwrap());
-    site.daemons.iter_mut().for_each(|daemon| daemon.wait_ready(PATIENCE).unwrap());
+    site.daemons.iter_mut().for_each(|daemon| daemon.wait_ready(WAIT_TIMEOUT).unwrap());
 }
 
 async fn change(site: &Site, number: u64) -> ChangeReply {
@@ -116,9 +116,9 @@
 }
 
 #[test]
-fn hundreds_of_changes_survive_kills_cuts_and_a_restart_of_all() {
+fn hundreds_of_changes_survive_kills_partitions_and_a_full_restart() {
     let mut site = site();
-    let watch = Watch::start(&site);
+    let monitor = RevisionMonitor::start(&site);
     block_on(async {
         for number in 0..CHANGES {
             let reply = change(&site, number).await;
@@ -144,13 +144,13 @@
         assert_eq!(reply, ChangeReply::Changed(Revision::new(CHANGES + 1)));
         wait_in_force(&site, CHANGES + 1);
     });
-    watch.finish();
+    monitor.finish();
 }
 
 #[test]
-fn change_is_in_force_in_time_over_delay_loss_and_a_one_way_cut() {
+fn change_is_in_force_in_time_despite_delay_loss_and_a_one_way_partition() {
     let site = site();
-    let watch = Watch::start(&site);
+    let monitor = RevisionMonitor::start(&site);
     let lossy = Fault { loss: 0.02, ..Fault::delay(Duration::from_millis(5)) };
     site.peer_proxies.iter().for_each(|proxy| proxy.set(lossy.clone()));
     block_on(async {
@@ -164,33 +164,33 @@
             wait_in_force(&site, number + 1);
         }
     });
-    watch.finish();
+    monitor.finish();
 }
 
 #[test]
-fn voter_alone_keeps_the_configuration_in_force_over_a_restart() {
+fn lone_voter_restores_the_configuration_after_a_restart() {
     let mut site = site();
     block_on(async { change(&site, 0).await });
     wait_in_force(&site, 1);
     site.daemons.iter_mut().for_each(|daemon| daemon.kill().unwrap());
     site.daemons[0].start_again().unwrap();
-    site.daemons[0].wait_ready(PATIENCE).unwrap();
+    site.daemons[0].wait_ready(WAIT_TIMEOUT).unwrap();
     assert_eq!(revision(site.daemons[0].spec().admin_listen), Some(Revision::new(1)));
 }
 
-/// Has the leader write commands until every voter has replaced its log by a snapshot.
+/// Submits commands to the leader until every voter has replaced its log by a snapshot.
 async fn fill_log(site: &Site) {
     let owner = Owner { host: "nobody".parse().unwrap(), incarnation: base::Incarnation::new(1) };
     let gone = OwnerGone { owner, at: base::UnixMillis::default() };
     let request = LeaderRequest::Command(Command::OwnerGone(gone));
     let leader = operator::leader(&site.daemons).await.unwrap();
     let client = operator::connect(&site.daemons[leader]).await.unwrap();
-    let mut answered = 0;
-    while answered < COMMANDS {
-        let batch = (0..UNDER_WAY).map(|_| client.submit(&request, PATIENCE));
-        for answer in futures_util::future::join_all(batch).await {
-            assert!(matches!(answer, Ok(PeerAnswer::Answered(_))), "{answer:?}");
-            answered += 1;
+    let mut applied = 0;
+    while applied < SNAPSHOT_COMMANDS {
+        let batch = (0..MAX_IN_FLIGHT).map(|_| client.submit(&request, WAIT_TIMEOUT));
+        for response in futures_util::future::join_all(batch).await {
+            assert!(matches!(response, Ok(PeerAnswer::Answered(_))), "{response:?}");
+            applied += 1;
         }
     }
 }
@@ -202,17 +202,17 @@
 }
 
 #[test]
-fn resent_change_gets_its_first_answer_after_a_snapshot_and_a_restart_of_all() {
+fn resent_change_gets_its_first_reply_after_a_snapshot_and_a_full_restart() {
     let mut site = site();
     block_on(async {
         let first = change(&site, 0).await;
         change(&site, 1).await;
         fill_log(&site).await;
-        wait_until("each voter has a snapshot", PATIENCE, || {
+        wait_until("each voter has a snapshot", WAIT_TIMEOUT, || {
             (0..3).all(|host| has_snapshot(&site, host))
         })
         .unwrap();
-        let watch = Watch::start(&site);
+        let monitor = RevisionMonitor::start(&site);
         wait_in_force(&site, 2);
         restart_all(&mut site);
         wait_in_force(&site, 2);
@@ -221,12 +221,12 @@
             operator::submit_change(&site.daemons, operator::change("other", 0, "")).await,
             Ok(ChangeReply::Conflict { current, .. }) if current == Revision::new(2)
         ));
-        watch.finish();
+        monitor.finish();
     });
 }
 
 #[test]
-fn leader_cut_off_for_long_accepts_nothing_and_comes_back_to_the_others_word() {
+fn isolated_leader_accepts_no_change_and_adopts_the_new_configuration() {
     let site = site();
     block_on(async {
         change(&site, 0).await;
@@ -240,21 +240,21 @@
                 proxy.set_for(ip, Fault::partition());
             }
         }
-        let watch = Watch::start(&site);
-        let lonely = operator::change("lonely", 1, "[defaults]\nclaim-wait = \"7s\"\n");
-        let lonely = LeaderRequest::Command(Command::Change(lonely));
+        let monitor = RevisionMonitor::start(&site);
+        let isolated_change = operator::change("lonely", 1, "[defaults]\nclaim-wait = \"7s\"\n");
+        let isolated_change = LeaderRequest::Command(Command::Change(isolated_change));
         let begun = Instant::now();
         while begun.elapsed() < Duration::from_secs(4) {
-            let answer = operator::ask(&site.daemons[leader], &lonely).await.unwrap();
-            assert!(!matches!(answer, PeerAnswer::Answered(_)), "{answer:?}");
+            let response = operator::ask(&site.daemons[leader], &isolated_change).await.unwrap();
+            assert!(!matches!(response, PeerAnswer::Answered(_)), "{response:?}");
         }
         assert_eq!(change(&site, 1).await, ChangeReply::Changed(Revision::new(2)));
         site.peer_proxies.iter().for_each(bench::Proxy::heal);
         wait_in_force(&site, 2);
         for daemon in &site.daemons {
-            let held = operator::configuration(daemon).await.unwrap().unwrap();
-            assert_eq!(*held.declaration, *declaration(1));
+            let configuration = operator::configuration(daemon).await.unwrap().unwrap();
+            assert_eq!(*configuration.declaration, *declaration(1));
         }
-        watch.finish();
+        monitor.finish();
     });
 }
--- a/crates/bench/tests/endpoints.rs
+++ b/crates/bench/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints that leave, die, come back empty or can't be reached, and routers that miss it.
+//! Endpoints that leave, crash, restart empty or become unreachable, and routers that miss it.
 
 use std::time::{Duration, Instant};
 
@@ -14,13 +14,13 @@
 };
 use wire::announcement::AnnouncementBody;
 
-const SOON: Duration = Duration::from_secs(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time after which a leaving endpoint gets no new work.
-const LEFT_WITHIN: Duration = Duration::from_secs(3);
+/// Time after which a leaving endpoint gets no new requests.
+const LEAVE_PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
-/// Time that a router stands still.
-const FROZEN: Duration = Duration::from_secs(10);
+/// Time for which a router is frozen.
+const FREEZE_TIME: Duration = Duration::from_secs(10);
 
 const TOKENS: u64 = 60;
 
@@ -36,7 +36,7 @@
     Site::start(&Program::bench(env!("CARGO_BIN_EXE_bench")), spec).unwrap()
 }
 
-fn ask(site: &Site, number: usize) -> Ask {
+fn completion(site: &Site, number: usize) -> Ask {
     let organisation = &site.spec.organisations[number % site.spec.organisations.len()];
     Ask {
         key: organisation_key(organisation),
@@ -47,24 +47,24 @@
     }
 }
 
-/// Sends requests to each router and checks that all are answered whole.
-async fn ask_all(site: &Site, routers: &[usize]) {
-    let asks: Vec<_> = (0..24).map(|number| ask(site, number)).collect();
+/// Sends requests to these routers and checks that all get a complete response.
+async fn check_all_answered(site: &Site, routers: &[usize]) {
+    let completions: Vec<_> = (0..24).map(|number| completion(site, number)).collect();
     let listen = site.routers();
-    let sent = asks
+    let sent = completions
         .iter()
         .enumerate()
-        .map(|(i, ask)| caller::ask(listen[routers[i % routers.len()]], ask));
+        .map(|(i, request)| caller::ask(listen[routers[i % routers.len()]], request));
     for outcome in futures_util::future::join_all(sent).await {
         assert!(matches!(outcome, Outcome::Answered(_)), "{outcome:?}");
     }
 }
 
-async fn open(site: &Site, router: usize, ask: &Ask) -> AnswerStream {
-    AnswerStream::open(site.routers()[router], ask, None).await.unwrap().stream().unwrap()
+async fn open(site: &Site, router: usize, request: &Ask) -> AnswerStream {
+    AnswerStream::open(site.routers()[router], request, None).await.unwrap().stream().unwrap()
 }
 
-/// Returns the engine that generates, by its place in the site.
+/// Returns the index of the engine that generates the stream.
 fn engine_of(stream: &AnswerStream) -> usize {
     let endpoint = &stream.last_id.as_ref().unwrap().endpoint;
     let number: usize = endpoint.as_str().rsplit('-').next().unwrap().parse().unwrap();
@@ -75,7 +75,7 @@
     site.engines[engine].engine.counts().requests
 }
 
-/// Returns an announcement that an engine sent before, or may have sent.
+/// Returns an announcement that an engine could have sent earlier.
 fn old_announcement(site: &Site, engine: usize, sequence: u64) -> AnnouncementBody {
     AnnouncementBody {
         id: format!("engine-{}", engine + 1).parse().unwrap(),
@@ -103,30 +103,30 @@
     matches!(outcome, Outcome::Failed(problem) if problem.verdict == Some(Verdict::NotRun))
 }
 
-/// The router that is cut off while engine 0 leaves.
-macro_rules! left_everywhere {
+/// Tests that engine 0 gets no requests after it left while the given router is isolated.
+macro_rules! left_while_isolated {
     ($($name:ident: $router:literal;)*) => {$(
         #[test]
         fn $name() {
             let site = site();
-            block_on(ask_all(&site, &[0, 1, 2]));
+            block_on(check_all_answered(&site, &[0, 1, 2]));
             partition::cut_off_router(&site, $router);
             let left = Instant::now();
             site.engines[0].announcer.leave();
-            // Late copies of what it said before arrive in between.
-            while left.elapsed() < LEFT_WITHIN {
+            // Delayed copies of its earlier announcements arrive in between.
+            while left.elapsed() < LEAVE_PROPAGATION_TIME {
                 for (i, daemon) in site.daemons.iter().enumerate() {
                     announce(daemon, &old_announcement(&site, 0, i as u64 % 2));
                 }
-                std::thread::sleep(LEFT_WITHIN / 30);
+                std::thread::sleep(LEAVE_PROPAGATION_TIME / 30);
             }
             let before = requests(&site, 0);
-            let asks: Vec<_> = (0..24).map(|number| ask(&site, number)).collect();
+            let completions: Vec<_> = (0..24).map(|number| completion(&site, number)).collect();
             for router in 0..site.daemons.len() {
                 let listen = site.routers()[router];
-                let sent = asks.iter().map(|ask| caller::ask(listen, ask));
+                let sent = completions.iter().map(|request| caller::ask(listen, request));
                 for outcome in block_on(futures_util::future::join_all(sent)) {
-                    // The router that is cut off may know no other engine.
+                    // The isolated router may know no other engine.
                     let is_served = matches!(outcome, Outcome::Answered(_));
                     assert!(is_served || router == $router && is_not_run(&outcome), "{outcome:?}");
                 }
@@ -136,60 +136,60 @@
             for daemon in &site.daemons {
                 site.wait_known_by(daemon, 2).unwrap();
             }
-            block_on(ask_all(&site, &[0, 1, 2]));
+            block_on(check_all_answered(&site, &[0, 1, 2]));
             assert_eq!(requests(&site, 0), before, "after the partition");
         }
     )*};
 }
 
-left_everywhere! {
-    left_endpoint_gets_no_work_while_router_1_is_cut_off: 0;
-    left_endpoint_gets_no_work_while_router_2_is_cut_off: 1;
-    left_endpoint_gets_no_work_while_router_3_is_cut_off: 2;
+left_while_isolated! {
+    left_endpoint_gets_no_requests_while_router_1_is_isolated: 0;
+    left_endpoint_gets_no_requests_while_router_2_is_isolated: 1;
+    left_endpoint_gets_no_requests_while_router_3_is_isolated: 2;
 }
 
 #[test]
-fn engine_back_empty_is_another_engine() {
+fn restarted_engine_does_not_inherit_earlier_streams() {
     let mut site = site();
-    let ask = ask(&site, 0);
+    let request = completion(&site, 0);
     block_on(async {
-        let mut stream = open(&site, 0, &ask).await;
+        let mut stream = open(&site, 0, &request).await;
         stream.read_tokens(5).await.unwrap();
         let engine = engine_of(&stream);
         let id = stream.last_id.clone().unwrap();
-        let late = AnnouncementBody {
+        let delayed = AnnouncementBody {
             sequence: Sequence::new(1 << 40),
             ..old_announcement(&site, engine, 0)
         };
         site.restart_engine(engine, Incarnation::new(2));
         let end = stream.finish().await.unwrap();
         assert_eq!(end, StreamEnd::Done, "{}", site.daemons[0].log().unwrap());
-        check_whole(&ask, &[&stream]).unwrap();
-        wait_until("the new life is known", SOON, || {
+        check_whole(&request, &[&stream]).unwrap();
+        wait_until("the new incarnation is known", WAIT_TIMEOUT, || {
             let router = site.routers()[1];
-            let resumed = block_on_new(
-                move |ask, id| async move {
-                    AnswerStream::open(router, &ask, Some(&id)).await.unwrap().problem().ok()
+            let resumed = block_on_thread(
+                move |request, id| async move {
+                    AnswerStream::open(router, &request, Some(&id)).await.unwrap().problem().ok()
                 },
-                ask.clone(),
+                request.clone(),
                 id.clone(),
             );
             resumed.is_some_and(|problem| problem.status == 410)
         })
         .unwrap();
-        // What the old life said last arrives late, at every router.
-        site.daemons.iter().for_each(|daemon| announce(daemon, &late));
+        // A delayed announcement of the old incarnation arrives at every router.
+        site.daemons.iter().for_each(|daemon| announce(daemon, &delayed));
         let before = requests(&site, engine);
-        ask_all(&site, &[0, 1, 2]).await;
-        assert!(before < requests(&site, engine), "the new life gets no work");
-        let old = AnswerStream::open(site.routers()[2], &ask, Some(&id)).await.unwrap();
+        check_all_answered(&site, &[0, 1, 2]).await;
+        assert!(before < requests(&site, engine), "the new incarnation gets no requests");
+        let old = AnswerStream::open(site.routers()[2], &request, Some(&id)).await.unwrap();
         assert_eq!(old.problem().unwrap().verdict, Some(Verdict::MayHaveRun));
     });
     assert_eq!(site.tally.lock().wrong_salts, 0);
 }
 
-/// Runs a caller on a thread of its own and waits for it.
-fn block_on_new<T, F, A, B>(run: impl FnOnce(A, B) -> F + Send + 'static, a: A, b: B) -> T
+/// Runs a future on a new thread and waits for it.
+fn block_on_thread<T, F, A, B>(run: impl FnOnce(A, B) -> F + Send + 'static, a: A, b: B) -> T
 where
     T: Send + 'static,
     F: Future<Output = T>,
@@ -199,25 +199,25 @@
     std::thread::spawn(move || block_on(run(a, b))).join().unwrap()
 }
 
-macro_rules! whole_despite {
-    ($($name:ident: $hurt:expr;)*) => {$(
+macro_rules! completes_despite {
+    ($($name:ident: $inject:expr;)*) => {$(
         #[test]
         fn $name() {
             let site = site();
-            let ask = ask(&site, 0);
+            let request = completion(&site, 0);
             block_on(async {
-                let mut stream = open(&site, 0, &ask).await;
+                let mut stream = open(&site, 0, &request).await;
                 stream.read_tokens(5).await.unwrap();
-                let hurt: fn(&Proxy) = $hurt;
-                hurt(&site.engines[engine_of(&stream)].proxy);
+                let inject: fn(&Proxy) = $inject;
+                inject(&site.engines[engine_of(&stream)].proxy);
                 assert_eq!(stream.finish().await.unwrap(), StreamEnd::Done);
-                check_whole(&ask, &[&stream]).unwrap();
+                check_whole(&request, &[&stream]).unwrap();
             });
         }
     )*};
 }
 
-whole_despite! {
+completes_despite! {
     connection_cut_mid_stream: |proxy| {
         proxy.set(Fault { refuse: true, ..Fault::default() });
     };
@@ -234,11 +234,11 @@
 }
 
 #[test]
-fn engine_killed_while_the_next_ones_connections_are_cut() {
+fn stream_survives_a_killed_engine_and_cut_connections_to_the_others() {
     let mut site = site();
-    let ask = ask(&site, 0);
+    let request = completion(&site, 0);
     block_on(async {
-        let mut stream = open(&site, 0, &ask).await;
+        let mut stream = open(&site, 0, &request).await;
         stream.read_tokens(5).await.unwrap();
         let killed = engine_of(&stream);
         for (i, node) in site.engines.iter().enumerate().filter(|(i, _)| *i != killed) {
@@ -246,32 +246,34 @@
         }
         drop(site.engines.remove(killed));
         assert_eq!(stream.finish().await.unwrap(), StreamEnd::Done);
-        check_whole(&ask, &[&stream]).unwrap();
+        check_whole(&request, &[&stream]).unwrap();
     });
 }
 
 #[test]
-fn frozen_router_disturbs_nobody_and_sends_nothing_to_an_engine_that_left_meanwhile() {
+fn frozen_router_affects_no_other_and_sends_nothing_to_an_engine_that_left() {
     let mut site = site();
-    block_on(ask_all(&site, &[0, 1, 2]));
+    block_on(check_all_answered(&site, &[0, 1, 2]));
     site.daemons[2].freeze().unwrap();
     let frozen = Instant::now();
     site.engines[0].announcer.leave();
-    block_on(ask_all(&site, &[0, 1]));
-    std::thread::sleep(FROZEN.saturating_sub(frozen.elapsed()));
+    block_on(check_all_answered(&site, &[0, 1]));
+    std::thread::sleep(FREEZE_TIME.saturating_sub(frozen.elapsed()));
     let before = requests(&site, 0);
     let router = site.routers()[2];
-    let asks: Vec<_> = (0..16).map(|number| ask(&site, number)).collect();
-    // These wait in the frozen router's sockets and are read first when it wakes.
+    let completions: Vec<_> = (0..16).map(|number| completion(&site, number)).collect();
+    // These wait in the frozen router's sockets and are read first when it is thawed.
     let waiting = std::thread::spawn(move || {
-        block_on(futures_util::future::join_all(asks.iter().map(|ask| caller::ask(router, ask))))
+        block_on(futures_util::future::join_all(
+            completions.iter().map(|request| caller::ask(router, request)),
+        ))
     });
     std::thread::sleep(Duration::from_millis(200));
     site.daemons[2].thaw().unwrap();
     for outcome in waiting.join().unwrap() {
         assert!(matches!(outcome, Outcome::Answered(_)), "{outcome:?}");
     }
-    block_on(ask_all(&site, &[0, 1, 2]));
+    block_on(check_all_answered(&site, &[0, 1, 2]));
     assert_eq!(requests(&site, 0), before);
     for daemon in &site.daemons {
         site.wait_known_by(daemon, 2).unwrap();
@@ -279,13 +281,13 @@
 }
 
 #[test]
-fn data_centre_cut_off_is_served_by_its_own_engines_and_comes_back() {
+fn isolated_data_centre_is_served_by_its_own_engines_and_recovers() {
     let site = site();
     declare(&site, "[defaults]\nfirst-token-timeout = '700ms'\n").unwrap();
-    block_on(ask_all(&site, &[0, 1, 2]));
+    block_on(check_all_answered(&site, &[0, 1, 2]));
     partition::cut_off_data_centre(&site, "c");
-    block_on(ask_all(&site, &[0, 1, 2]));
+    block_on(check_all_answered(&site, &[0, 1, 2]));
     partition::heal(&site);
     site.wait_endpoints().unwrap();
-    block_on(ask_all(&site, &[0, 1, 2]));
+    block_on(check_all_answered(&site, &[0, 1, 2]));
 }
--- a/crates/bench/tests/hostile_callers.rs
+++ b/crates/bench/tests/hostile_callers.rs
@@ -1,4 +1,4 @@
-//! Malformed, slow and forged requests: a clear refusal, and the daemon lives on.
+//! Malformed, slow and forged requests are refused with an error, and the daemon keeps serving.
 
 use std::{
     io::{Read as _, Write as _},
@@ -12,7 +12,7 @@
     site::FLEET_KEY,
 };
 
-/// BLAKE3 digest of the key that the requests show.
+/// Returns the flag value with the BLAKE3 digest of the requests' key.
 fn key_flag() -> String {
     format!("school-1={}", base::Digest::of(b"right-key"))
 }
@@ -32,14 +32,14 @@
     daemon
 }
 
-/// Sends bytes and returns all that comes back until the daemon closes.
+/// Sends bytes and returns what the daemon sends until it closes the connection.
 fn exchange(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
     let _ = stream.write_all(bytes);
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
-    String::from_utf8_lossy(&answer).into_owned()
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    String::from_utf8_lossy(&response).into_owned()
 }
 
 fn post(path: &str, key: &str, body: &str) -> Vec<u8> {
@@ -61,11 +61,11 @@
     format!("{{\"model\": \"m\", \"prompt\": {}{}}}", "[".repeat(levels), "]".repeat(levels))
 }
 
-fn assert_alive(address: SocketAddr) {
+fn assert_serving(address: SocketAddr) {
     let req = "GET /v1/models HTTP/1.1\r\nhost: router\r\nauthorization: Bearer right-key\r\n\
                connection: close\r\n\r\n";
-    let answer = exchange(address, req.as_bytes());
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    let response = exchange(address, req.as_bytes());
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
 }
 
 macro_rules! refused {
@@ -73,10 +73,10 @@
         #[test]
         fn $name() {
             let daemon = start();
-            let answer = exchange(daemon.spec().listen, $request.as_ref());
-            $(assert!(answer.contains($expected), "{answer:?}");)+
-            assert!(!answer.contains("HTTP/1.1 200"), "{answer:?}");
-            assert_alive(daemon.spec().listen);
+            let response = exchange(daemon.spec().listen, $request.as_ref());
+            $(assert!(response.contains($expected), "{response:?}");)+
+            assert!(!response.contains("HTTP/1.1 200"), "{response:?}");
+            assert_serving(daemon.spec().listen);
         }
     )*};
 }
@@ -120,19 +120,19 @@
 }
 
 #[test]
-fn bytes_after_a_length_with_chunked_are_no_request() {
+fn content_length_with_chunked_encoding_smuggles_no_request() {
     let daemon = start();
     let smuggled = "GET /v1/models HTTP/1.1\r\nhost: r\r\nauthorization: Bearer right-key\r\n\r\n";
     let request = head(&format!(
         "content-length: 5\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n{smuggled}"
     ));
-    let answer = exchange(daemon.spec().listen, request.as_bytes());
-    assert!(!answer.contains("\"object\":\"list\""), "{answer:?}");
-    assert_alive(daemon.spec().listen);
+    let response = exchange(daemon.spec().listen, request.as_bytes());
+    assert!(!response.contains("\"object\":\"list\""), "{response:?}");
+    assert_serving(daemon.spec().listen);
 }
 
 #[test]
-fn slow_heads_are_closed_and_others_served() {
+fn slow_request_heads_are_closed_while_others_are_served() {
     const SLOW_CALLERS: usize = 200;
     let daemon = start();
     let address = daemon.spec().listen;
@@ -144,11 +144,11 @@
             stream
         })
         .collect();
-    assert_alive(address);
+    assert_serving(address);
     for stream in &mut slow {
-        let mut answer = Vec::new();
-        stream.read_to_end(&mut answer).unwrap();
-        assert!(!answer.starts_with(b"HTTP/1.1 200"));
+        let mut response = Vec::new();
+        stream.read_to_end(&mut response).unwrap();
+        assert!(!response.starts_with(b"HTTP/1.1 200"));
     }
 }
 
@@ -158,10 +158,10 @@
     let mut stream = TcpStream::connect(daemon.spec().listen).unwrap();
     stream.write_all(head("content-length: 100\r\n\r\n{\"model\"").as_bytes()).unwrap();
     stream.shutdown(std::net::Shutdown::Write).unwrap();
-    let mut answer = String::new();
-    let _ = stream.read_to_string(&mut answer);
-    assert!(!answer.contains("HTTP/1.1 200"), "{answer:?}");
-    assert_alive(daemon.spec().listen);
+    let mut response = String::new();
+    let _ = stream.read_to_string(&mut response);
+    assert!(!response.contains("HTTP/1.1 200"), "{response:?}");
+    assert_serving(daemon.spec().listen);
 }
 
 #[test]
@@ -176,9 +176,9 @@
             break;
         }
     }
-    assert_alive(daemon.spec().listen);
-    let grown = resident_kb(daemon.pid()).saturating_sub(before);
-    assert!(grown < 8 << 10, "{grown} kB more");
+    assert_serving(daemon.spec().listen);
+    let growth = resident_kb(daemon.pid()).saturating_sub(before);
+    assert!(growth < 8 << 10, "memory grew by {growth} kB");
 }
 
 fn resident_kb(pid: u32) -> u64 {
--- a/crates/bench/tests/kv.rs
+++ b/crates/bench/tests/kv.rs
@@ -1,4 +1,4 @@
-//! Transfer of cached blocks: only under their whole name, and never at the caller's cost.
+//! Transfer of cached KV blocks: only within their namespace, and without failing the request.
 
 use std::{path::PathBuf, time::Duration};
 
@@ -16,12 +16,12 @@
 use serde_json::{Value, json};
 use wire::problem::Problem;
 
-const IN_TIME: Duration = Duration::from_secs(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 const SALT: &str = "00000000000000aa";
 const PROMPT_BLOCKS: u64 = 20;
 const BLOCK_TOKENS: u64 = 16;
 
-/// Runs a future on a thread of its own, with what callers need.
+/// Runs a future on a current-thread runtime with a set of local tasks.
 fn block_on<T>(future: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, future)
@@ -40,8 +40,8 @@
     cfg
 }
 
-/// Asks an engine as a router would, and returns the answer's status.
-fn ask_engine(engine: &Engine, salt: &str, prompt: &str, params: Option<&Value>) -> StatusCode {
+/// Sends an engine a completion request as a router does, and returns the response's status.
+fn send_to_engine(engine: &Engine, salt: &str, prompt: &str, params: Option<&Value>) -> StatusCode {
     let mut body = json!({"model": "m", "prompt": prompt, "cache_salt": salt, "max_tokens": 1});
     if let Some(params) = params {
         body["kv_transfer_params"] = params.clone();
@@ -57,84 +57,84 @@
     })
 }
 
-/// What a case changes of a transfer that would succeed.
-struct Case {
+/// Changes to a transfer that would otherwise succeed.
+struct TransferCase {
     /// The engine that holds the blocks.
     source: fn(&mut EngineConfig),
-    /// What the request tells the engine that lacks them.
+    /// The transfer parameters of the request to the engine that lacks them.
     params: fn(&mut Value),
-    /// The salt of the request that lacks them.
+    /// The cache salt of the request to the engine that lacks them.
     salt: &'static str,
-    /// What the way to the source does.
+    /// The network fault on the connection to the source.
     fault: Fault,
 }
 
-impl Default for Case {
+impl Default for TransferCase {
     fn default() -> Self {
         Self { source: |_| {}, params: |_| {}, salt: SALT, fault: Fault::default() }
     }
 }
 
-/// Returns what the engine that lacks the blocks counted.
-fn fetched(case: &Case) -> EngineCounts {
+/// Runs a transfer and returns the counts of the fetching engine.
+fn run_transfer(case: &TransferCase) -> EngineCounts {
     let tally = SharedTally::default();
     let source = Engine::start(config("engine-1", case.source), SharedTally::default());
     let proxy = Proxy::start(source.address(), 1);
-    ask_engine(&source, SALT, &prompt(), None);
+    send_to_engine(&source, SALT, &prompt(), None);
     proxy.set(case.fault.clone());
-    let asking = Engine::start(config("engine-2", |_| {}), tally.clone());
+    let fetching = Engine::start(config("engine-2", |_| {}), tally.clone());
     let mut params = json!({
         "endpoint": "engine-1", "incarnation": 1, "address": proxy.address().to_string(),
         "salt": SALT, "model": "m", "weights": "v1", "blocks": PROMPT_BLOCKS,
     });
     (case.params)(&mut params);
-    assert_eq!(ask_engine(&asking, case.salt, &prompt(), Some(&params)), StatusCode::OK);
+    assert_eq!(send_to_engine(&fetching, case.salt, &prompt(), Some(&params)), StatusCode::OK);
     assert_eq!(tally.lock().wrong_transfers, 0);
-    asking.counts()
+    fetching.counts()
 }
 
 macro_rules! fetches {
     ($($name:ident: $case:expr => $blocks:expr;)*) => {$(
         #[test]
         fn $name() {
-            assert_eq!(fetched(&$case).fetched_tokens, $blocks * BLOCK_TOKENS);
+            assert_eq!(run_transfer(&$case).fetched_tokens, $blocks * BLOCK_TOKENS);
         }
     )*};
 }
 
 fetches! {
-    whole_name_gives_the_blocks: Case::default() => PROMPT_BLOCKS;
-    only_as_many_blocks_as_named:
-        Case { params: |p| p["blocks"] = 12.into(), ..Case::default() } => 12;
-    another_incarnation_gives_nothing: Case {
+    matching_namespace_fetches_the_blocks: TransferCase::default() => PROMPT_BLOCKS;
+    block_count_in_the_params_limits_the_fetch:
+        TransferCase { params: |p| p["blocks"] = 12.into(), ..TransferCase::default() } => 12;
+    another_incarnation_is_a_miss: TransferCase {
         source: |cfg| cfg.incarnation = Incarnation::new(2),
-        ..Case::default()
+        ..TransferCase::default()
     } => 0;
-    another_endpoint_at_the_address_gives_nothing: Case {
+    another_endpoint_at_the_address_is_a_miss: TransferCase {
         source: |cfg| cfg.id = "engine-9".parse().unwrap(),
-        ..Case::default()
+        ..TransferCase::default()
     } => 0;
-    other_weights_at_the_source_give_nothing: Case {
+    other_weights_at_the_source_are_a_miss: TransferCase {
         source: |cfg| cfg.weights = "v2".parse().unwrap(),
-        ..Case::default()
+        ..TransferCase::default()
     } => 0;
-    other_weights_in_the_request_give_nothing:
-        Case { params: |p| p["weights"] = "v0".into(), ..Case::default() } => 0;
-    another_organisation_gets_nothing:
-        Case { salt: "00000000000000bb", ..Case::default() } => 0;
-    another_organisation_that_claims_its_own_salt_gets_nothing: Case {
+    other_weights_in_the_request_are_a_miss:
+        TransferCase { params: |p| p["weights"] = "v0".into(), ..TransferCase::default() } => 0;
+    another_organisation_is_a_miss:
+        TransferCase { salt: "00000000000000bb", ..TransferCase::default() } => 0;
+    another_organisation_with_its_own_salt_in_the_params_is_a_miss: TransferCase {
         salt: "00000000000000bb",
         params: |p| p["salt"] = "00000000000000bb".into(),
-        ..Case::default()
+        ..TransferCase::default()
     } => 0;
-    dead_source_is_a_miss:
-        Case { fault: Fault { refuse: true, ..Fault::default() }, ..Case::default() } => 0;
-    silent_source_is_a_miss:
-        Case { fault: Fault { hold_answers: true, ..Fault::default() }, ..Case::default() } => 0;
+    unreachable_source_is_a_miss:
+        TransferCase { fault: Fault { refuse: true, ..Fault::default() }, ..TransferCase::default() } => 0;
+    unresponsive_source_is_a_miss:
+        TransferCase { fault: Fault { hold_answers: true, ..Fault::default() }, ..TransferCase::default() } => 0;
 }
 
 #[test]
-fn store_gives_evicted_blocks_under_their_name_only() {
+fn store_returns_evicted_blocks_only_within_their_namespace() {
     let store = KvStore::start(1_000);
     let address = store.address();
     let small = move |cfg: &mut EngineConfig| {
@@ -142,9 +142,12 @@
         cfg.kv_store = Some(address);
     };
     let engine = Engine::start(config("engine-1", small), SharedTally::default());
-    ask_engine(&engine, SALT, &prompt(), None);
-    ask_engine(&engine, SALT, &prompt().replace('0', "x"), None);
-    wait_until("the blocks are kept", IN_TIME, || store.counts().held == PROMPT_BLOCKS).unwrap();
+    send_to_engine(&engine, SALT, &prompt(), None);
+    send_to_engine(&engine, SALT, &prompt().replace('0', "x"), None);
+    wait_until("the evicted blocks are stored", WAIT_TIMEOUT, || {
+        store.counts().held == PROMPT_BLOCKS
+    })
+    .unwrap();
     let hashes = block_hashes(SALT, prompt().as_bytes());
     let hashes: Vec<_> = hashes.iter().map(|hash| format!("{hash:016x}")).collect();
     let status = |salt: &str, weights: &str| {
@@ -167,18 +170,18 @@
     site
 }
 
-/// Asks the router; requests for the same `page` share 18 blocks.
-fn ask(site: &Site, page: usize, question: usize) {
+/// Sends the router a completion request; requests for the same `page` share 18 blocks.
+fn send_completion(site: &Site, page: usize, question: usize) {
     let organisation = &site.spec.organisations[0];
     let page = format!("house style: page {page} ").repeat(60);
-    let ask = Ask {
+    let request = Ask {
         key: organisation_key(organisation),
         model: site.spec.model.to_string(),
         prompt: format!("organisation 0\n{page}\nquestion {question}"),
         tokens: 2,
         chat: false,
     };
-    let outcome = block_on(caller::ask(site.daemons[0].spec().listen, &ask));
+    let outcome = block_on(caller::ask(site.daemons[0].spec().listen, &request));
     assert!(matches!(outcome, Outcome::Answered(_)), "{outcome:?}");
 }
 
@@ -187,33 +190,33 @@
     counts.fold(EngineCounts::default(), |sum, counts| sum.plus(&counts))
 }
 
-/// Returns what an engine counted that got a page back after it had evicted it.
-fn after_eviction(kv_transfer: &str) -> EngineCounts {
+/// Returns the counts of an engine that gets a page again after evicting its blocks.
+fn counts_after_eviction(kv_transfer: &str) -> EngineCounts {
     let tune = |cfg: &mut EngineConfig| cfg.cache_blocks = 30;
     let spec = SiteSpec { engines: vec!["a"], kv_store: Some("a"), tune, ..SiteSpec::small() };
     let site = start(spec, kv_transfer);
-    ask(&site, 0, 0);
-    ask(&site, 1, 0);
+    send_completion(&site, 0, 0);
+    send_completion(&site, 1, 0);
     let store = &site.kv_store.as_ref().unwrap().store;
-    wait_until("evicted blocks are kept", IN_TIME, || store.counts().held != 0).unwrap();
-    ask(&site, 0, 1);
+    wait_until("evicted blocks are stored", WAIT_TIMEOUT, || store.counts().held != 0).unwrap();
+    send_completion(&site, 0, 1);
     assert_eq!(site.tally.lock().wrong_transfers, 0);
     counts(&site)
 }
 
 #[test]
-fn evicted_blocks_come_back_from_the_store() {
-    let (without, with) = (after_eviction("off"), after_eviction("store"));
+fn evicted_blocks_are_fetched_from_the_store() {
+    let (without, with) = (counts_after_eviction("off"), counts_after_eviction("store"));
     assert_eq!(without.fetched_tokens, 0);
     assert!(0 < with.fetched_tokens, "{with:?}");
     assert!(with.wasted_tokens < without.wasted_tokens, "{with:?}, without {without:?}");
 }
 
 #[test]
-fn engine_that_takes_over_fetches_from_its_neighbour() {
+fn engine_fetches_blocks_from_a_drained_neighbour() {
     let spec = SiteSpec { engines: vec!["a", "a"], ..SiteSpec::small() };
     let site = start(spec, "neighbour");
-    ask(&site, 0, 0);
+    send_completion(&site, 0, 0);
     let first = site.engines.iter().position(|node| node.engine.counts().requests != 0).unwrap();
     let drain = format!(
         "[defaults]\nkv-transfer = \"neighbour\"\n\
@@ -222,21 +225,21 @@
         first + 1
     );
     declare(&site, &drain).unwrap();
-    ask(&site, 0, 1);
+    send_completion(&site, 0, 1);
     assert!(0 < site.engines[1 - first].engine.counts().fetched_tokens, "{:?}", counts(&site));
 }
 
 #[test]
-fn callers_can_not_ask_the_store() {
+fn callers_cannot_reach_the_kv_store() {
     let site = start(SiteSpec { kv_store: Some("a"), ..SiteSpec::small() }, "both");
     let router = site.daemons[0].spec().listen;
     let url = format!("http://{router}/services/kept-kv/kv/{SALT}/00");
     let key = organisation_key(&site.spec.organisations[0]);
     let req = attohttpc::get(url).bearer_auth(key);
     let req = req.header("x-kv-model", "m").header("x-kv-weights", "v1");
-    let answer = req.send().unwrap();
-    assert_eq!(answer.status().as_u16(), 404);
-    let refusal: Problem = serde_json::from_str(&answer.text().unwrap()).unwrap();
-    assert_eq!(refusal.verdict, Some(Verdict::NotRun), "the router refuses, not the store");
+    let response = req.send().unwrap();
+    assert_eq!(response.status().as_u16(), 404);
+    let problem: Problem = serde_json::from_str(&response.text().unwrap()).unwrap();
+    assert_eq!(problem.verdict, Some(Verdict::NotRun), "the router refuses, not the store");
     assert_eq!(site.kv_store.as_ref().unwrap().store.counts().gets, 0);
 }
--- a/crates/bench/tests/peers.rs
+++ b/crates/bench/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Strangers at the peer address: no way in, and the daemon lives on.
+//! Unauthenticated connections to the peer address are rejected, and the daemon keeps serving.
 
 use std::{
     io::{Read as _, Write as _},
@@ -29,7 +29,7 @@
     attohttpc::get(url).send().is_ok_and(|response| response.is_success())
 }
 
-macro_rules! survived {
+macro_rules! keeps_serving_after {
     ($($name:ident: $bytes:expr,)*) => {$(
         #[test]
         fn $name() {
@@ -43,7 +43,7 @@
     )*};
 }
 
-survived! {
+keeps_serving_after! {
     http_at_the_peer_address: *b"GET / HTTP/1.1\r\nhost: router\r\n\r\n",
     zeros_at_the_peer_address: [0; 4096],
     ones_at_the_peer_address: [0xff; 4096],
@@ -53,23 +53,23 @@
 }
 
 #[test]
-fn router_with_another_fleet_key_stays_out() {
+fn router_with_another_fleet_key_does_not_join() {
     let site = Site::start(&program(), SiteSpec::small()).unwrap();
     let operator = base::Digest::of(OPERATOR_KEY.as_bytes());
-    let stranger = DaemonSpec::new("host-9", "a")
+    let foreign_router = DaemonSpec::new("host-9", "a")
         .flag("--fleet-key", "another-fleets-key-entirely")
         .flag("--operator-key", operator)
         .flag("--seed", site.peer_proxies[0].address());
-    let mut stranger = Daemon::start(&program(), stranger).unwrap();
-    stranger.wait_ready(Duration::from_secs(10)).unwrap();
-    let friend = DaemonSpec::new("host-8", "a")
+    let mut foreign_router = Daemon::start(&program(), foreign_router).unwrap();
+    foreign_router.wait_ready(Duration::from_secs(10)).unwrap();
+    let fleet_router = DaemonSpec::new("host-8", "a")
         .flag("--fleet-key", FLEET_KEY)
         .flag("--operator-key", operator)
         .flag("--seed", site.peer_proxies[0].address());
-    let mut friend = Daemon::start(&program(), friend).unwrap();
-    friend.wait_ready(Duration::from_secs(10)).unwrap();
+    let mut fleet_router = Daemon::start(&program(), fleet_router).unwrap();
+    fleet_router.wait_ready(Duration::from_secs(10)).unwrap();
 
     let expected = site.engines.len() + site.services.len();
-    site.wait_known_by(&friend, expected).unwrap();
-    assert_eq!(site.known_by(&stranger), Some(0));
+    site.wait_known_by(&fleet_router, expected).unwrap();
+    assert_eq!(site.known_by(&foreign_router), Some(0));
 }
--- a/crates/bench/tests/slopes.rs
+++ b/crates/bench/tests/slopes.rs
@@ -1,4 +1,4 @@
-//! The lines that `bench slopes` fits, and their JSON.
+//! Line fitting of `bench slopes`, and the JSON of its result.
 
 use bench::slopes::Slope;
 
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn json_of_a_slope_has_its_points_and_its_fit() {
+fn slope_json_has_points_and_fit() {
     let json =
         serde_json::to_value(fit(&[[1.0, 1.0], [2.0, 2.0], [3.0, 3.0], [4.0, 4.0]])).unwrap();
     let expected = serde_json::json!({
