--- a/crates/bench/tests/operator/access.rs
+++ b/crates/bench/tests/operator/access.rs
@@ -20,7 +20,7 @@
     daemon
 }
 
-fn with_key() -> Daemon {
+fn start_with_key() -> Daemon {
     start(&[("--operator-key", Digest::of(OPERATOR_KEY.as_bytes()).to_string())])
 }
 
@@ -29,9 +29,9 @@
     stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
     stream.write_all(request.as_bytes()).unwrap();
     let _ = stream.shutdown(std::net::Shutdown::Write);
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
-    String::from_utf8_lossy(&answer).into_owned()
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    String::from_utf8_lossy(&response).into_owned()
 }
 
 fn request(line: &str, key: &str, body: &str) -> String {
@@ -46,11 +46,11 @@
     ($($name:ident: $request:expr => $($expected:literal),+;)*) => {$(
         #[test]
         fn $name() {
-            let daemon = with_key();
-            let answer = exchange(daemon.spec().admin_listen, &$request);
-            assert!(answer.contains("application/problem+json"), "{answer:?}");
-            assert!(answer.contains("not-run"), "{answer:?}");
-            $(assert!(answer.contains($expected), "{answer:?}");)+
+            let daemon = start_with_key();
+            let response = exchange(daemon.spec().admin_listen, &$request);
+            assert!(response.contains("application/problem+json"), "{response:?}");
+            assert!(response.contains("not-run"), "{response:?}");
+            $(assert!(response.contains($expected), "{response:?}");)+
         }
     )*};
 }
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn without_an_operator_key_only_the_open_pages_answer() {
+fn without_an_operator_key_only_the_public_pages_are_served() {
     let daemon = start(&[]);
     let admin = daemon.spec().admin_listen;
     let closed = exchange(admin, &request("GET /operator/status", OPERATOR_KEY, ""));
@@ -94,8 +94,8 @@
 }
 
 #[test]
-fn tool_without_a_quorum_says_that_nothing_was_changed() {
-    let daemon = with_key();
+fn tool_without_a_quorum_exits_with_the_code_for_not_run() {
+    let daemon = start_with_key();
     let set = ["defaults", "set", "wait-weight", "2.5", "--yes", "--reason", "a test"];
     let run = run_at(&[daemon.spec().admin_listen], &set);
     assert_eq!(run.code, Some(3), "{run:?}");
@@ -103,7 +103,7 @@
 
 #[test]
 fn metrics_show_revision_and_role_from_the_start() {
-    let daemon = with_key();
+    let daemon = start_with_key();
     let page = exchange(daemon.spec().admin_listen, &request("GET /metrics", "any", ""));
     for name in ["dotterelreach_configuration_revision", "dotterelreach_quorum_role"] {
         assert!(page.contains(name), "{name}: {page}");
--- a/crates/bench/tests/operator/calls.rs
+++ b/crates/bench/tests/operator/calls.rs
@@ -16,7 +16,7 @@
 const TIMEOUT: Duration = Duration::from_secs(10);
 const SHOW: [&str; 6] = ["calls", "show", KEY, "-o", "school-1", "--json"];
 
-fn order(site: &Site) -> CallOutcome {
+fn send_order(site: &Site) -> CallOutcome {
     let organisation = organisation_key(&site.spec.organisations[0]);
     let router = site.daemons[0].spec().listen;
     let path = "/services/orders/orders";
@@ -25,12 +25,12 @@
     tokio::task::LocalSet::new().block_on(&runtime, call)
 }
 
-/// Makes an order that runs, and whose connection is cut before its answer.
-fn in_doubt(site: &Site) {
+/// Sends an order that runs, and cuts its connection before the response.
+fn send_order_in_doubt(site: &Site) {
     let set = |fault: Fault| site.services.iter().for_each(|node| node.proxy.set(fault.clone()));
     set(Fault { hold_answers: true, ..Fault::default() });
     let outcome = std::thread::scope(|scope| {
-        let ordering = scope.spawn(|| order(site));
+        let ordering = scope.spawn(|| send_order(site));
         let runs = || site.orders.runs(KEY) == 1;
         wait_until("the order runs", TIMEOUT, runs).unwrap();
         set(Fault { refuse: true, ..Fault::default() });
@@ -39,7 +39,7 @@
     assert_eq!(outcome.verdict(), Some(Verdict::MayHaveRun), "{outcome:?}");
 }
 
-fn resolve(site: &Site, outcome: &str) -> crate::tool::Run {
+fn resolve(site: &Site, outcome: &str) -> crate::tool::ToolOutput {
     let args = ["calls", "resolve", KEY, "-o", "school-1", outcome, "--json"];
     run(site, &[&args[..], &["--reason", "the order desk has it"]].concat())
 }
@@ -47,10 +47,10 @@
 #[test]
 fn answered_call_is_shown_with_its_status() {
     let site = site();
-    order(&site);
+    send_order(&site);
     let shown = || run(&site, &SHOW).json::<Call>();
-    // The caller has its answer before it is recorded.
-    wait_until("the answer is recorded", TIMEOUT, || shown().state != CallState::Open).unwrap();
+    // The caller gets the response before it is recorded.
+    wait_until("the response is recorded", TIMEOUT, || shown().state != CallState::Open).unwrap();
     let call = shown();
     assert_eq!((call.state, call.verdict), (CallState::Answered, Verdict::Ran));
     assert_eq!(call.status, Some(201));
@@ -58,19 +58,19 @@
 }
 
 #[test]
-fn call_in_doubt_is_listed_and_settled_once() {
+fn call_in_doubt_is_listed_and_resolved_once() {
     let site = site();
-    in_doubt(&site);
+    send_order_in_doubt(&site);
     let listed = || run(&site, &["calls", "list", "--json"]).json::<UnsettledCalls>();
     let failed = || listed().calls.iter().all(|call| call.state == CallState::Failed);
     wait_until("the failure is recorded", TIMEOUT, failed).unwrap();
     assert_eq!(listed().calls.len(), 1, "{:?}", listed());
-    let settled: Call = resolve(&site, "--ran").json();
-    assert_eq!((settled.state, settled.verdict), (CallState::Resolved, Verdict::Ran));
+    let resolved: Call = resolve(&site, "--ran").json();
+    assert_eq!((resolved.state, resolved.verdict), (CallState::Resolved, Verdict::Ran));
     let again: Call = resolve(&site, "--ran").json();
-    assert_eq!(again, settled);
+    assert_eq!(again, resolved);
     assert_eq!(resolve(&site, "--not-run").code, Some(1));
-    assert_eq!(run(&site, &SHOW).json::<Call>(), settled);
+    assert_eq!(run(&site, &SHOW).json::<Call>(), resolved);
     assert_eq!(listed(), UnsettledCalls::default());
 }
 
--- a/crates/bench/tests/operator/changes.rs
+++ b/crates/bench/tests/operator/changes.rs
@@ -13,12 +13,12 @@
 };
 
 use crate::{
-    meddler::{self, Answers},
+    intercepting_proxy::{self, ChangeResponses},
     tool::{admin, get, post, run, run_at, site},
 };
 
-/// Time within which a change must be in force everywhere.
-const IN_FORCE: Duration = Duration::from_secs(5);
+/// Time within which a change must be in force at every router.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn revision(router: SocketAddr) -> Revision {
     get::<CurrentDeclaration>(router, DECLARATION_PATH).revision
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn default_is_in_force_on_every_router_in_time() {
+fn default_is_in_force_at_every_router_in_time() {
     let site = site();
     let began = Instant::now();
     let set = ["defaults", "set", "wait-weight", "2.5", "--yes", "--reason", "waits are long"];
@@ -51,11 +51,11 @@
     let accepted = began.elapsed();
     for i in 0..site.daemons.len() {
         let in_force = || revision(admin(&site, i)) == Revision::new(1);
-        wait_until("the change is in force", IN_FORCE, in_force).unwrap();
+        wait_until("the change is in force", PROPAGATION_TIMEOUT, in_force).unwrap();
     }
     let everywhere = began.elapsed();
     println!("accepted after {accepted:?}, in force everywhere after {everywhere:?}");
-    assert!(everywhere < IN_FORCE, "{everywhere:?}");
+    assert!(everywhere < PROPAGATION_TIMEOUT, "{everywhere:?}");
     let shown = run_at(&[admin(&site, 2)], &["defaults", "get", "wait-weight"]);
     assert!(shown.stdout.contains("2.5"), "{shown:?}");
 }
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn apply_makes_a_difference_once() {
+fn apply_twice_changes_the_declaration_once() {
     let site = site();
     let (_folder, path) = file("[defaults]\nretry-budget = 0.2\n");
     let apply = ["apply", &path, "--yes", "--reason", "more retries"];
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn invalid_declaration_is_refused_with_its_line() {
+fn invalid_declaration_is_refused_with_the_line_number() {
     let site = site();
     let (_folder, path) = file("[defaults]\nno-such-setting = 1\n");
     let applied = run(&site, &["apply", &path, "--yes", "--reason", "a try"]);
@@ -98,10 +98,10 @@
 }
 
 #[test]
-fn one_of_two_operators_wins_and_the_other_is_told_who() {
+fn one_of_two_concurrent_changes_wins_and_the_conflict_names_the_winner() {
     let site = site();
     let routers = [admin(&site, 0), admin(&site, 1)];
-    let answers = std::thread::scope(|scope| {
+    let responses = std::thread::scope(|scope| {
         let racing = [("ilka", "1.5"), ("bence", "2.5")].into_iter().zip(routers).map(
             |((author, weight), router)| {
                 let toml = format!("[defaults]\nwait-weight = {weight}\n");
@@ -114,42 +114,42 @@
         let racing: Vec<_> = racing.collect();
         racing.into_iter().map(|thread| thread.join().unwrap()).collect::<Vec<_>>()
     });
-    let won = answers.iter().find(|(_, (status, _))| *status == 200).unwrap();
-    let lost = answers.iter().find(|(_, (status, _))| *status == 409).unwrap();
+    let won = responses.iter().find(|(_, (status, _))| *status == 200).unwrap();
+    let lost = responses.iter().find(|(_, (status, _))| *status == 409).unwrap();
     assert_eq!(won.1.1, ChangeAnswer::Applied { revision: Revision::new(1) });
     let ChangeAnswer::Conflict { winner } = &lost.1.1 else { panic!("{lost:?}") };
     assert_eq!((winner.author.as_str(), winner.revision), (won.0, Revision::new(1)));
 }
 
 #[test]
-fn tool_that_comes_second_names_the_change_that_came_first() {
+fn tool_reports_the_conflicting_change_that_was_applied_first() {
     let site = site();
     let router = admin(&site, 0);
-    let meddler = meddler::start(router, Answers::Passed, move || {
+    let proxy = intercepting_proxy::start(router, ChangeResponses::Forward, move || {
         let first = change("c-1", "bence", "[defaults]\nwait-weight = 2.5\n");
         let (status, _) = post::<ChangeAnswer>(router, DECLARATION_PATH, &first);
         assert_eq!(status, 200);
     });
     let (_folder, path) = file("[defaults]\nwait-weight = 1.5\n");
-    let second = run_at(&[meddler], &["apply", &path, "--yes", "--reason", "shorter waits"]);
+    let second = run_at(&[proxy], &["apply", &path, "--yes", "--reason", "shorter waits"]);
     assert_eq!(second.code, Some(1), "{second:?}");
     assert!(second.stderr.contains("revision 1 by bence"), "{second:?}");
     assert_eq!(revision(router), Revision::new(1));
 }
 
 #[test]
-fn tool_without_an_answer_says_so_and_the_same_command_is_safe() {
+fn tool_exits_with_unknown_outcome_without_a_response_and_can_be_run_again() {
     let site = site();
-    let meddler = meddler::start(admin(&site, 0), Answers::Lost, || {});
+    let proxy = intercepting_proxy::start(admin(&site, 0), ChangeResponses::Drop, || {});
     let set = ["defaults", "set", "wait-weight", "2.5", "--yes", "--reason", "waits are long"];
-    let lost = run_at(&[meddler], &set);
+    let lost = run_at(&[proxy], &set);
     assert_eq!(lost.code, Some(4), "{lost:?}");
     let again = run(&site, &set);
     assert!(again.stdout.contains("nothing to do; revision 1"), "{again:?}");
 }
 
 #[test]
-fn change_whose_answer_is_lost_is_sent_again_and_made_once() {
+fn change_whose_response_is_lost_is_resent_and_applied_once() {
     let site = site();
     let proxy = Proxy::start(admin(&site, 0), 1);
     proxy.set(Fault { hold_answers: true, ..Fault::default() });
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn resent_change_gets_its_first_answer_after_a_restart_of_all() {
+fn resent_change_gets_its_first_response_after_a_full_restart() {
     let mut site = site();
     let first = change("c-1", "ilka", "[defaults]\nwait-weight = 1.5\n");
     let applied = (200, ChangeAnswer::Applied { revision: Revision::new(1) });
@@ -184,16 +184,16 @@
         let req = attohttpc::post(url).bearer_auth(bench::site::OPERATOR_KEY);
         req.bytes(body).send().is_ok_and(|response| response.status().as_u16() == 200)
     };
-    wait_until("a leader is there again", Duration::from_secs(10), resend).unwrap();
+    wait_until("a leader is elected again", Duration::from_secs(10), resend).unwrap();
     assert_eq!(post(admin(&site, 1), DECLARATION_PATH, &first), applied);
     let other = change("c-1", "ilka", "[defaults]\nwait-weight = 9.5\n");
-    let (status, answer) = post::<ChangeAnswer>(admin(&site, 2), DECLARATION_PATH, &other);
+    let (status, response) = post::<ChangeAnswer>(admin(&site, 2), DECLARATION_PATH, &other);
     assert_eq!(status, 409);
-    assert!(matches!(answer, ChangeAnswer::ReusedId { .. }), "{answer:?}");
+    assert!(matches!(response, ChangeAnswer::ReusedId { .. }), "{response:?}");
 }
 
 #[test]
-fn change_without_a_majority_is_made_at_most_once_when_it_is_sent_again() {
+fn change_resent_after_a_lost_majority_is_applied_at_most_once() {
     let mut site = site();
     let leads =
         |i: &usize| get::<Status>(admin(&site, *i), STATUS_PATH).quorum.role == QuorumRole::Leader;
@@ -210,16 +210,16 @@
         daemon.thaw().unwrap();
     }
     let again = || run_at(&[admin(&site, leader)], &set).code == Some(0);
-    wait_until("the change is made", Duration::from_secs(20), again).unwrap();
+    wait_until("the change is applied", Duration::from_secs(20), again).unwrap();
     let history: History = get(admin(&site, leader), HISTORY_PATH);
     assert_eq!(history.changes.len(), 1, "{history:?}");
 }
 
-/// More entries of the log than the daemon applies before a snapshot replaces them.
+/// More log entries than the daemon applies before a snapshot replaces them.
 const SNAPSHOT_ENTRIES: usize = 4_200;
 
 #[test]
-fn configuration_is_in_force_after_a_restart_of_all_from_a_snapshot() {
+fn configuration_is_in_force_after_a_full_restart_from_a_snapshot() {
     const THREADS: usize = 12;
     let mut site = site();
     let first = change("c-1", "ilka", "[defaults]\nwait-weight = 1.5\n");
--- a/crates/bench/tests/operator/meddler.rs
+++ b/crates/bench/tests/operator/intercepting_proxy.rs
@@ -1,4 +1,4 @@
-//! A relay before a router's operator address that acts on each change.
+//! A proxy in front of a router's admin address that intercepts each change.
 
 use std::{
     io::{self, BufRead as _, BufReader, Read as _, Write as _},
@@ -6,18 +6,18 @@
     thread,
 };
 
-/// What the relay does with the router's answer to a change.
+/// What the proxy does with the router's response to a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answers {
-    Passed,
-    Lost,
+pub enum ChangeResponses {
+    Forward,
+    Drop,
 }
 
-/// Starts a relay to `router` that runs `before` ahead of each change.
+/// Starts a proxy to `router` that runs `before_change` before_change it forwards a change.
 pub fn start(
     router: SocketAddr,
-    answers: Answers,
-    before: impl Fn() + Send + 'static,
+    responses: ChangeResponses,
+    before_change: impl Fn() + Send + 'static,
 ) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -27,11 +27,11 @@
             let Some(request) = read_request(&stream) else { continue };
             let is_change = request.starts_with(b"POST ");
             if is_change {
-                before();
+                before_change();
             }
-            let answer = forward(router, &request);
-            if !is_change || answers == Answers::Passed {
-                stream.write_all(&answer).unwrap();
+            let response = forward(router, &request);
+            if !is_change || responses == ChangeResponses::Forward {
+                stream.write_all(&response).unwrap();
             }
         }
     });
@@ -66,9 +66,9 @@
         let mut stream = TcpStream::connect(router)?;
         stream.write_all(request)?;
         stream.shutdown(Shutdown::Write)?;
-        let mut answer = Vec::new();
-        stream.read_to_end(&mut answer)?;
-        Ok(answer)
+        let mut response = Vec::new();
+        stream.read_to_end(&mut response)?;
+        Ok(response)
     };
     exchange().unwrap()
 }
--- a/crates/bench/tests/operator/main.rs
+++ b/crates/bench/tests/operator/main.rs
@@ -1,9 +1,9 @@
-//! Operators' commands and pages, end to end against real daemons.
+//! The operator's command-line tool and the admin pages, end to end against real daemons.
 
 mod access;
 mod calls;
 mod changes;
-mod meddler;
+mod intercepting_proxy;
 mod queries;
 mod readiness;
 mod tool;
--- a/crates/bench/tests/operator/queries.rs
+++ b/crates/bench/tests/operator/queries.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn status_as_a_table_names_each_peer() {
+fn status_table_lists_each_peer() {
     let site = site();
     let status = run(&site, &["status"]);
     assert_eq!(status.code, Some(0), "{status:?}");
@@ -33,13 +33,13 @@
 }
 
 #[test]
-fn endpoints_show_what_they_serve() {
+fn endpoints_page_lists_models_and_services() {
     let site = site();
     let endpoints: Endpoints = run(&site, &["endpoints", "--json"]).json();
-    let engines = endpoints.endpoints.iter().filter(|known| !known.models.is_empty());
-    let services = endpoints.endpoints.iter().filter(|known| known.service.is_some());
+    let engines = endpoints.endpoints.iter().filter(|endpoint| !endpoint.models.is_empty());
+    let services = endpoints.endpoints.iter().filter(|endpoint| endpoint.service.is_some());
     assert_eq!((engines.count(), services.count()), (3, 2), "{endpoints:?}");
-    assert!(endpoints.endpoints.iter().all(|known| 0 < known.lease_ms), "{endpoints:?}");
+    assert!(endpoints.endpoints.iter().all(|endpoint| 0 < endpoint.lease_ms), "{endpoints:?}");
 }
 
 #[test]
@@ -48,7 +48,7 @@
     let prompt = "the house style of the school diary ".repeat(40);
     let args = ["explain", "--json", "-o", "school-1", "--model", "diary-8b", "--prompt", &prompt];
     let explained = |i| run_at(&[admin(&site, i)], &args).json::<Explanation>();
-    // The pages know an endpoint a moment before the edge thread does.
+    // The pages list an endpoint slightly before the edge thread knows it.
     let all_known = || (0..3).all(|i| explained(i).candidates.len() == 3);
     wait_until("every engine is a candidate", Duration::from_secs(5), all_known).unwrap();
     let first = explained(0);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn metrics_count_gossip_both_ways() {
+fn metrics_count_sent_and_received_gossip() {
     let site = site();
     let url = format!("http://{}/metrics", admin(&site, 0));
     let page = attohttpc::get(url).send().unwrap().text().unwrap();
--- a/crates/bench/tests/operator/readiness.rs
+++ b/crates/bench/tests/operator/readiness.rs
@@ -10,7 +10,7 @@
 
 use crate::tool::{admin, get, program, run};
 
-/// Host without a vote, which learns the configuration from its peers alone.
+/// Host without a vote, which gets the configuration only from its peers.
 const OBSERVER: usize = 3;
 
 fn site_with_observer() -> Site {
@@ -26,23 +26,23 @@
     let in_force = |i| get::<CurrentDeclaration>(admin(&site, i), DECLARATION_PATH).revision;
     let everywhere = || (0..site.daemons.len()).all(|i| in_force(i) == Revision::new(1));
     wait_until("the change is in force", Duration::from_secs(5), everywhere).unwrap();
-    let mut spans = Vec::new();
+    let mut restart_times = Vec::new();
     for _ in 0..10 {
         let began = Instant::now();
         site.daemons[OBSERVER].restart().unwrap();
         site.daemons[OBSERVER].wait_ready(Duration::from_secs(10)).unwrap();
-        spans.push(began.elapsed());
+        restart_times.push(began.elapsed());
         let in_force: CurrentDeclaration = get(admin(&site, OBSERVER), DECLARATION_PATH);
         assert_eq!(in_force.revision, Revision::new(1));
     }
     let status: Status = get(admin(&site, OBSERVER), "/operator/status");
     assert_eq!(status.counts.open_calls, None);
-    spans.sort();
-    println!("from restart to ready: {spans:?}");
+    restart_times.sort();
+    println!("from restart to ready: {restart_times:?}");
 }
 
 #[test]
-fn router_that_is_cut_off_is_shown_as_laggard_until_it_has_caught_up() {
+fn isolated_router_is_shown_as_laggard_until_it_has_caught_up() {
     let site = site_with_observer();
     let source = site.daemons[OBSERVER].spec().listen.ip();
     site.peer_proxies[OBSERVER].set(Fault::partition());
@@ -61,12 +61,12 @@
     let healed = Instant::now();
     wait_until("it is in force", Duration::from_secs(5), || in_force() == Revision::new(1))
         .unwrap();
-    println!("in force {:?} after the network was back", healed.elapsed());
+    println!("in force {:?} after the partition healed", healed.elapsed());
     wait_until("no laggard", Duration::from_secs(5), || !shown().laggard).unwrap();
 }
 
 #[test]
-fn key_of_the_declaration_is_taken_at_every_router_until_it_is_removed() {
+fn declared_organisation_key_is_accepted_at_every_router_until_it_is_removed() {
     let site = site_with_observer();
     let digest = Digest::of(b"key-of-the-choir");
     let folder = tempfile::tempdir().unwrap();
@@ -83,7 +83,7 @@
     };
     let all = |expected: u16| {
         let settled = || site.daemons.iter().all(|daemon| status(daemon) == expected);
-        wait_until("every router agrees", Duration::from_secs(5), settled).unwrap();
+        wait_until("every router has the key's state", Duration::from_secs(5), settled).unwrap();
     };
     all(401);
     apply(&format!("[[organisations]]\nid = \"choir\"\nkeys = [\"{digest}\"]\n"));
--- a/crates/bench/tests/operator/tool.rs
+++ b/crates/bench/tests/operator/tool.rs
@@ -1,4 +1,4 @@
-//! The tool as a process, and the pages as plain HTTP.
+//! Helpers that run the operator's tool as a process and request pages over HTTP.
 
 use std::{
     net::SocketAddr,
@@ -15,15 +15,15 @@
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How the tool ended.
+/// Exit code and output of the tool.
 #[derive(Debug)]
-pub struct Run {
+pub struct ToolOutput {
     pub code: Option<i32>,
     pub stdout: String,
     pub stderr: String,
 }
 
-impl Run {
+impl ToolOutput {
     pub fn json<T: DeserializeOwned>(&self) -> T {
         assert_eq!(self.code, Some(0), "{self:?}");
         serde_json::from_str(&self.stdout).unwrap_or_else(|e| panic!("{e}: {self:?}"))
@@ -43,12 +43,12 @@
 }
 
 /// Runs the tool against the first host.
-pub fn run(site: &Site, args: &[&str]) -> Run {
+pub fn run(site: &Site, args: &[&str]) -> ToolOutput {
     run_at(&[admin(site, 0)], args)
 }
 
-/// Runs the tool against some routers, in their order.
-pub fn run_at(routers: &[SocketAddr], args: &[&str]) -> Run {
+/// Runs the tool against these routers, in this order.
+pub fn run_at(routers: &[SocketAddr], args: &[&str]) -> ToolOutput {
     let routers: Vec<_> = routers.iter().map(ToString::to_string).collect();
     let output = Command::new(env!("CARGO_BIN_EXE_bench"))
         .arg("operator")
@@ -59,25 +59,25 @@
         .stdin(Stdio::null())
         .output()
         .unwrap();
-    finished(output)
+    tool_output(output)
 }
 
-fn finished(output: Output) -> Run {
-    Run {
+fn tool_output(output: Output) -> ToolOutput {
+    ToolOutput {
         code: output.status.code(),
         stdout: String::from_utf8(output.stdout).unwrap(),
         stderr: String::from_utf8(output.stderr).unwrap(),
     }
 }
 
-/// Reads a page.
+/// Requests a page and parses its JSON.
 pub fn get<T: DeserializeOwned>(router: SocketAddr, path: &str) -> T {
     let url = format!("http://{router}{path}");
     let response = attohttpc::get(url).bearer_auth(OPERATOR_KEY).timeout(TIMEOUT).send().unwrap();
     serde_json::from_str(&response.text().unwrap()).unwrap()
 }
 
-/// Posts a body and returns the status and the answer.
+/// Posts a JSON body and returns the response's status and parsed body.
 pub fn post<T: DeserializeOwned>(
     router: SocketAddr,
     path: &str,
@@ -89,6 +89,6 @@
     let response = req.bytes(body).send().unwrap();
     let status = response.status().as_u16();
     let text = response.text().unwrap();
-    let answer = serde_json::from_str(&text);
-    (status, answer.unwrap_or_else(|e| panic!("{e} in the answer {status}: {text}")))
+    let parsed = serde_json::from_str(&text);
+    (status, parsed.unwrap_or_else(|e| panic!("{e} in the response {status}: {text}")))
 }
--- a/crates/bench/tests/operator/voters.rs
+++ b/crates/bench/tests/operator/voters.rs
@@ -59,11 +59,11 @@
     site.daemons[1].kill().unwrap();
     let set = ["defaults", "set", "wait-weight", "2.5", "--yes", "--reason", "a second loss"];
     let changed = || run(&site, &set).code == Some(0);
-    wait_until("two of three suffice", Duration::from_secs(10), changed).unwrap();
+    wait_until("two of three voters commit a change", Duration::from_secs(10), changed).unwrap();
 }
 
-/// Starts a host that can vote and founded nothing.
-fn start_newcomer(site: &Site) -> Daemon {
+/// Starts a host that can vote but is not a founder.
+fn start_new_host(site: &Site) -> Daemon {
     let digest = Digest::of(OPERATOR_KEY.as_bytes());
     let spec = DaemonSpec::new("host-9", "a")
         .flag("--fleet-key", FLEET_KEY)
@@ -78,15 +78,15 @@
 }
 
 #[test]
-fn leader_is_replaced_by_a_host_that_founded_nothing() {
+fn leader_is_replaced_by_a_host_that_is_no_founder() {
     let site = site();
-    let newcomer = start_newcomer(&site);
-    let status = || get::<Status>(newcomer.spec().admin_listen, STATUS_PATH).quorum;
+    let new_host = start_new_host(&site);
+    let status = || get::<Status>(new_host.spec().admin_listen, STATUS_PATH).quorum;
     assert_eq!(status().role, QuorumRole::Observer);
     let folder = status().folder.unwrap();
     let add = [&["voters", "add", "host-9", "--folder", &folder][..], &REASON].concat();
     let added = || run(&site, &add).code == Some(0);
-    wait_until("the newcomer is admitted", Duration::from_secs(10), added).unwrap();
+    wait_until("the new host is added as a voter", Duration::from_secs(10), added).unwrap();
     wait_until("a leader", Duration::from_secs(10), || status().leader.is_some()).unwrap();
 
     let leader = status().leader.unwrap();
@@ -95,7 +95,7 @@
     wait_until("the leader is removed", Duration::from_secs(10), removed).unwrap();
     let set = ["defaults", "set", "wait-weight", "2.5", "--yes", "--reason", "a new leader"];
     let changed = || run(&site, &set).code == Some(0);
-    wait_until("another leads", Duration::from_secs(10), changed).unwrap();
+    wait_until("another host leads", Duration::from_secs(10), changed).unwrap();
     let listed: Voters = run(&site, &["voters", "list", "--json"]).json();
     assert_eq!(listed.voters.len(), 3, "{listed:?}");
     assert!(!hosts(&listed).contains(&leader.as_str()), "{listed:?}");
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn folder_that_is_no_number_is_refused() {
+fn folder_that_is_not_hexadecimal_is_refused() {
     let site = site();
     let add = [&["voters", "add", "host-3", "--folder", "mine"][..], &REASON].concat();
     let added = run(&site, &add);
--- a/crates/bench/tests/quorum_disks.rs
+++ b/crates/bench/tests/quorum_disks.rs
@@ -1,4 +1,4 @@
-//! Voters whose disk is lost, older or damaged.
+//! Voters whose disk is lost, restored from an older copy, damaged or full.
 
 use std::{
     fs,
@@ -18,12 +18,12 @@
 use quorum::FolderId;
 use wire::leader::{LeaderAnswer, LeaderRequest};
 
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Longer than several elections take.
-const LONG: Duration = Duration::from_secs(3);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time without a commit that shows there is no quorum: longer than several elections.
+const NO_QUORUM_TIME: Duration = Duration::from_secs(3);
 
-/// Several idle heartbeats, which tell voters of each other's starts; no page shows them.
-const HEARTBEATS: Duration = Duration::from_millis(500);
+/// Time for several idle heartbeats, which propagate the voters' starts; no page shows these.
+const HEARTBEAT_TIME: Duration = Duration::from_millis(500);
 
 fn program() -> Program {
     Program { path: PathBuf::from(env!("CARGO_BIN_EXE_bench")), args: vec!["daemon".into()] }
@@ -51,12 +51,12 @@
     format!("[defaults]\nclaim-wait = \"{}ms\"\n", 1_000 + number)
 }
 
-fn numbered(number: u64) -> fleet::ConfigChange {
+fn numbered_change(number: u64) -> fleet::ConfigChange {
     operator::change(&format!("change-{number}"), number, &declaration(number))
 }
 
 async fn change(site: &Site, number: u64) {
-    let reply = operator::submit_change(&site.daemons, numbered(number)).await.unwrap();
+    let reply = operator::submit_change(&site.daemons, numbered_change(number)).await.unwrap();
     assert_eq!(reply, ChangeReply::Changed(Revision::new(number + 1)));
 }
 
@@ -65,30 +65,30 @@
         let admin = site.daemons[*host].spec().admin_listen;
         let in_force =
             || operator::status(admin).is_ok_and(|s| s.revision == Revision::new(number));
-        wait_until("the change is in force", PATIENCE, in_force).unwrap();
+        wait_until("the change is in force", WAIT_TIMEOUT, in_force).unwrap();
     }
 }
 
-fn copy(from: &Path, to: &Path) {
+fn copy_folder(from: &Path, to: &Path) {
     fs::create_dir_all(to).unwrap();
     for file in fs::read_dir(from).unwrap().flatten() {
         let target = to.join(file.file_name());
         if file.file_type().unwrap().is_dir() {
-            copy(&file.path(), &target);
+            copy_folder(&file.path(), &target);
         } else {
             fs::copy(file.path(), target).unwrap();
         }
     }
 }
 
-/// Checks for a while that no host commits a change.
+/// Checks for [`NO_QUORUM_TIME`] that no host commits a change.
 async fn assert_no_quorum(site: &Site, number: u64) {
-    let request = LeaderRequest::Command(Command::Change(numbered(number)));
+    let request = LeaderRequest::Command(Command::Change(numbered_change(number)));
     let begun = Instant::now();
-    while begun.elapsed() < LONG {
+    while begun.elapsed() < NO_QUORUM_TIME {
         for daemon in &site.daemons {
-            let answer = operator::ask(daemon, &request).await;
-            assert!(!matches!(answer, Ok(PeerAnswer::Answered(_))), "{answer:?}");
+            let response = operator::ask(daemon, &request).await;
+            assert!(!matches!(response, Ok(PeerAnswer::Answered(_))), "{response:?}");
         }
     }
 }
@@ -98,27 +98,27 @@
     u64::from_str_radix(&text, 16).ok().map(FolderId::new)
 }
 
-/// Takes the host's old vote away and gives its present folder a new one.
+/// Removes the host as a voter and adds it again with its present folder.
 async fn replace_voter(site: &Site, host: usize) {
     let id = host_id(site, host);
     let remove = LeaderRequest::RemoveVoter { host: id.clone() };
-    let is_voter = |answer: &LeaderAnswer, folder: Option<FolderId>| match answer {
+    let is_voter = |response: &LeaderAnswer, folder: Option<FolderId>| match response {
         LeaderAnswer::Voters(voters) => voters.folders.get(&id).copied() == folder,
         _ => false,
     };
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !is_voter(&operator::ask_leader(&site.daemons, &remove).await.unwrap().1, None) {
-        assert!(Instant::now() < deadline, "the voter stays");
+        assert!(Instant::now() < deadline, "the voter is not removed in time");
     }
     let fresh = folder(site.daemons[host].spec().admin_listen).unwrap();
     let add = LeaderRequest::AddVoter { host: id.clone(), folder: fresh };
     while !is_voter(&operator::ask_leader(&site.daemons, &add).await.unwrap().1, Some(fresh)) {
-        assert!(Instant::now() < deadline, "the voter isn't taken in");
+        assert!(Instant::now() < deadline, "the voter is not added in time");
     }
 }
 
 #[test]
-fn voter_with_a_lost_disk_does_not_vote_until_replaced_and_then_stands_in_for_another() {
+fn voter_with_a_lost_disk_does_not_vote_until_replaced_and_then_counts_for_the_quorum() {
     let mut site = site();
     block_on(async {
         change(&site, 0).await;
@@ -129,18 +129,18 @@
         change(&site, 1).await;
         site.daemons[second].freeze().unwrap();
         site.daemons[lost].start_again().unwrap();
-        site.daemons[lost].wait_ready(PATIENCE).unwrap();
+        site.daemons[lost].wait_ready(WAIT_TIMEOUT).unwrap();
         assert_no_quorum(&site, 2).await;
         site.daemons[second].thaw().unwrap();
         replace_voter(&site, lost).await;
-        let reply = operator::submit_change(&site.daemons, numbered(2)).await.unwrap();
+        let reply = operator::submit_change(&site.daemons, numbered_change(2)).await.unwrap();
         assert_eq!(reply, ChangeReply::Changed(Revision::new(3)));
         site.daemons[leader].kill().unwrap();
         change(&site, 3).await;
         for host in [lost, second] {
             let admin = site.daemons[host].spec().admin_listen;
             let in_force = || operator::status(admin).is_ok_and(|s| s.revision == Revision::new(4));
-            wait_until("the change is in force", PATIENCE, in_force).unwrap();
+            wait_until("the change is in force", WAIT_TIMEOUT, in_force).unwrap();
         }
     });
 }
@@ -155,21 +155,21 @@
         let data = data_dir(&site, older);
         let backup = site.data.path().join("backup");
         site.daemons[older].kill().unwrap();
-        copy(&data, &backup);
+        copy_folder(&data, &backup);
         site.daemons[older].start_again().unwrap();
-        site.daemons[older].wait_ready(PATIENCE).unwrap();
-        // The host that will be asked about the copy hears of the start after it, and writes that
-        // with the next entry.
+        site.daemons[older].wait_ready(WAIT_TIMEOUT).unwrap();
+        // The host that must later recognise the copy as old learns of this start, which came after
+        // the copy, and persists it with the next log entry.
         change(&site, 1).await;
         wait_revision(&site, &[older, second, leader], 2);
-        tokio::time::sleep(HEARTBEATS).await;
+        tokio::time::sleep(HEARTBEAT_TIME).await;
         change(&site, 2).await;
         wait_revision(&site, &[older, second, leader], 3);
         site.daemons[second].kill().unwrap();
         change(&site, 3).await;
         site.daemons[older].kill().unwrap();
         fs::remove_dir_all(&data).unwrap();
-        copy(&backup, &data);
+        copy_folder(&backup, &data);
         site.daemons[leader].kill().unwrap();
         site.daemons[second].start_again().unwrap();
         site.daemons[older].start_again().unwrap();
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn damaged_log_ends_the_process_with_a_clear_error() {
+fn damaged_log_makes_the_daemon_exit_with_an_error() {
     let mut site = site();
     block_on(async { change(&site, 0).await });
     site.daemons[1].kill().unwrap();
@@ -196,25 +196,25 @@
     }
     assert!(0 < damaged);
     site.daemons[1].start_again().unwrap();
-    let status = site.daemons[1].wait_end(PATIENCE).unwrap();
+    let status = site.daemons[1].wait_end(WAIT_TIMEOUT).unwrap();
     assert_eq!(status.code(), Some(1));
     block_on(async { change(&site, 1).await });
 }
 
-/// Bytes after which no file of the second host grows, in blocks of 512.
-const FULL: &str = "ulimit -f 96";
+/// Shell command that limits the second host's file size, in blocks of 512 bytes.
+const FILE_SIZE_LIMIT: &str = "ulimit -f 96";
 
-/// Runs the daemons by a shell, which gives the second host a disk that fills up.
+/// Runs the daemons from a shell that limits the second host's files, as a disk that fills up.
 fn program_with_full_disk() -> Program {
     let daemon = env!("CARGO_BIN_EXE_bench");
     let script = format!(
-        "trap '' XFSZ; case \"$*\" in *'--host host-2 '*) {FULL};; esac; exec {daemon} daemon \"$@\""
+        "trap '' XFSZ; case \"$*\" in *'--host host-2 '*) {FILE_SIZE_LIMIT};; esac; exec {daemon} daemon \"$@\""
     );
     Program { path: "/bin/sh".into(), args: vec!["-c".into(), script, "sh".into()] }
 }
 
 #[test]
-fn voter_with_a_full_disk_acknowledges_nothing_and_says_so() {
+fn voter_with_a_full_disk_acknowledges_nothing_and_reports_the_failure() {
     let spec = SiteSpec { engines: vec![], services: vec![], ..SiteSpec::small() };
     let mut site = Site::start(&program_with_full_disk(), spec).unwrap();
     let admin = site.daemons[1].spec().admin_listen;
--- a/crates/bench/tests/regression/listen_backlog.rs
+++ b/crates/bench/tests/regression/listen_backlog.rs
@@ -1,4 +1,4 @@
-//! A burst of callers waited a second, since only 128 connections could wait to be accepted.
+//! With a listen backlog of 128, a burst of callers waited a second for its connections.
 
 use std::{net::TcpStream, path::PathBuf, time::Duration};
 
@@ -7,9 +7,9 @@
     site::FLEET_KEY,
 };
 
-const BURST: usize = 400;
+const BURST_CONNECTIONS: usize = 400;
 
-/// Well under the time after which TCP asks for a connection again.
+/// Well below the time after which TCP retransmits a SYN.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
 #[test]
@@ -21,9 +21,9 @@
     daemon.wait_ready(Duration::from_secs(10)).unwrap();
     daemon.freeze().unwrap();
     let address = daemon.spec().listen;
-    let connected: Vec<_> = (0..BURST)
+    let connected: Vec<_> = (0..BURST_CONNECTIONS)
         .map_while(|_| TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok())
         .collect();
     daemon.thaw().unwrap();
-    assert_eq!(connected.len(), BURST);
+    assert_eq!(connected.len(), BURST_CONNECTIONS);
 }
--- a/crates/bench/tests/regression/main.rs
+++ b/crates/bench/tests/regression/main.rs
@@ -1,3 +1,3 @@
-//! A file for each fault found.
+//! Regression tests, one file for each fault.
 
 mod listen_backlog;
--- a/crates/bench/tests/restarts.rs
+++ b/crates/bench/tests/restarts.rs
@@ -8,8 +8,8 @@
     site::{Site, SiteSpec},
 };
 
-const SOON: Duration = Duration::from_secs(10);
-const RATE: f64 = 40.0;
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
+const REQUESTS_PER_SECOND: f64 = 40.0;
 
 fn site() -> Site {
     let spec = SiteSpec {
@@ -21,25 +21,25 @@
 }
 
 #[test]
-fn rolling_restart_cuts_and_refuses_nothing() {
+fn rolling_restart_cuts_and_refuses_no_request() {
     let mut site = site();
-    let load = RunningLoad::start(&site, RATE, 1);
+    let load = RunningLoad::start(&site, REQUESTS_PER_SECOND, 1);
     for daemon in &mut site.daemons {
         daemon.terminate().unwrap();
-        assert_eq!(daemon.wait_end(SOON).unwrap().code(), Some(0));
+        assert_eq!(daemon.wait_end(WAIT_TIMEOUT).unwrap().code(), Some(0));
         daemon.start_again().unwrap();
-        daemon.wait_ready(SOON).unwrap();
+        daemon.wait_ready(WAIT_TIMEOUT).unwrap();
     }
-    let counted = load.stop();
-    assert!(50 < counted.requests, "{counted:?}");
-    assert_eq!((counted.failed, counted.cut, counted.refused), (0, 0, 0), "{counted:?}");
+    let counts = load.stop();
+    assert!(50 < counts.requests, "{counts:?}");
+    assert_eq!((counts.failed, counts.cut, counts.refused), (0, 0, 0), "{counts:?}");
 }
 
 #[test]
-fn streams_outlive_the_sudden_death_of_every_router() {
+fn streams_survive_a_kill_of_every_router() {
     let mut site = site();
-    let load = RunningLoad::start(&site, RATE, 2);
-    wait_until("streams run", SOON, || {
+    let load = RunningLoad::start(&site, REQUESTS_PER_SECOND, 2);
+    wait_until("streams run", WAIT_TIMEOUT, || {
         site.engines.iter().any(|node| 10 < node.engine.counts().requests)
     })
     .unwrap();
@@ -50,8 +50,8 @@
         daemon.start_again().unwrap();
     }
     for daemon in &mut site.daemons {
-        daemon.wait_ready(SOON).unwrap();
+        daemon.wait_ready(WAIT_TIMEOUT).unwrap();
     }
-    let counted = load.stop();
-    assert_eq!(counted.failed, 0, "{counted:?}");
+    let counts = load.stop();
+    assert_eq!(counts.failed, 0, "{counts:?}");
 }
--- a/crates/bench/tests/routing.rs
+++ b/crates/bench/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Choice of endpoint and admission, with real daemons.
+//! Routing and admission, with real daemons.
 
 use std::{path::PathBuf, time::Duration};
 
@@ -14,7 +14,7 @@
 use hyper::Method;
 use wire::problem::Problem;
 
-const IN_TIME: Duration = Duration::from_secs(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A prompt text long enough to fill several blocks.
 const STYLE: &str = "house style: ";
@@ -27,14 +27,14 @@
     Site::start(&program(), spec).unwrap()
 }
 
-/// Runs a future on a thread of its own, with what callers need.
+/// Runs a future on a current-thread runtime with a set of local tasks.
 fn block_on<T>(future: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, future)
 }
 
-/// Returns a request of an organisation; those with the same `page` share a long prefix.
-fn ask_for(site: &Site, organisation: usize, page: usize, question: usize) -> Ask {
+/// Returns an organisation's request; requests with the same `page` share a long prefix.
+fn completion_for(site: &Site, organisation: usize, page: usize, question: usize) -> Ask {
     let organisation = &site.spec.organisations[organisation];
     let page = format!("{STYLE}page {page} ").repeat(60);
     Ask {
@@ -46,20 +46,20 @@
     }
 }
 
-async fn ask(site: &Site, host: usize, ask: &Ask) -> Outcome {
-    caller::ask(site.daemons[host].spec().listen, ask).await
+async fn send(site: &Site, host: usize, request: &Ask) -> Outcome {
+    caller::ask(site.daemons[host].spec().listen, request).await
 }
 
 fn is_answered(outcome: &Outcome) -> bool {
     matches!(outcome, Outcome::Answered(_))
 }
 
-/// Returns the requests that each engine has counted.
+/// Returns the number of requests that each engine has received.
 fn requests(site: &Site) -> Vec<u64> {
     site.engines.iter().map(|node| node.engine.counts().requests).collect()
 }
 
-/// Returns the engines that counted a request since `before`.
+/// Returns the engines that received a request since `before`.
 fn used_since(site: &Site, before: &[u64]) -> Vec<usize> {
     let now = requests(site);
     (0..now.len()).filter(|&i| before[i] < now[i]).collect()
@@ -86,34 +86,34 @@
     let site = start(spec);
     declare(&site, "[defaults]\nqueue-deadline = \"2s\"\n").unwrap();
     block_on(async {
-        let flood = (0..FLOOD).map(|i| ask_for(&site, 0, i, i)).collect::<Vec<_>>();
-        let flood = join_all(flood.iter().map(|request| ask(&site, 0, request)));
+        let flood = (0..FLOOD).map(|i| completion_for(&site, 0, i, i)).collect::<Vec<_>>();
+        let flood = join_all(flood.iter().map(|request| send(&site, 0, request)));
         let others = async {
             tokio::time::sleep(Duration::from_millis(300)).await;
-            let others = (0..OTHERS).map(|i| ask_for(&site, 1, i, i)).collect::<Vec<_>>();
-            join_all(others.iter().map(|request| ask(&site, 0, request))).await
+            let others = (0..OTHERS).map(|i| completion_for(&site, 1, i, i)).collect::<Vec<_>>();
+            join_all(others.iter().map(|request| send(&site, 0, request))).await
         };
         let (flood, others) = tokio::join!(flood, others);
         let refused = flood.iter().filter(|outcome| !is_answered(outcome)).count();
-        assert!(0 < refused, "the flood fits, so the test shows nothing");
+        assert!(0 < refused, "nothing was refused: the flood is below capacity");
         assert!(others.iter().all(is_answered), "{others:?}");
     });
 }
 
 #[test]
-fn refused_completions_reach_no_engine_and_say_when_to_try_again() {
+fn refused_completions_reach_no_engine_and_carry_retry_after() {
     const FLOOD: usize = 120;
     let spec = SiteSpec { engines: vec!["a"], tune: slow_engines, ..one_host() };
     let site = start(spec);
     declare(&site, "[defaults]\nqueue-deadline = \"200ms\"\n").unwrap();
-    let answers = block_on(async {
-        let flood = (0..FLOOD).map(|i| ask_for(&site, i % 8, i, i)).collect::<Vec<_>>();
-        join_all(flood.iter().map(|request| answer_head(&site, request))).await
+    let responses = block_on(async {
+        let flood = (0..FLOOD).map(|i| completion_for(&site, i % 8, i, i)).collect::<Vec<_>>();
+        join_all(flood.iter().map(|request| read_response(&site, request))).await
     });
-    let refused: Vec<_> = answers.iter().filter(|(status, ..)| *status == 429).collect();
-    let answered = answers.iter().filter(|(status, ..)| *status == 200).count();
-    assert!(!refused.is_empty(), "{answers:?}");
-    assert_eq!(refused.len() + answered, FLOOD, "{answers:?}");
+    let refused: Vec<_> = responses.iter().filter(|(status, ..)| *status == 429).collect();
+    let answered = responses.iter().filter(|(status, ..)| *status == 200).count();
+    assert!(!refused.is_empty(), "{responses:?}");
+    assert_eq!(refused.len() + answered, FLOOD, "{responses:?}");
     for (_, retry_after, problem) in &refused {
         assert!(retry_after.is_some(), "{problem:?}");
         assert_eq!(problem.as_ref().and_then(|p| p.verdict), Some(base::Verdict::NotRun));
@@ -121,16 +121,16 @@
     assert_eq!(requests(&site).iter().sum::<u64>(), answered as u64);
 }
 
-/// Returns an answer's status, its `Retry-After` and its problem, once it has been read.
-async fn answer_head(site: &Site, ask: &Ask) -> (u16, Option<String>, Option<Problem>) {
+/// Returns a response's status, `Retry-After` and problem, after reading its body.
+async fn read_response(site: &Site, request: &Ask) -> (u16, Option<String>, Option<Problem>) {
     use http_body_util::BodyExt as _;
     let router = site.daemons[0].spec().listen;
     let body = serde_json::json!({
-        "model": ask.model, "prompt": ask.prompt, "max_tokens": ask.tokens, "stream": true,
+        "model": request.model, "prompt": request.prompt, "max_tokens": request.tokens, "stream": true,
     });
     let req = hyper::Request::post("/v1/completions")
         .header("host", router.to_string())
-        .header("authorization", format!("Bearer {}", ask.key))
+        .header("authorization", format!("Bearer {}", request.key))
         .body(http_body_util::Full::new(body.to_string().into()))
         .unwrap();
     let (parts, body) = caller::send(router, req).await.unwrap().into_parts();
@@ -140,12 +140,12 @@
 }
 
 #[test]
-fn organisation_over_its_concurrent_requests_is_refused_as_not_run() {
+fn organisation_over_its_concurrency_limit_is_refused_as_not_run() {
     let site = start(SiteSpec { tune: slow_engines, ..one_host() });
     declare(&site, "[defaults]\nmax-concurrent-requests = 2\n").unwrap();
     let outcomes = block_on(async {
-        let requests = (0..6).map(|i| ask_for(&site, 0, i, i)).collect::<Vec<_>>();
-        join_all(requests.iter().map(|request| ask(&site, 0, request))).await
+        let requests = (0..6).map(|i| completion_for(&site, 0, i, i)).collect::<Vec<_>>();
+        join_all(requests.iter().map(|request| send(&site, 0, request))).await
     });
     let answered = outcomes.iter().filter(|outcome| is_answered(outcome)).count() as u64;
     assert!((2..6).contains(&answered), "{outcomes:?}");
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn drained_endpoints_get_no_new_work() {
+fn drained_endpoints_get_no_new_requests() {
     let site = start(one_host());
     let drain = |scope: &str| {
         format!(
@@ -164,41 +164,47 @@
     let send = |page: usize| {
         block_on(async {
             for question in 0..4 {
-                let request = ask_for(&site, question, page + question, question);
-                assert!(is_answered(&ask(&site, 0, &request).await));
+                let request = completion_for(&site, question, page + question, question);
+                assert!(is_answered(&send(&site, 0, &request).await));
             }
         });
     };
-    for (scope, spared) in [("endpoint = \"engine-2\"", 1), ("data-centre = \"c\"", 2)] {
+    for (scope, drained) in [("endpoint = \"engine-2\"", 1), ("data-centre = \"c\"", 2)] {
         declare(&site, &drain(scope)).unwrap();
         let before = requests(&site);
         (0..4).for_each(|i| send(i * 10));
-        assert!(!used_since(&site, &before).contains(&spared), "{scope}");
+        assert!(!used_since(&site, &before).contains(&drained), "{scope}");
     }
     declare(&site, &drain("endpoint = \"engine-1\"")).unwrap();
     let before = requests(&site);
     let all = |i: usize| send(100 + i * 10);
     (0..8).for_each(all);
-    assert_eq!(used_since(&site, &before), [1, 2], "those drained before are back");
+    assert_eq!(
+        used_since(&site, &before),
+        [1, 2],
+        "endpoints that are no longer drained get requests again"
+    );
 }
 
 #[test]
-fn policy_changes_without_a_restart() {
+fn routing_policy_changes_without_a_restart() {
     let site = start(one_host());
     let engines_of = |page: usize| {
         let before = requests(&site);
         block_on(async {
             for question in 0..6 {
-                assert!(is_answered(&ask(&site, 0, &ask_for(&site, 0, page, question)).await));
+                assert!(is_answered(
+                    &send(&site, 0, &completion_for(&site, 0, page, question)).await
+                ));
             }
         });
         used_since(&site, &before).len()
     };
-    assert_eq!(engines_of(1), 1, "the warm one");
+    assert_eq!(engines_of(1), 1, "the engine with the cached prefix");
     declare(&site, "[defaults]\nrouting-policy = \"round-robin\"\n").unwrap();
-    assert_eq!(engines_of(1), 3, "each in turn");
+    assert_eq!(engines_of(1), 3, "each engine in turn");
     declare(&site, "[defaults]\nrouting-policy = \"warm\"\n").unwrap();
-    assert_eq!(engines_of(2), 1, "the one that the first request made warm");
+    assert_eq!(engines_of(2), 1, "the engine that cached the first request's prefix");
 }
 
 #[test]
@@ -206,30 +212,32 @@
     let mut site = start(one_host());
     let warm = {
         let before = requests(&site);
-        let first = ask_for(&site, 0, 1, 0);
-        assert!(block_on(async { is_answered(&ask(&site, 0, &first).await) }));
+        let first = completion_for(&site, 0, 1, 0);
+        assert!(block_on(async { is_answered(&send(&site, 0, &first).await) }));
         used_since(&site, &before)[0]
     };
     let explained = |site: &Site| -> u64 {
-        let request = ask_for(site, 0, 1, 1);
+        let request = completion_for(site, 0, 1, 1);
         warm_tokens(site, &request).into_iter().max().unwrap_or(0)
     };
     assert!(0 < explained(&site));
     site.restart_engine(warm, Incarnation::new(2));
-    wait_until("the new life is known and holds nothing", IN_TIME, || explained(&site) == 0)
-        .unwrap();
-    let again = ask_for(&site, 0, 1, 2);
-    assert!(block_on(async { is_answered(&ask(&site, 0, &again).await) }));
+    wait_until("the new incarnation is known and has nothing cached", WAIT_TIMEOUT, || {
+        explained(&site) == 0
+    })
+    .unwrap();
+    let again = completion_for(&site, 0, 1, 2);
+    assert!(block_on(async { is_answered(&send(&site, 0, &again).await) }));
 }
 
-/// Returns the tokens of a request's prompt that each engine is believed to hold.
-fn warm_tokens(site: &Site, ask: &Ask) -> Vec<u64> {
+/// Returns the number of a prompt's tokens that the router expects in each engine's cache.
+fn warm_tokens(site: &Site, request: &Ask) -> Vec<u64> {
     let url =
         format!("http://{}{}", site.daemons[0].spec().admin_listen, wire::operator::EXPLAIN_PATH);
     let body = serde_json::json!({
         "organisation": site.spec.organisations[0],
         "model": site.spec.model,
-        "input": {"prompt": ask.prompt},
+        "input": {"prompt": request.prompt},
     });
     let response = attohttpc::post(url)
         .bearer_auth(bench::site::OPERATOR_KEY)
@@ -246,40 +254,40 @@
         .collect()
 }
 
-/// Waits until the first daemon chooses among all engines; its pages may know them a moment before.
-fn wait_choice(site: &Site) {
-    let probe = ask_for(site, 0, 0, 0);
+/// Waits until the first daemon routes to all engines; its pages may list them slightly earlier.
+fn wait_candidates(site: &Site) {
+    let probe = completion_for(site, 0, 0, 0);
     let all = || warm_tokens(site, &probe).len() == site.engines.len();
-    wait_until("the router chooses among all engines", IN_TIME, all).unwrap();
+    wait_until("the router chooses among all engines", WAIT_TIMEOUT, all).unwrap();
 }
 
 #[test]
-fn restarted_router_sends_to_the_warm_endpoint_without_memory() {
+fn restarted_router_routes_to_the_endpoint_with_the_cached_prefix() {
     let mut site = start(SiteSpec::small());
-    wait_choice(&site);
+    wait_candidates(&site);
     let pages = 0..6;
     block_on(async {
         for page in pages.clone() {
-            assert!(is_answered(&ask(&site, 0, &ask_for(&site, 0, page, 0)).await));
+            assert!(is_answered(&send(&site, 0, &completion_for(&site, 0, page, 0)).await));
         }
     });
     site.daemons[0].restart().unwrap();
-    site.daemons[0].wait_ready(IN_TIME).unwrap();
-    wait_choice(&site);
+    site.daemons[0].wait_ready(WAIT_TIMEOUT).unwrap();
+    wait_candidates(&site);
     let before = cached_tokens(&site);
     block_on(async {
         for page in pages.clone() {
-            assert!(is_answered(&ask(&site, 0, &ask_for(&site, 0, page, 1)).await));
+            assert!(is_answered(&send(&site, 0, &completion_for(&site, 0, page, 1)).await));
         }
     });
-    let prompt_tokens = pages.map(|page| ask_for(&site, 0, page, 1).prompt.len() as u64 / 4);
+    let prompt_tokens = pages.map(|page| completion_for(&site, 0, page, 1).prompt.len() as u64 / 4);
     let all: u64 = prompt_tokens.sum();
     let cached = cached_tokens(&site) - before;
-    assert!(all * 9 / 10 <= cached, "{cached} of {all} tokens were warm");
+    assert!(all * 9 / 10 <= cached, "{cached} of {all} tokens were cached");
 }
 
 #[test]
-fn late_status_lookup_is_asked_of_a_second_endpoint_and_a_claimed_call_is_not() {
+fn late_status_lookup_is_hedged_at_a_second_endpoint_and_a_claimed_call_is_not() {
     let site = start(one_host());
     declare(&site, "[defaults]\nhedge-delay = \"100ms\"\n").unwrap();
     let held = bench::Fault { hold_answers: true, ..bench::Fault::default() };
--- a/crates/bench/tests/shutdown.rs
+++ b/crates/bench/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! A graceful shutdown cuts no request, and a second signal says what it cuts.
+//! A graceful shutdown cuts no request, and a second signal logs the requests that it cuts.
 
 use std::{
     io::{Read as _, Write as _},
@@ -13,7 +13,7 @@
     stream::{AnswerStream, StreamEnd, check_whole},
 };
 
-const SOON: Duration = Duration::from_secs(5);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn site(drain_notice: &str) -> Site {
     let spec = SiteSpec {
@@ -27,7 +27,7 @@
     Site::start(&Program::bench(env!("CARGO_BIN_EXE_bench")), spec).unwrap()
 }
 
-fn ask(site: &Site, tokens: u64) -> Ask {
+fn completion(site: &Site, tokens: u64) -> Ask {
     let organisation = &site.spec.organisations[0];
     Ask {
         key: organisation_key(organisation),
@@ -38,8 +38,8 @@
     }
 }
 
-async fn open(site: &Site, ask: &Ask) -> AnswerStream {
-    AnswerStream::open(site.routers()[0], ask, None).await.unwrap().stream().unwrap()
+async fn open(site: &Site, request: &Ask) -> AnswerStream {
+    AnswerStream::open(site.routers()[0], request, None).await.unwrap().stream().unwrap()
 }
 
 fn readiness(site: &Site) -> u16 {
@@ -47,27 +47,27 @@
     attohttpc::get(url).send().map_or(0, |response| response.status().as_u16())
 }
 
-/// A caller's connection that stays open between requests.
-struct KeptOpen(TcpStream);
+/// A caller's keep-alive connection.
+struct KeepAliveConnection(TcpStream);
 
-impl KeptOpen {
+impl KeepAliveConnection {
     fn connect(router: SocketAddr) -> Self {
         let stream = TcpStream::connect(router).unwrap();
-        stream.set_read_timeout(Some(SOON)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         Self(stream)
     }
 
-    /// Asks for the models and returns the answer's head and body.
-    fn ask_models(&mut self, key: &str) -> String {
+    /// Requests the models and returns the response's head and body.
+    fn list_models(&mut self, key: &str) -> String {
         let req =
             format!("GET /v1/models HTTP/1.1\r\nhost: r\r\nauthorization: Bearer {key}\r\n\r\n");
         self.0.write_all(req.as_bytes()).unwrap();
-        let mut answer = Vec::new();
+        let mut response = Vec::new();
         let mut byte = [0];
-        while !answer.ends_with(b"\"list\"}") && self.0.read(&mut byte).unwrap() != 0 {
-            answer.extend(byte);
+        while !response.ends_with(b"\"list\"}") && self.0.read(&mut byte).unwrap() != 0 {
+            response.extend(byte);
         }
-        String::from_utf8(answer).unwrap()
+        String::from_utf8(response).unwrap()
     }
 
     fn is_closed(&mut self) -> bool {
@@ -76,91 +76,92 @@
 }
 
 #[test]
-fn readiness_fails_first_and_running_streams_end_whole() {
+fn readiness_fails_first_and_running_streams_complete() {
     let mut site = site("500ms");
-    let ask = ask(&site, 300);
+    let request = completion(&site, 300);
     let router = site.routers()[0];
-    let mut idle = KeptOpen::connect(router);
-    assert!(idle.ask_models(&ask.key).starts_with("HTTP/1.1 200"));
+    let mut idle = KeepAliveConnection::connect(router);
+    assert!(idle.list_models(&request.key).starts_with("HTTP/1.1 200"));
     block_on(async {
-        let mut before = open(&site, &ask).await;
+        let mut before = open(&site, &request).await;
         before.read_tokens(3).await.unwrap();
         site.daemons[0].terminate().unwrap();
-        wait_until("readiness fails", SOON, || readiness(&site) == 503).unwrap();
-        // Accepting goes on until the balancer has had its notice.
-        let mut during = open(&site, &ask).await;
-        let answer = KeptOpen::connect(router).ask_models(&ask.key);
-        assert!(answer.to_lowercase().contains("connection: close"), "{answer}");
+        wait_until("readiness fails", WAIT_TIMEOUT, || readiness(&site) == 503).unwrap();
+        // Connections are accepted until the drain notice of the load balancer has passed.
+        let mut during = open(&site, &request).await;
+        let response = KeepAliveConnection::connect(router).list_models(&request.key);
+        assert!(response.to_lowercase().contains("connection: close"), "{response}");
         assert!(idle.is_closed());
-        wait_until("connections are refused", SOON, || TcpStream::connect(router).is_err())
+        wait_until("connections are refused", WAIT_TIMEOUT, || TcpStream::connect(router).is_err())
             .unwrap();
         for stream in [&mut before, &mut during] {
             assert_eq!(stream.finish().await.unwrap(), StreamEnd::Done);
-            check_whole(&ask, &[stream]).unwrap();
+            check_whole(&request, &[stream]).unwrap();
         }
     });
-    assert_eq!(site.daemons[0].wait_end(SOON).unwrap().code(), Some(0));
+    assert_eq!(site.daemons[0].wait_end(WAIT_TIMEOUT).unwrap().code(), Some(0));
 }
 
 #[test]
-fn request_sent_as_accepting_ends_is_served() {
+fn request_sent_as_the_listener_closes_is_served() {
     let mut site = site("1ms");
-    let ask = ask(&site, 100);
+    let request = completion(&site, 100);
     let router = site.routers()[0];
-    let mut idle: Vec<_> = (0..20).map(|_| KeptOpen::connect(router)).collect();
+    let mut idle: Vec<_> = (0..20).map(|_| KeepAliveConnection::connect(router)).collect();
     for connection in &mut idle {
-        assert!(connection.ask_models(&ask.key).starts_with("HTTP/1.1 200"));
+        assert!(connection.list_models(&request.key).starts_with("HTTP/1.1 200"));
     }
-    // Frozen, the daemon gets the signal and the requests in the same moment.
+    // While frozen, the daemon gets the signal and the requests; it sees both at once when thawed.
     site.daemons[0].freeze().unwrap();
     site.daemons[0].terminate().unwrap();
-    let waiting: Vec<_> = (0..20).map(|_| KeptOpen::connect(router)).collect();
+    let waiting: Vec<_> = (0..20).map(|_| KeepAliveConnection::connect(router)).collect();
     idle.extend(waiting);
     let readers: Vec<_> = idle
         .into_iter()
         .map(|mut connection| {
-            let key = ask.key.clone();
-            std::thread::spawn(move || connection.ask_models(&key))
+            let key = request.key.clone();
+            std::thread::spawn(move || connection.list_models(&key))
         })
         .collect();
-    // The requests lie in the sockets once all are written; reading begins after that.
+    // Gives the threads time to write all requests before the daemon reads them.
     std::thread::sleep(Duration::from_millis(100));
     site.daemons[0].thaw().unwrap();
     for reader in readers {
-        let answer = reader.join().unwrap();
-        assert!(answer.starts_with("HTTP/1.1 200"), "{answer:?}");
+        let response = reader.join().unwrap();
+        assert!(response.starts_with("HTTP/1.1 200"), "{response:?}");
     }
-    assert_eq!(site.daemons[0].wait_end(SOON).unwrap().code(), Some(0));
+    assert_eq!(site.daemons[0].wait_end(WAIT_TIMEOUT).unwrap().code(), Some(0));
 }
 
 #[test]
-fn request_on_an_idle_connection_right_after_accepting_ended_is_served() {
+fn request_on_an_idle_connection_right_after_the_listener_closed_is_served() {
     let mut site = site("1ms");
-    let key = ask(&site, 1).key;
+    let key = completion(&site, 1).key;
     let router = site.routers()[0];
-    let mut idle = KeptOpen::connect(router);
-    assert!(idle.ask_models(&key).starts_with("HTTP/1.1 200"));
+    let mut idle = KeepAliveConnection::connect(router);
+    assert!(idle.list_models(&key).starts_with("HTTP/1.1 200"));
     site.daemons[0].terminate().unwrap();
-    wait_until("connections are refused", SOON, || TcpStream::connect(router).is_err()).unwrap();
-    let answer = idle.ask_models(&key);
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer:?}");
-    assert!(answer.to_lowercase().contains("connection: close"), "{answer}");
-    assert_eq!(site.daemons[0].wait_end(SOON).unwrap().code(), Some(0));
+    wait_until("connections are refused", WAIT_TIMEOUT, || TcpStream::connect(router).is_err())
+        .unwrap();
+    let response = idle.list_models(&key);
+    assert!(response.starts_with("HTTP/1.1 200"), "{response:?}");
+    assert!(response.to_lowercase().contains("connection: close"), "{response}");
+    assert_eq!(site.daemons[0].wait_end(WAIT_TIMEOUT).unwrap().code(), Some(0));
 }
 
 #[test]
-fn second_signal_ends_at_once_and_tells_what_was_cut() {
+fn second_signal_exits_at_once_and_logs_the_requests_cut() {
     let mut site = site("100ms");
-    let ask = ask(&site, 100_000);
+    let request = completion(&site, 100_000);
     block_on(async {
-        let mut stream = open(&site, &ask).await;
+        let mut stream = open(&site, &request).await;
         stream.read_tokens(3).await.unwrap();
         site.daemons[0].terminate().unwrap();
-        wait_until("readiness fails", SOON, || readiness(&site) == 503).unwrap();
+        wait_until("readiness fails", WAIT_TIMEOUT, || readiness(&site) == 503).unwrap();
         site.daemons[0].terminate().unwrap();
         assert!(stream.finish().await.is_err());
     });
-    assert_eq!(site.daemons[0].wait_end(SOON).unwrap().code(), Some(3));
+    assert_eq!(site.daemons[0].wait_end(WAIT_TIMEOUT).unwrap().code(), Some(3));
     let log = site.daemons[0].log().unwrap();
     assert!(log.contains("request cut") && log.contains("/v1/completions"), "{log}");
 }
--- a/crates/bench/tests/streams.rs
+++ b/crates/bench/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams arrive whole and in order, whatever happens between the caller and the engines.
+//! Streams arrive complete and in order despite faults between the caller and the engines.
 
 use std::time::Duration;
 
@@ -17,11 +17,11 @@
 use serde_json::Value;
 use wire::EventId;
 
-/// Time for an effect to be seen.
-const SOON: Duration = Duration::from_secs(5);
+/// Time for an effect to become visible.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Bytes after which a proxy cuts a connection: more than a head, fewer than an answer.
-const CUT_AFTER: u64 = 2_000;
+/// Bytes after which a proxy cuts a connection: more than a head, fewer than a response.
+const CUT_AFTER_BYTES: u64 = 2_000;
 
 const TOKENS: u64 = 60;
 
@@ -39,7 +39,7 @@
     Site::start(&Program::bench(env!("CARGO_BIN_EXE_bench")), spec).unwrap()
 }
 
-fn ask(site: &Site, chat: bool) -> Ask {
+fn completion(site: &Site, chat: bool) -> Ask {
     let organisation = &site.spec.organisations[0];
     Ask {
         key: organisation_key(organisation),
@@ -51,45 +51,45 @@
 }
 
 /// Opens a stream and reads its first tokens.
-async fn begin(site: &Site, ask: &Ask) -> AnswerStream {
-    let mut stream = open(site, 0, ask).await;
+async fn open_and_read(site: &Site, request: &Ask) -> AnswerStream {
+    let mut stream = open(site, 0, request).await;
     stream.read_tokens(5).await.unwrap();
     stream
 }
 
 /// Resumes a stream at the second host.
-async fn resume_elsewhere(site: &Site, ask: &Ask, first: &AnswerStream) -> AnswerStream {
+async fn resume_elsewhere(site: &Site, request: &Ask, first: &AnswerStream) -> AnswerStream {
     let id = first.last_id.clone().unwrap();
-    let second = AnswerStream::open(site.routers()[1], ask, Some(&id)).await.unwrap();
+    let second = AnswerStream::open(site.routers()[1], request, Some(&id)).await.unwrap();
     second.stream().unwrap()
 }
 
-async fn check_finishes(ask: &Ask, mut stream: AnswerStream) {
+async fn check_finishes(request: &Ask, mut stream: AnswerStream) {
     assert_eq!(stream.finish().await.unwrap(), StreamEnd::Done);
-    check_whole(ask, &[&stream]).unwrap();
+    check_whole(request, &[&stream]).unwrap();
 }
 
-async fn open(site: &Site, host: usize, ask: &Ask) -> AnswerStream {
-    AnswerStream::open(site.routers()[host], ask, None).await.unwrap().stream().unwrap()
+async fn open(site: &Site, host: usize, request: &Ask) -> AnswerStream {
+    AnswerStream::open(site.routers()[host], request, None).await.unwrap().stream().unwrap()
 }
 
-async fn whole_answer(site: &Site, ask: &Ask, choices: u64) -> Value {
+async fn complete_response(site: &Site, request: &Ask, choices: u64) -> Value {
     let router = site.routers()[0];
-    let mut body = ask.body(false);
+    let mut body = request.body(false);
     body["n"] = choices.into();
-    let req = Request::post(ask.path())
+    let req = Request::post(request.path())
         .header("host", router.to_string())
-        .header("authorization", format!("Bearer {}", ask.key))
+        .header("authorization", format!("Bearer {}", request.key))
         .body(Full::new(Bytes::from(body.to_string())))
         .unwrap();
     caller::read_json(caller::send(router, req).await.unwrap()).await.unwrap()
 }
 
-/// Returns the engine that generates, by its place in the site.
+/// Returns the index of the engine that generates the stream.
 fn engine_of(site: &Site, stream: &AnswerStream) -> usize {
     let id: &EventId = stream.last_id.as_ref().unwrap();
-    let is_it = |id: &EventId, i: usize| id.endpoint.as_str() == format!("engine-{}", i + 1);
-    (0..site.engines.len()).find(|&i| is_it(id, i)).unwrap()
+    let is_match = |id: &EventId, i: usize| id.endpoint.as_str() == format!("engine-{}", i + 1);
+    (0..site.engines.len()).find(|&i| is_match(id, i)).unwrap()
 }
 
 /// Sums a count over all engines.
@@ -97,14 +97,14 @@
     site.engines.iter().map(|node| count(node.engine.counts())).sum()
 }
 
-macro_rules! whole_over_cuts {
+macro_rules! complete_despite_cuts {
     ($($name:ident: $chat:literal;)*) => {$(
         #[test]
         fn $name() {
             let site = site(&["a"], 1);
-            site.engines[0].proxy.set(Fault { cut_after: Some(CUT_AFTER), ..Fault::default() });
-            let ask = ask(&site, $chat);
-            let outcome = block_on(caller::ask(site.routers()[0], &ask));
+            site.engines[0].proxy.set(Fault { cut_after: Some(CUT_AFTER_BYTES), ..Fault::default() });
+            let request = completion(&site, $chat);
+            let outcome = block_on(caller::ask(site.routers()[0], &request));
             assert!(matches!(outcome, Outcome::Answered(_)), "{outcome:?}");
             let counts = site.engines[0].engine.counts();
             assert_eq!((counts.requests, counts.generated), (1, TOKENS), "{counts:?}");
@@ -113,78 +113,78 @@
     )*};
 }
 
-whole_over_cuts! {
+complete_despite_cuts! {
     text_resumes_at_its_engine_after_each_cut: false;
     chat_resumes_at_its_engine_after_each_cut: true;
 }
 
 #[test]
-fn whole_answer_resumes_at_its_engine_after_each_cut() {
+fn non_streaming_response_resumes_at_its_engine_after_each_cut() {
     let site = site(&["a"], 1);
-    site.engines[0].proxy.set(Fault { cut_after: Some(CUT_AFTER), ..Fault::default() });
-    let ask = ask(&site, false);
-    let answer = block_on(whole_answer(&site, &ask, 1));
-    assert_eq!(answer["choices"][0]["text"], ask.expected().concat(), "{answer}");
-    assert_eq!(answer["usage"]["completion_tokens"], TOKENS, "{answer}");
+    site.engines[0].proxy.set(Fault { cut_after: Some(CUT_AFTER_BYTES), ..Fault::default() });
+    let request = completion(&site, false);
+    let response = block_on(complete_response(&site, &request, 1));
+    assert_eq!(response["choices"][0]["text"], request.expected().concat(), "{response}");
+    assert_eq!(response["usage"]["completion_tokens"], TOKENS, "{response}");
     let counts = site.engines[0].engine.counts();
     assert_eq!((counts.requests, counts.generated), (1, TOKENS), "{counts:?}");
 }
 
 #[test]
-fn whole_answer_has_every_choice_and_its_finish_reason() {
+fn non_streaming_response_has_every_choice_and_its_finish_reason() {
     let site = site(&["a"], 1);
-    let ask = ask(&site, false);
-    let answer = block_on(whole_answer(&site, &ask, 2));
-    assert_eq!(answer["choices"][0]["text"], ask.expected().concat(), "{answer}");
-    assert_eq!(answer["choices"][0]["finish_reason"], "length", "{answer}");
-    assert_eq!(answer["choices"][1]["finish_reason"], "length", "{answer}");
-    assert_ne!(answer["choices"][1]["text"], answer["choices"][0]["text"], "{answer}");
+    let request = completion(&site, false);
+    let response = block_on(complete_response(&site, &request, 2));
+    assert_eq!(response["choices"][0]["text"], request.expected().concat(), "{response}");
+    assert_eq!(response["choices"][0]["finish_reason"], "length", "{response}");
+    assert_eq!(response["choices"][1]["finish_reason"], "length", "{response}");
+    assert_ne!(response["choices"][1]["text"], response["choices"][0]["text"], "{response}");
 }
 
 #[test]
-fn killed_engine_is_followed_by_another_from_the_last_token() {
+fn stream_of_a_killed_engine_continues_on_another_from_the_last_token() {
     let mut site = site(&["a"], 2);
-    let ask = ask(&site, false);
+    let request = completion(&site, false);
     block_on(async {
-        let stream = begin(&site, &ask).await;
+        let stream = open_and_read(&site, &request).await;
         let engine = engine_of(&site, &stream);
         drop(site.engines.remove(engine));
-        check_finishes(&ask, stream).await;
+        check_finishes(&request, stream).await;
     });
     assert_eq!(total(&site, |counts| counts.requests), 1);
 }
 
 #[test]
-fn silent_engine_is_followed_by_another_from_the_last_token() {
+fn stream_of_an_unresponsive_engine_continues_on_another_from_the_last_token() {
     let site = site(&["a"], 2);
-    let ask = ask(&site, true);
+    let request = completion(&site, true);
     block_on(async {
-        let stream = begin(&site, &ask).await;
+        let stream = open_and_read(&site, &request).await;
         let engine = engine_of(&site, &stream);
         site.engines[engine].proxy.set(Fault::partition());
-        check_finishes(&ask, stream).await;
+        check_finishes(&request, stream).await;
     });
 }
 
 #[test]
-fn only_engine_back_empty_goes_on_from_the_last_token() {
+fn stream_continues_from_the_last_token_on_its_restarted_engine() {
     let mut site = site(&["a"], 1);
-    let ask = ask(&site, false);
+    let request = completion(&site, false);
     block_on(async {
-        let stream = begin(&site, &ask).await;
+        let stream = open_and_read(&site, &request).await;
         site.restart_engine(0, Incarnation::new(2));
-        check_finishes(&ask, stream).await;
+        check_finishes(&request, stream).await;
     });
 }
 
 #[test]
-fn slow_first_token_is_asked_of_another_engine() {
+fn completion_with_a_slow_first_token_is_retried_on_another_engine() {
     let site = site(&["a"], 2);
     declare(&site, "[defaults]\nfirst-token-timeout = '400ms'\n").unwrap();
     site.engines[0].proxy.set(Fault { hold_answers: true, ..Fault::default() });
     for number in 0..4 {
-        let ask = Ask { prompt: format!("question {number}"), ..ask(&site, false) };
-        let outcome = block_on(caller::ask(site.routers()[0], &ask));
+        let request = Ask { prompt: format!("question {number}"), ..completion(&site, false) };
+        let outcome = block_on(caller::ask(site.routers()[0], &request));
         assert!(matches!(outcome, Outcome::Answered(_)), "{outcome:?}");
     }
 }
@@ -193,22 +193,22 @@
 fn request_timeout_ends_the_stream_with_its_verdict() {
     let site = site(&["a"], 1);
     declare(&site, "[defaults]\nrequest-timeout = '300ms'\n").unwrap();
-    let ask = Ask { tokens: 10_000, ..ask(&site, false) };
+    let request = Ask { tokens: 10_000, ..completion(&site, false) };
     block_on(async {
-        let mut stream = open(&site, 0, &ask).await;
+        let mut stream = open(&site, 0, &request).await;
         let StreamEnd::Failed(problem) = stream.finish().await.unwrap() else { panic!("done") };
         assert_eq!((problem.status, problem.verdict), (504, Some(Verdict::MayHaveRun)));
     });
     let engine = &site.engines[0].engine;
-    wait_until("the work is cancelled", SOON, || engine.counts().cancelled == 1).unwrap();
+    wait_until("the work is cancelled", WAIT_TIMEOUT, || engine.counts().cancelled == 1).unwrap();
 }
 
 #[test]
 fn last_engine_killed_ends_the_stream_with_its_verdict() {
     let mut site = site(&["a"], 1);
-    let ask = ask(&site, false);
+    let request = completion(&site, false);
     block_on(async {
-        let mut stream = begin(&site, &ask).await;
+        let mut stream = open_and_read(&site, &request).await;
         site.engines.clear();
         let StreamEnd::Failed(problem) = stream.finish().await.unwrap() else { panic!("done") };
         assert_eq!(problem.verdict, Some(Verdict::MayHaveRun), "{problem:?}");
@@ -218,44 +218,44 @@
 #[test]
 fn caller_resumes_at_another_host() {
     let site = site(&["a", "b"], 2);
-    let ask = ask(&site, false);
+    let request = completion(&site, false);
     block_on(async {
-        let first = begin(&site, &ask).await;
-        let mut second = resume_elsewhere(&site, &ask, &first).await;
+        let first = open_and_read(&site, &request).await;
+        let mut second = resume_elsewhere(&site, &request, &first).await;
         assert_eq!(second.finish().await.unwrap(), StreamEnd::Done);
-        check_whole(&ask, &[&first, &second]).unwrap();
+        check_whole(&request, &[&first, &second]).unwrap();
     });
     let counts = total(&site, |counts| counts.requests);
     assert_eq!((counts, total(&site, |counts| counts.generated)), (1, TOKENS));
 }
 
 #[test]
-fn resumed_stream_outlives_its_engine() {
+fn resumed_stream_survives_its_engine() {
     let mut site = site(&["a", "b"], 2);
-    let ask = ask(&site, false);
+    let request = completion(&site, false);
     block_on(async {
-        let first = begin(&site, &ask).await;
-        let mut second = resume_elsewhere(&site, &ask, &first).await;
+        let first = open_and_read(&site, &request).await;
+        let mut second = resume_elsewhere(&site, &request, &first).await;
         second.read_tokens(5).await.unwrap();
         let engine = engine_of(&site, &second);
         drop(site.engines.remove(engine));
         assert_eq!(second.finish().await.unwrap(), StreamEnd::Done);
-        check_whole(&ask, &[&first, &second]).unwrap();
+        check_whole(&request, &[&first, &second]).unwrap();
     });
 }
 
 #[test]
 fn stream_of_a_lost_engine_is_gone() {
     let mut site = site(&["a", "b"], 2);
-    let ask = ask(&site, false);
+    let request = completion(&site, false);
     block_on(async {
-        let stream = begin(&site, &ask).await;
+        let stream = open_and_read(&site, &request).await;
         let engine = engine_of(&site, &stream);
         let id = stream.last_id.clone().unwrap();
         drop(stream);
         drop(site.engines.remove(engine));
         site.wait_endpoints().unwrap();
-        let again = AnswerStream::open(site.routers()[1], &ask, Some(&id)).await.unwrap();
+        let again = AnswerStream::open(site.routers()[1], &request, Some(&id)).await.unwrap();
         let problem = again.problem().unwrap();
         assert_eq!((problem.status, problem.verdict), (410, Some(Verdict::MayHaveRun)));
     });
@@ -264,33 +264,33 @@
 #[test]
 fn stream_of_another_organisation_or_request_is_not_resumed() {
     let site = site(&["a"], 1);
-    let ask = ask(&site, false);
+    let request = completion(&site, false);
     block_on(async {
-        let stream = begin(&site, &ask).await;
+        let stream = open_and_read(&site, &request).await;
         let id = stream.last_id.clone().unwrap();
         let router = site.routers()[0];
-        let other = Ask { key: organisation_key(&site.spec.organisations[1]), ..ask.clone() };
+        let other = Ask { key: organisation_key(&site.spec.organisations[1]), ..request.clone() };
         let refused = AnswerStream::open(router, &other, Some(&id)).await.unwrap();
         assert_eq!(refused.problem().unwrap().status, 410);
-        let other = Ask { prompt: "another prompt".into(), ..ask.clone() };
+        let other = Ask { prompt: "another prompt".into(), ..request.clone() };
         let refused = AnswerStream::open(router, &other, Some(&id)).await.unwrap();
         assert_eq!(refused.problem().unwrap().status, 409);
-        check_finishes(&ask, stream).await;
+        check_finishes(&request, stream).await;
     });
 }
 
 #[test]
-fn caller_gone_cancels_the_engines_work() {
+fn caller_disconnect_cancels_the_engines_work() {
     let site = site(&["a"], 1);
-    let ask = Ask { tokens: 100_000, ..ask(&site, false) };
-    drop(block_on(begin(&site, &ask)));
+    let request = Ask { tokens: 100_000, ..completion(&site, false) };
+    drop(block_on(open_and_read(&site, &request)));
     let engine = &site.engines[0].engine;
-    wait_until("the work is cancelled", SOON, || engine.counts().cancelled == 1).unwrap();
+    wait_until("the work is cancelled", WAIT_TIMEOUT, || engine.counts().cancelled == 1).unwrap();
     assert!(engine.counts().generated < 1_000, "{:?}", engine.counts());
 }
 
 #[test]
-fn crossed_answers_are_dropped() {
+fn chunks_of_another_request_are_dropped() {
     let site = start(SiteSpec {
         daemons: vec!["a"],
         engines: vec!["a"],
@@ -298,13 +298,13 @@
         ..SiteSpec::small()
     });
     for chat in [false, true] {
-        let outcome = block_on(caller::ask(site.routers()[0], &ask(&site, chat)));
+        let outcome = block_on(caller::ask(site.routers()[0], &completion(&site, chat)));
         assert!(matches!(outcome, Outcome::Answered(_)), "{outcome:?}");
     }
     assert_eq!(metric(&site, "crossed_answers_dropped"), 2 * TOKENS);
 }
 
-/// Returns the sum of a counter over all organisations, as host 0 shows it.
+/// Returns the sum of a counter over all organisations, as exported by host 0.
 fn metric(site: &Site, name: &str) -> u64 {
     let url = format!("http://{}/metrics", site.daemons[0].spec().admin_listen);
     let page = attohttpc::get(url).send().unwrap().text().unwrap();
@@ -313,7 +313,7 @@
 }
 
 #[test]
-fn caller_that_reads_nothing_slows_only_itself() {
+fn caller_that_reads_nothing_slows_no_other_caller() {
     const MAX_GROWTH_KB: u64 = 32 << 10;
     let site = start(SiteSpec {
         daemons: vec!["a"],
@@ -321,23 +321,23 @@
         tune: |cfg| (cfg.decode_token, cfg.decode_share) = (Duration::ZERO, Duration::ZERO),
         ..SiteSpec::small()
     });
-    let endless = Ask { tokens: 10_000_000, ..ask(&site, false) };
+    let endless = Ask { tokens: 10_000_000, ..completion(&site, false) };
     let engine = &site.engines[0].engine;
     let before = resident_kb(site.daemons[0].pid());
     block_on(async {
         let _unread = open(&site, 0, &endless).await;
         let mut last = 0;
-        wait_until("the engine is held back", SOON * 4, || {
+        wait_until("backpressure stops the engine", WAIT_TIMEOUT * 4, || {
             std::thread::sleep(Duration::from_millis(100));
             let generated = engine.counts().generated;
             std::mem::replace(&mut last, generated) == generated && 0 < generated
         })
         .unwrap();
-        let outcome = caller::ask(site.routers()[0], &ask(&site, false)).await;
+        let outcome = caller::ask(site.routers()[0], &completion(&site, false)).await;
         assert!(matches!(outcome, Outcome::Answered(_)), "{outcome:?}");
     });
-    let grown = resident_kb(site.daemons[0].pid()).saturating_sub(before);
-    assert!(grown < MAX_GROWTH_KB, "{grown} kB more");
+    let growth = resident_kb(site.daemons[0].pid()).saturating_sub(before);
+    assert!(growth < MAX_GROWTH_KB, "memory grew by {growth} kB");
 }
 
 fn resident_kb(pid: u32) -> u64 {
--- a/crates/bench/tests/traces.rs
+++ b/crates/bench/tests/traces.rs
@@ -1,4 +1,4 @@
-//! Spans of a request through a real daemon, at a fake collector.
+//! Spans of requests through a real daemon, exported to a fake collector.
 
 use std::{
     collections::BTreeSet,
@@ -14,13 +14,13 @@
 use hyper::{Method, Request};
 use telemetry::Hop;
 
-/// A trace that a caller has begun, and its id as spans carry it.
-const CALLER: &str = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
+/// The caller's `traceparent` header, and its trace id as spans contain it.
+const TRACEPARENT: &str = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
 const TRACE_ID: [u8; 16] = [
     0x0a, 0xf7, 0x65, 0x19, 0x16, 0xcd, 0x43, 0xdd, 0x84, 0x48, 0xeb, 0x21, 0x1c, 0x80, 0x31, 0x9c,
 ];
 
-/// Bodies that a collector has got.
+/// Request bodies that the collector has received.
 type Bodies = Arc<Mutex<Vec<Vec<u8>>>>;
 
 fn start_collector() -> (String, Bodies) {
@@ -40,20 +40,20 @@
     (url, bodies)
 }
 
-fn contains(bodies: &Bodies, wanted: &[u8]) -> bool {
+fn contains(bodies: &Bodies, needle: &[u8]) -> bool {
     let bodies = bodies.lock().unwrap();
-    bodies.iter().any(|body| body.windows(wanted.len()).any(|window| window == wanted))
+    bodies.iter().any(|body| body.windows(needle.len()).any(|window| window == needle))
 }
 
-/// Returns the name of a span as a collector gets it: field 5, its length, its text.
-fn name_field(hop: Hop) -> Vec<u8> {
-    let name = hop.as_str().as_bytes();
+/// Returns a span's name as encoded in protobuf: the tag of field 5, its length and its text.
+fn name_field(stage: Hop) -> Vec<u8> {
+    let name = stage.as_str().as_bytes();
     let mut field = vec![0x2a, u8::try_from(name.len()).unwrap()];
     field.extend_from_slice(name);
     field
 }
 
-async fn order_of_a_trace(site: &Site) {
+async fn send_traced_order(site: &Site) {
     let router = site.routers()[0];
     let key = organisation_key(&site.spec.organisations[0]);
     let req = Request::builder()
@@ -62,7 +62,7 @@
         .header("host", router.to_string())
         .header("authorization", format!("Bearer {key}"))
         .header("idempotency-key", "order-1")
-        .header("traceparent", CALLER)
+        .header("traceparent", TRACEPARENT)
         .body(http_body_util::Full::default())
         .unwrap();
     let response = caller::send(router, req).await.unwrap();
@@ -71,12 +71,12 @@
 }
 
 #[test]
-fn every_hop_of_a_completion_and_an_order_has_a_span() {
+fn every_stage_of_a_completion_and_an_order_has_a_span() {
     let (url, bodies) = start_collector();
     let program = Program { path: env!("CARGO_BIN_EXE_bench").into(), args: vec!["daemon".into()] };
     let spec = SiteSpec { flags: vec![("--trace-endpoint", url)], ..SiteSpec::small() };
     let site = Site::start(&program, spec).unwrap();
-    let ask = Ask {
+    let request = Ask {
         key: organisation_key(&site.spec.organisations[0]),
         model: site.spec.model.to_string(),
         prompt: "organisation school-1\nDear diary".to_owned(),
@@ -84,15 +84,15 @@
         chat: false,
     };
     block_on(async {
-        let outcome = caller::ask(site.routers()[0], &ask).await;
+        let outcome = caller::ask(site.routers()[0], &request).await;
         assert!(matches!(outcome, Outcome::Answered(_)), "{outcome:?}");
-        order_of_a_trace(&site).await;
+        send_traced_order(&site).await;
     });
     let missing = || -> BTreeSet<&str> {
-        let absent = Hop::ALL.into_iter().filter(|hop| !contains(&bodies, &name_field(*hop)));
+        let absent = Hop::ALL.into_iter().filter(|stage| !contains(&bodies, &name_field(*stage)));
         absent.map(Hop::as_str).collect()
     };
     let all = || missing().is_empty() && contains(&bodies, &TRACE_ID);
-    wait_until("a span of each hop, and the caller's trace", Duration::from_secs(20), all)
+    wait_until("a span of each stage, with the caller's trace id", Duration::from_secs(20), all)
         .unwrap_or_else(|e| panic!("{e}; missing: {:?}", missing()));
 }
--- a/crates/bench/tests/whole_path.rs
+++ b/crates/bench/tests/whole_path.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn every_request_of_a_mixed_load_is_answered_whole() {
+fn every_request_of_a_mixed_load_gets_a_complete_response() {
     let site = Site::start(&program(), SiteSpec::small()).unwrap();
     let load = Load {
         routers: site.routers(),
