--- a/crates/bench/src/slopes/gossip.rs
+++ b/crates/bench/src/slopes/gossip.rs
@@ -189,7 +189,7 @@
     })
 }
 
-/// Returns the bytes and the time until a restarted router knows [`KNOWN_PERCENT`] of the endpoints.
+/// Returns bytes and time until a restarted router knows [`KNOWN_PERCENT`] of the endpoints.
 fn measure_restart(net: &mut Net, router: usize, endpoints: usize) -> (f64, f64) {
     net.bytes.fill(0);
     net.restart(router, 2);
--- a/crates/bench/src/slopes/streams.rs
+++ b/crates/bench/src/slopes/streams.rs
@@ -99,14 +99,14 @@
 
 async fn stream(
     target: SocketAddr,
-    ask: Ask,
+    request: Ask,
     offset: Duration,
     until: Instant,
     failed: &AtomicU64,
 ) {
     tokio::time::sleep(offset).await;
     while Instant::now() < until {
-        if !matches!(caller::ask(target, &ask).await, Outcome::Answered(_)) {
+        if !matches!(caller::ask(target, &request).await, Outcome::Answered(_)) {
             failed.fetch_add(1, Ordering::Relaxed);
         }
     }
--- a/crates/bench/tests/endpoints.rs
+++ b/crates/bench/tests/endpoints.rs
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn restarted_engine_does_not_inherit_earlier_streams() {
+fn restarted_engine_is_treated_as_another_engine() {
     let mut site = site();
     let request = completion(&site, 0);
     block_on(async {
