--- a/crates/bench/src/fake/job.rs
+++ b/crates/bench/src/fake/job.rs
@@ -34,7 +34,7 @@
 }
 
 impl Job {
-    /// Parses a request that arrived_at at `arrived_at`.
+    /// Parses a request that arrived at `arrived_at`.
     pub(super) fn new(parts: &Parts, fields: &Value, arrived_at: Instant) -> Self {
         Self {
             request: request_id(parts).to_owned(),
--- a/crates/bench/src/fake/transfers.rs
+++ b/crates/bench/src/fake/transfers.rs
@@ -14,8 +14,8 @@
 const MIN_FETCHED_BLOCKS: usize = 4;
 
 impl State {
-    /// Responds to another engine's fetch of blocks if it is addressed to this endpoint, incarnation
-    /// and namespace.
+    /// Responds to another engine's fetch if it is addressed to this endpoint, incarnation and
+    /// namespace.
     pub(super) fn export(
         &self,
         req: &Request<Incoming>,
--- a/crates/bench/src/slopes/idle.rs
+++ b/crates/bench/src/slopes/idle.rs
@@ -19,7 +19,7 @@
 /// Duration of each measurement.
 const MEASUREMENT_TIME: Duration = Duration::from_secs(5);
 
-/// MeanUsage resource use over daemons of one kind.
+/// Mean resource use over daemons of one kind.
 struct MeanUsage {
     cores: f64,
     mib: f64,
--- a/crates/bench/tests/claims_faults.rs
+++ b/crates/bench/tests/claims_faults.rs
@@ -43,7 +43,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, future)
 }
 
-/// A site whose orders pass through a gate; leader and sender are different hosts.
+/// A site whose orders pass through a gate; the leader and the sender are different hosts.
 struct Fixture {
     site: Site,
     gate: Gate,
--- a/crates/bench/tests/kv.rs
+++ b/crates/bench/tests/kv.rs
@@ -127,10 +127,14 @@
         params: |p| p["salt"] = "00000000000000bb".into(),
         ..TransferCase::default()
     } => 0;
-    unreachable_source_is_a_miss:
-        TransferCase { fault: Fault { refuse: true, ..Fault::default() }, ..TransferCase::default() } => 0;
-    unresponsive_source_is_a_miss:
-        TransferCase { fault: Fault { hold_answers: true, ..Fault::default() }, ..TransferCase::default() } => 0;
+    unreachable_source_is_a_miss: TransferCase {
+        fault: Fault { refuse: true, ..Fault::default() },
+        ..TransferCase::default()
+    } => 0;
+    unresponsive_source_is_a_miss: TransferCase {
+        fault: Fault { hold_answers: true, ..Fault::default() },
+        ..TransferCase::default()
+    } => 0;
 }
 
 #[test]
--- a/crates/bench/tests/operator/intercepting_proxy.rs
+++ b/crates/bench/tests/operator/intercepting_proxy.rs
@@ -13,7 +13,7 @@
     Drop,
 }
 
-/// Starts a proxy to `router` that runs `before_change` before_change it forwards a change.
+/// Starts a proxy to `router` that runs `before_change` before it forwards a change.
 pub fn start(
     router: SocketAddr,
     responses: ChangeResponses,
--- a/crates/bench/tests/routing.rs
+++ b/crates/bench/tests/routing.rs
@@ -126,7 +126,10 @@
     use http_body_util::BodyExt as _;
     let router = site.daemons[0].spec().listen;
     let body = serde_json::json!({
-        "model": request.model, "prompt": request.prompt, "max_tokens": request.tokens, "stream": true,
+        "model": request.model,
+        "prompt": request.prompt,
+        "max_tokens": request.tokens,
+        "stream": true,
     });
     let req = hyper::Request::post("/v1/completions")
         .header("host", router.to_string())
