--- a/crates/bench/src/balancer.rs
+++ b/crates/bench/src/balancer.rs
@@ -10,7 +10,7 @@
 };
 
 use crate::{
-    caller::Ask,
+    caller::CompletionSpec,
     process::Daemon,
     stream::{AnswerStream, Opened, StreamEnd, check_whole},
 };
@@ -83,7 +83,7 @@
     }
 
     /// Asks for a completion and checks that it is whole; a cut stream goes on at another host.
-    pub async fn ask(&self, ask: &Ask) -> Balanced {
+    pub async fn ask(&self, ask: &CompletionSpec) -> Balanced {
         let begun = Instant::now();
         let mut balanced = Balanced { first_token: None, refused: 0, cut: 0, failed: None };
         let mut parts: Vec<AnswerStream> = Vec::new();
--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -29,7 +29,7 @@
 
 /// A completion to ask for.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct CompletionSpec {
     /// The caller's key.
     pub key: String,
     /// The model.
@@ -82,7 +82,7 @@
     Unknown(String),
 }
 
-impl Ask {
+impl CompletionSpec {
     /// Returns the request's body, for a streamed answer or a whole one.
     pub fn body(&self, stream: bool) -> Value {
         let mut fields = json!({
@@ -136,7 +136,7 @@
 }
 
 /// Asks a router for a completion and checks the answer.
-pub async fn ask(router: SocketAddr, ask: &Ask) -> Outcome {
+pub async fn complete(router: SocketAddr, ask: &CompletionSpec) -> Outcome {
     let begun = Instant::now();
     let req = Request::post(ask.path())
         .header("host", router.to_string())
@@ -234,7 +234,11 @@
 }
 
 /// Checks each token of a stream against the expected ones.
-async fn read_stream(response: Response<Incoming>, ask: &Ask, begun: Instant) -> Outcome {
+async fn read_stream(
+    response: Response<Incoming>,
+    ask: &CompletionSpec,
+    begun: Instant,
+) -> Outcome {
     let mut body = response.into_body();
     let mut parser = Parser::new(MAX_EVENT);
     let mut expected = ask.expected().into_iter();
--- a/crates/bench/src/latency.rs
+++ b/crates/bench/src/latency.rs
@@ -12,8 +12,8 @@
 use serde::Serialize;
 
 use crate::{
-    caller::{self, Ask, Outcome},
-    load::first_ask,
+    caller::{self, CompletionSpec, Outcome},
+    load::sample_completion,
     process::Program,
     report::{histogram, percentile_ms, record},
     site::{Site, SiteSpec},
@@ -136,7 +136,7 @@
     tasks.block_on(&runtime, async {
         let streams = (0..streams).map(|number| {
             let target = targets[number % targets.len()];
-            let ask = first_ask(site, number as u64, TOKENS);
+            let ask = sample_completion(site, number as u64, TOKENS);
             let offset = ANSWER_SPAN.mul_f64(number as f64 / streams as f64);
             tokio::task::spawn_local(stream(ask, target, offset, begun + SPAN, Rc::clone(&path)))
         });
@@ -151,7 +151,7 @@
 
 /// Asks again and again; the streams' starts are spread over the time of one answer.
 async fn stream(
-    ask: Ask,
+    ask: CompletionSpec,
     target: SocketAddr,
     offset: Duration,
     until: Instant,
@@ -159,7 +159,7 @@
 ) {
     tokio::time::sleep(offset).await;
     while Instant::now() < until {
-        let outcome = caller::ask(target, &ask).await;
+        let outcome = caller::complete(target, &ask).await;
         path.borrow_mut().count(outcome);
     }
 }
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::{
-    caller::{self, Ask, CallOutcome, Outcome},
+    caller::{self, CallOutcome, CompletionSpec, Outcome},
     fake::{ServiceCounts, SharedTally},
     report::{Counts, record},
     site::{Site, organisation_key},
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug)]
 pub enum Kind {
     /// A completion.
-    Ask(Ask),
+    CompletionSpec(CompletionSpec),
     /// An order's status.
     Lookup {
         /// Where it is looked up.
@@ -160,7 +160,7 @@
         let path = format!("/services/{service}/orders");
         Kind::Order { path, key: format!("order-{}-{number}", load.seed) }
     } else {
-        Kind::Ask(plan_ask(load, &organisation, number, rng))
+        Kind::CompletionSpec(plan_ask(load, &organisation, number, rng))
     };
     Planned { due, router, organisation, kind, measured: true }
 }
@@ -175,12 +175,17 @@
     &organisations[rng.random_range(0..among)]
 }
 
-fn plan_ask(load: &Load, organisation: &OrganisationId, number: u64, rng: &mut Pcg64Mcg) -> Ask {
+fn plan_ask(
+    load: &Load,
+    organisation: &OrganisationId,
+    number: u64,
+    rng: &mut Pcg64Mcg,
+) -> CompletionSpec {
     let skewed: f64 = rng.random::<f64>() * rng.random::<f64>();
     let page = (skewed * PAGES as f64) as u64;
     let book = rng.random_range(0..BOOKS);
     let prompt = prompt(organisation, book, page, number);
-    Ask {
+    CompletionSpec {
         key: organisation_key(organisation),
         model: load.model.to_string(),
         prompt,
@@ -190,9 +195,9 @@
 }
 
 /// Returns a completion to ask for in the name of a site's first organisation.
-pub fn first_ask(site: &Site, question: u64, tokens: u64) -> Ask {
+pub fn sample_completion(site: &Site, question: u64, tokens: u64) -> CompletionSpec {
     let organisation = &site.spec.organisations[0];
-    Ask {
+    CompletionSpec {
         key: organisation_key(organisation),
         model: site.spec.model.to_string(),
         prompt: prompt(organisation, 0, 0, question),
@@ -218,8 +223,8 @@
     counts.borrow_mut().totals.requests += 1;
     let key = organisation_key(&planned.organisation);
     match planned.kind {
-        Kind::Ask(ask) => {
-            let outcome = caller::ask(planned.router, &ask).await;
+        Kind::CompletionSpec(ask) => {
+            let outcome = caller::complete(planned.router, &ask).await;
             let mut counts = counts.borrow_mut();
             let of_organisation = counts.organisations.entry(planned.organisation).or_default();
             of_organisation.asked += 1;
--- a/crates/bench/src/restarts.rs
+++ b/crates/bench/src/restarts.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     balancer::{Balanced, Balancer},
-    caller::{Ask, block_on},
+    caller::{CompletionSpec, block_on},
     load,
     process::Program,
     report::{histogram, record},
@@ -251,11 +251,11 @@
     }
 }
 
-fn plan(spec: &SiteSpec, number: u64, rng: &mut Pcg64Mcg) -> Ask {
+fn plan(spec: &SiteSpec, number: u64, rng: &mut Pcg64Mcg) -> CompletionSpec {
     let organisation = &spec.organisations[rng.random_range(0..spec.organisations.len())];
     let book = rng.random_range(0..2);
     let page = rng.random_range(0..6);
-    Ask {
+    CompletionSpec {
         key: organisation_key(organisation),
         model: spec.model.to_string(),
         prompt: load::prompt(organisation, book, page, number),
--- a/crates/bench/src/slopes/streams.rs
+++ b/crates/bench/src/slopes/streams.rs
@@ -8,8 +8,8 @@
 };
 
 use crate::{
-    caller::{self, Ask, Outcome},
-    load::first_ask,
+    caller::{self, CompletionSpec, Outcome},
+    load::sample_completion,
     process::Program,
     site::{Site, SiteSpec},
     usage::usage,
@@ -90,7 +90,7 @@
     tasks.block_on(&runtime, async {
         let streams = (0..streams).map(|number| {
             let offset = RAMP.mul_f64(number as f64 / streams as f64);
-            stream(target, first_ask(site, number as u64, TOKENS), offset, until, failed)
+            stream(target, sample_completion(site, number as u64, TOKENS), offset, until, failed)
         });
         futures_util::future::join_all(streams).await;
     });
@@ -98,14 +98,14 @@
 
 async fn stream(
     target: SocketAddr,
-    ask: Ask,
+    ask: CompletionSpec,
     offset: Duration,
     until: Instant,
     failed: &AtomicU64,
 ) {
     tokio::time::sleep(offset).await;
     while Instant::now() < until {
-        if !matches!(caller::ask(target, &ask).await, Outcome::Answered(_)) {
+        if !matches!(caller::complete(target, &ask).await, Outcome::Answered(_)) {
             failed.fetch_add(1, Ordering::Relaxed);
         }
     }
--- a/crates/bench/src/stream.rs
+++ b/crates/bench/src/stream.rs
@@ -14,7 +14,7 @@
     sse::{Event, Parser},
 };
 
-use crate::caller::{self, Ask};
+use crate::caller::{self, CompletionSpec};
 
 /// Longest event taken.
 const MAX_EVENT: ByteCount = ByteCount::new(1 << 20);
@@ -58,7 +58,7 @@
     /// Returns an error if there is no answer.
     pub async fn open(
         router: SocketAddr,
-        ask: &Ask,
+        ask: &CompletionSpec,
         resume: Option<&EventId>,
     ) -> eyre::Result<Opened> {
         let mut req = Request::post(ask.path())
@@ -173,7 +173,7 @@
 /// # Errors
 ///
 /// Returns an error that names the first difference.
-pub fn check_whole(ask: &Ask, parts: &[&AnswerStream]) -> eyre::Result<()> {
+pub fn check_whole(ask: &CompletionSpec, parts: &[&AnswerStream]) -> eyre::Result<()> {
     let tokens: Vec<_> = parts.iter().flat_map(|part| &part.tokens).collect();
     let expected = ask.expected();
     let differs = expected.iter().zip(&tokens).position(|(expected, token)| expected != *token);
--- a/crates/bench/src/workload.rs
+++ b/crates/bench/src/workload.rs
@@ -12,7 +12,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::{
-    caller::Ask,
+    caller::CompletionSpec,
     fake::BlockCache,
     load::{Kind, Planned, pick_organisation},
     model::{Generation, TOKEN_BYTES},
@@ -133,7 +133,7 @@
             Kind::Order { path, key: format!("order-{}-{number}", self.seed) }
         } else {
             let shifted = self.shift.is_some_and(|shift| shift <= due);
-            Kind::Ask(self.ask(&organisation, number, shifted, texts, rng))
+            Kind::CompletionSpec(self.ask(&organisation, number, shifted, texts, rng))
         };
         Planned { due, router, organisation, kind, measured: self.warm_up <= due }
     }
@@ -145,7 +145,7 @@
         shifted: bool,
         texts: &mut Texts,
         rng: &mut Pcg64Mcg,
-    ) -> Ask {
+    ) -> CompletionSpec {
         let Shape { first, second, third, tokens } = &self.shape;
         let second_text = second.pick(rng, shifted);
         let third_text = third.pick(rng, shifted);
@@ -160,7 +160,7 @@
             prompt.push('\n');
         }
         prompt.push_str(&format!("question {number}"));
-        Ask {
+        CompletionSpec {
             key: organisation_key(organisation),
             model: self.model.to_string(),
             prompt,
@@ -182,7 +182,7 @@
     let mut computed = HashSet::new();
     let (mut prompt_tokens, mut cached_tokens) = (0, 0);
     for request in planned {
-        let Kind::Ask(ask) = &request.kind else { continue };
+        let Kind::CompletionSpec(ask) = &request.kind else { continue };
         let text = ask.text();
         let lookup = cache.take(request.organisation.as_str(), text.as_bytes(), &mut computed);
         if request.measured {
--- a/crates/bench/tests/endpoints.rs
+++ b/crates/bench/tests/endpoints.rs
@@ -5,7 +5,7 @@
 use base::{Incarnation, Sequence, Verdict};
 use bench::{
     Fault, Proxy,
-    caller::{self, Ask, Outcome, block_on},
+    caller::{self, CompletionSpec, Outcome, block_on},
     declare::declare,
     partition,
     process::{Daemon, Program, wait_until},
@@ -36,9 +36,9 @@
     Site::start(&Program::bench(env!("CARGO_BIN_EXE_bench")), spec).unwrap()
 }
 
-fn ask(site: &Site, number: usize) -> Ask {
+fn ask(site: &Site, number: usize) -> CompletionSpec {
     let organisation = &site.spec.organisations[number % site.spec.organisations.len()];
-    Ask {
+    CompletionSpec {
         key: organisation_key(organisation),
         model: site.spec.model.to_string(),
         prompt: format!("organisation {organisation}\nquestion {number}"),
@@ -54,13 +54,13 @@
     let sent = asks
         .iter()
         .enumerate()
-        .map(|(i, ask)| caller::ask(listen[routers[i % routers.len()]], ask));
+        .map(|(i, ask)| caller::complete(listen[routers[i % routers.len()]], ask));
     for outcome in futures_util::future::join_all(sent).await {
         assert!(matches!(outcome, Outcome::Answered(_)), "{outcome:?}");
     }
 }
 
-async fn open(site: &Site, router: usize, ask: &Ask) -> AnswerStream {
+async fn open(site: &Site, router: usize, ask: &CompletionSpec) -> AnswerStream {
     AnswerStream::open(site.routers()[router], ask, None).await.unwrap().stream().unwrap()
 }
 
@@ -124,7 +124,7 @@
             let asks: Vec<_> = (0..24).map(|number| ask(&site, number)).collect();
             for router in 0..site.daemons.len() {
                 let listen = site.routers()[router];
-                let sent = asks.iter().map(|ask| caller::ask(listen, ask));
+                let sent = asks.iter().map(|ask| caller::complete(listen, ask));
                 for outcome in block_on(futures_util::future::join_all(sent)) {
                     // The router that is cut off may know no other engine.
                     let is_served = matches!(outcome, Outcome::Answered(_));
@@ -264,7 +264,9 @@
     let asks: Vec<_> = (0..16).map(|number| ask(&site, number)).collect();
     // These wait in the frozen router's sockets and are read first when it wakes.
     let waiting = std::thread::spawn(move || {
-        block_on(futures_util::future::join_all(asks.iter().map(|ask| caller::ask(router, ask))))
+        block_on(futures_util::future::join_all(
+            asks.iter().map(|ask| caller::complete(router, ask)),
+        ))
     });
     std::thread::sleep(Duration::from_millis(200));
     site.daemons[2].thaw().unwrap();
--- a/crates/bench/tests/kv.rs
+++ b/crates/bench/tests/kv.rs
@@ -5,7 +5,7 @@
 use base::{Incarnation, Verdict};
 use bench::{
     Fault, Proxy,
-    caller::{self, Ask, Outcome},
+    caller::{self, CompletionSpec, Outcome},
     declare::declare,
     fake::{Engine, EngineConfig, EngineCounts, KeptKv, SharedTally, block_hashes},
     process::{Program, wait_until},
@@ -171,14 +171,14 @@
 fn ask(site: &Site, page: usize, question: usize) {
     let organisation = &site.spec.organisations[0];
     let page = format!("house style: page {page} ").repeat(60);
-    let ask = Ask {
+    let ask = CompletionSpec {
         key: organisation_key(organisation),
         model: site.spec.model.to_string(),
         prompt: format!("organisation 0\n{page}\nquestion {question}"),
         tokens: 2,
         chat: false,
     };
-    let outcome = block_on(caller::ask(site.daemons[0].spec().listen, &ask));
+    let outcome = block_on(caller::complete(site.daemons[0].spec().listen, &ask));
     assert!(matches!(outcome, Outcome::Answered(_)), "{outcome:?}");
 }
 
--- a/crates/bench/tests/routing.rs
+++ b/crates/bench/tests/routing.rs
@@ -4,7 +4,7 @@
 
 use base::Incarnation;
 use bench::{
-    caller::{self, Ask, Outcome},
+    caller::{self, CompletionSpec, Outcome},
     declare::declare,
     fake::EngineConfig,
     process::{Program, wait_until},
@@ -34,10 +34,10 @@
 }
 
 /// Returns a request of an organisation; those with the same `page` share a long prefix.
-fn ask_for(site: &Site, organisation: usize, page: usize, question: usize) -> Ask {
+fn ask_for(site: &Site, organisation: usize, page: usize, question: usize) -> CompletionSpec {
     let organisation = &site.spec.organisations[organisation];
     let page = format!("{STYLE}page {page} ").repeat(60);
-    Ask {
+    CompletionSpec {
         key: organisation_key(organisation),
         model: site.spec.model.to_string(),
         prompt: format!("organisation {organisation}\n{page}\nquestion {question}"),
@@ -46,8 +46,8 @@
     }
 }
 
-async fn ask(site: &Site, host: usize, ask: &Ask) -> Outcome {
-    caller::ask(site.daemons[host].spec().listen, ask).await
+async fn ask(site: &Site, host: usize, ask: &CompletionSpec) -> Outcome {
+    caller::complete(site.daemons[host].spec().listen, ask).await
 }
 
 fn is_answered(outcome: &Outcome) -> bool {
@@ -122,7 +122,7 @@
 }
 
 /// Returns an answer's status, its `Retry-After` and its problem, once it has been read.
-async fn answer_head(site: &Site, ask: &Ask) -> (u16, Option<String>, Option<Problem>) {
+async fn answer_head(site: &Site, ask: &CompletionSpec) -> (u16, Option<String>, Option<Problem>) {
     use http_body_util::BodyExt as _;
     let router = site.daemons[0].spec().listen;
     let body = serde_json::json!({
@@ -223,7 +223,7 @@
 }
 
 /// Returns the tokens of a request's prompt that each engine is believed to hold.
-fn warm_tokens(site: &Site, ask: &Ask) -> Vec<u64> {
+fn warm_tokens(site: &Site, ask: &CompletionSpec) -> Vec<u64> {
     let url =
         format!("http://{}{}", site.daemons[0].spec().admin_listen, wire::operator::EXPLAIN_PATH);
     let body = serde_json::json!({
--- a/crates/bench/tests/shutdown.rs
+++ b/crates/bench/tests/shutdown.rs
@@ -7,7 +7,7 @@
 };
 
 use bench::{
-    caller::{Ask, block_on},
+    caller::{CompletionSpec, block_on},
     process::{Program, wait_until},
     site::{Site, SiteSpec, organisation_key},
     stream::{AnswerStream, StreamEnd, check_whole},
@@ -27,9 +27,9 @@
     Site::start(&Program::bench(env!("CARGO_BIN_EXE_bench")), spec).unwrap()
 }
 
-fn ask(site: &Site, tokens: u64) -> Ask {
+fn ask(site: &Site, tokens: u64) -> CompletionSpec {
     let organisation = &site.spec.organisations[0];
-    Ask {
+    CompletionSpec {
         key: organisation_key(organisation),
         model: site.spec.model.to_string(),
         prompt: format!("organisation {organisation}\nwho keeps the key"),
@@ -38,7 +38,7 @@
     }
 }
 
-async fn open(site: &Site, ask: &Ask) -> AnswerStream {
+async fn open(site: &Site, ask: &CompletionSpec) -> AnswerStream {
     AnswerStream::open(site.routers()[0], ask, None).await.unwrap().stream().unwrap()
 }
 
--- a/crates/bench/tests/streams.rs
+++ b/crates/bench/tests/streams.rs
@@ -5,7 +5,7 @@
 use base::{Incarnation, Verdict};
 use bench::{
     Fault,
-    caller::{self, Ask, Outcome, block_on},
+    caller::{self, CompletionSpec, Outcome, block_on},
     declare::declare,
     process::{Program, wait_until},
     site::{Site, SiteSpec, organisation_key},
@@ -39,9 +39,9 @@
     Site::start(&Program::bench(env!("CARGO_BIN_EXE_bench")), spec).unwrap()
 }
 
-fn ask(site: &Site, chat: bool) -> Ask {
+fn ask(site: &Site, chat: bool) -> CompletionSpec {
     let organisation = &site.spec.organisations[0];
-    Ask {
+    CompletionSpec {
         key: organisation_key(organisation),
         model: site.spec.model.to_string(),
         prompt: format!("organisation {organisation}\nwho keeps the key"),
@@ -51,29 +51,29 @@
 }
 
 /// Opens a stream and reads its first tokens.
-async fn begin(site: &Site, ask: &Ask) -> AnswerStream {
+async fn begin(site: &Site, ask: &CompletionSpec) -> AnswerStream {
     let mut stream = open(site, 0, ask).await;
     stream.read_tokens(5).await.unwrap();
     stream
 }
 
 /// Resumes a stream at the second host.
-async fn resume_elsewhere(site: &Site, ask: &Ask, first: &AnswerStream) -> AnswerStream {
+async fn resume_elsewhere(site: &Site, ask: &CompletionSpec, first: &AnswerStream) -> AnswerStream {
     let id = first.last_id.clone().unwrap();
     let second = AnswerStream::open(site.routers()[1], ask, Some(&id)).await.unwrap();
     second.stream().unwrap()
 }
 
-async fn check_finishes(ask: &Ask, mut stream: AnswerStream) {
+async fn check_finishes(ask: &CompletionSpec, mut stream: AnswerStream) {
     assert_eq!(stream.finish().await.unwrap(), StreamEnd::Done);
     check_whole(ask, &[&stream]).unwrap();
 }
 
-async fn open(site: &Site, host: usize, ask: &Ask) -> AnswerStream {
+async fn open(site: &Site, host: usize, ask: &CompletionSpec) -> AnswerStream {
     AnswerStream::open(site.routers()[host], ask, None).await.unwrap().stream().unwrap()
 }
 
-async fn whole_answer(site: &Site, ask: &Ask, choices: u64) -> Value {
+async fn whole_answer(site: &Site, ask: &CompletionSpec, choices: u64) -> Value {
     let router = site.routers()[0];
     let mut body = ask.body(false);
     body["n"] = choices.into();
@@ -104,7 +104,7 @@
             let site = site(&["a"], 1);
             site.engines[0].proxy.set(Fault { cut_after: Some(CUT_AFTER), ..Fault::default() });
             let ask = ask(&site, $chat);
-            let outcome = block_on(caller::ask(site.routers()[0], &ask));
+            let outcome = block_on(caller::complete(site.routers()[0], &ask));
             assert!(matches!(outcome, Outcome::Answered(_)), "{outcome:?}");
             let counts = site.engines[0].engine.counts();
             assert_eq!((counts.requests, counts.generated), (1, TOKENS), "{counts:?}");
@@ -183,8 +183,8 @@
     declare(&site, "[defaults]\nfirst-token-timeout = '400ms'\n").unwrap();
     site.engines[0].proxy.set(Fault { hold_answers: true, ..Fault::default() });
     for number in 0..4 {
-        let ask = Ask { prompt: format!("question {number}"), ..ask(&site, false) };
-        let outcome = block_on(caller::ask(site.routers()[0], &ask));
+        let ask = CompletionSpec { prompt: format!("question {number}"), ..ask(&site, false) };
+        let outcome = block_on(caller::complete(site.routers()[0], &ask));
         assert!(matches!(outcome, Outcome::Answered(_)), "{outcome:?}");
     }
 }
@@ -193,7 +193,7 @@
 fn request_timeout_ends_the_stream_with_its_verdict() {
     let site = site(&["a"], 1);
     declare(&site, "[defaults]\nrequest-timeout = '300ms'\n").unwrap();
-    let ask = Ask { tokens: 10_000, ..ask(&site, false) };
+    let ask = CompletionSpec { tokens: 10_000, ..ask(&site, false) };
     block_on(async {
         let mut stream = open(&site, 0, &ask).await;
         let StreamEnd::Failed(problem) = stream.finish().await.unwrap() else { panic!("done") };
@@ -269,10 +269,11 @@
         let stream = begin(&site, &ask).await;
         let id = stream.last_id.clone().unwrap();
         let router = site.routers()[0];
-        let other = Ask { key: organisation_key(&site.spec.organisations[1]), ..ask.clone() };
+        let other =
+            CompletionSpec { key: organisation_key(&site.spec.organisations[1]), ..ask.clone() };
         let refused = AnswerStream::open(router, &other, Some(&id)).await.unwrap();
         assert_eq!(refused.problem().unwrap().status, 410);
-        let other = Ask { prompt: "another prompt".into(), ..ask.clone() };
+        let other = CompletionSpec { prompt: "another prompt".into(), ..ask.clone() };
         let refused = AnswerStream::open(router, &other, Some(&id)).await.unwrap();
         assert_eq!(refused.problem().unwrap().status, 409);
         check_finishes(&ask, stream).await;
@@ -282,7 +283,7 @@
 #[test]
 fn caller_gone_cancels_the_engines_work() {
     let site = site(&["a"], 1);
-    let ask = Ask { tokens: 100_000, ..ask(&site, false) };
+    let ask = CompletionSpec { tokens: 100_000, ..ask(&site, false) };
     drop(block_on(begin(&site, &ask)));
     let engine = &site.engines[0].engine;
     wait_until("the work is cancelled", SOON, || engine.counts().cancelled == 1).unwrap();
@@ -298,7 +299,7 @@
         ..SiteSpec::small()
     });
     for chat in [false, true] {
-        let outcome = block_on(caller::ask(site.routers()[0], &ask(&site, chat)));
+        let outcome = block_on(caller::complete(site.routers()[0], &ask(&site, chat)));
         assert!(matches!(outcome, Outcome::Answered(_)), "{outcome:?}");
     }
     assert_eq!(metric(&site, "crossed_answers_dropped"), 2 * TOKENS);
@@ -321,7 +322,7 @@
         tune: |cfg| (cfg.decode_token, cfg.decode_share) = (Duration::ZERO, Duration::ZERO),
         ..SiteSpec::small()
     });
-    let endless = Ask { tokens: 10_000_000, ..ask(&site, false) };
+    let endless = CompletionSpec { tokens: 10_000_000, ..ask(&site, false) };
     let engine = &site.engines[0].engine;
     let before = resident_kb(site.daemons[0].pid());
     block_on(async {
@@ -333,7 +334,7 @@
             std::mem::replace(&mut last, generated) == generated && 0 < generated
         })
         .unwrap();
-        let outcome = caller::ask(site.routers()[0], &ask(&site, false)).await;
+        let outcome = caller::complete(site.routers()[0], &ask(&site, false)).await;
         assert!(matches!(outcome, Outcome::Answered(_)), "{outcome:?}");
     });
     let grown = resident_kb(site.daemons[0].pid()).saturating_sub(before);
--- a/crates/bench/tests/traces.rs
+++ b/crates/bench/tests/traces.rs
@@ -7,7 +7,7 @@
 };
 
 use bench::{
-    caller::{self, Ask, Outcome, block_on},
+    caller::{self, CompletionSpec, Outcome, block_on},
     process::{Program, wait_until},
     site::{Site, SiteSpec, organisation_key},
 };
@@ -76,7 +76,7 @@
     let program = Program { path: env!("CARGO_BIN_EXE_bench").into(), args: vec!["daemon".into()] };
     let spec = SiteSpec { flags: vec![("--trace-endpoint", url)], ..SiteSpec::small() };
     let site = Site::start(&program, spec).unwrap();
-    let ask = Ask {
+    let ask = CompletionSpec {
         key: organisation_key(&site.spec.organisations[0]),
         model: site.spec.model.to_string(),
         prompt: "organisation school-1\nDear diary".to_owned(),
@@ -84,7 +84,7 @@
         chat: false,
     };
     block_on(async {
-        let outcome = caller::ask(site.routers()[0], &ask).await;
+        let outcome = caller::complete(site.routers()[0], &ask).await;
         assert!(matches!(outcome, Outcome::Answered(_)), "{outcome:?}");
         order_of_a_trace(&site).await;
     });
