--- a/crates/bench/src/operator.rs
+++ b/crates/bench/src/operator.rs
@@ -47,7 +47,7 @@
 /// # Errors
 ///
 /// Returns an error if the daemon can't be reached.
-pub async fn ask(daemon: &Daemon, request: &LeaderRequest) -> eyre::Result<PeerAnswer> {
+pub async fn send_request(daemon: &Daemon, request: &LeaderRequest) -> eyre::Result<PeerAnswer> {
     connect(daemon).await?.submit(request, ANSWER_TIMEOUT).await
 }
 
@@ -56,14 +56,14 @@
 /// # Errors
 ///
 /// Returns an error if none has in time.
-pub async fn ask_leader(
+pub async fn send_to_leader(
     daemons: &[Daemon],
     request: &LeaderRequest,
 ) -> eyre::Result<(usize, LeaderAnswer)> {
     let deadline = Instant::now() + LEADER_TIMEOUT;
     while Instant::now() < deadline {
         for (i, daemon) in daemons.iter().enumerate() {
-            if let Ok(PeerAnswer::Answered(answer)) = ask(daemon, request).await {
+            if let Ok(PeerAnswer::Answered(answer)) = send_request(daemon, request).await {
                 return Ok((i, answer));
             }
         }
@@ -78,7 +78,7 @@
 ///
 /// Returns an error if none does in time.
 pub async fn leader(daemons: &[Daemon]) -> eyre::Result<usize> {
-    ask_leader(daemons, &LeaderRequest::ReadUnsettled).await.map(|(i, _)| i)
+    send_to_leader(daemons, &LeaderRequest::ReadUnsettled).await.map(|(i, _)| i)
 }
 
 /// Returns what the quorum knows of a call.
@@ -87,7 +87,7 @@
 ///
 /// Returns an error if no leader answers in time.
 pub async fn read_call(daemons: &[Daemon], key: &CallKey) -> eyre::Result<Option<fleet::Call>> {
-    match ask_leader(daemons, &LeaderRequest::ReadCall(key.clone())).await? {
+    match send_to_leader(daemons, &LeaderRequest::ReadCall(key.clone())).await? {
         (_, LeaderAnswer::Call(call)) => Ok(call.map(|call| *call)),
         (_, other) => bail!("unexpected answer {other:?}"),
     }
@@ -112,7 +112,7 @@
 /// Returns an error if no leader answers in time.
 pub async fn submit_change(daemons: &[Daemon], change: ConfigChange) -> eyre::Result<ChangeReply> {
     let request = LeaderRequest::Command(Command::Change(change));
-    match ask_leader(daemons, &request).await? {
+    match send_to_leader(daemons, &request).await? {
         (_, LeaderAnswer::Reply(Reply::Change(reply))) => Ok(reply),
         (_, other) => bail!("unexpected answer {other:?}"),
     }
--- a/crates/bench/tests/claims_faults.rs
+++ b/crates/bench/tests/claims_faults.rs
@@ -258,7 +258,7 @@
         let first = scene.resend_until(scene.sender, answered).await;
         scene.site.daemons[leader].thaw().unwrap();
         let read = LeaderRequest::ReadCall(scene.call());
-        match operator::ask(&scene.site.daemons[leader], &read).await.unwrap() {
+        match operator::send_request(&scene.site.daemons[leader], &read).await.unwrap() {
             daemon::PeerAnswer::Answered(wire::leader::LeaderAnswer::Call(call)) => {
                 let state = call.map(|call| call.state);
                 assert!(matches!(state, Some(CallState::Finished(..))), "stale: {state:?}");
--- a/crates/bench/tests/configuration.rs
+++ b/crates/bench/tests/configuration.rs
@@ -245,7 +245,7 @@
         let lonely = LeaderRequest::Command(Command::Change(lonely));
         let begun = Instant::now();
         while begun.elapsed() < Duration::from_secs(4) {
-            let answer = operator::ask(&site.daemons[leader], &lonely).await.unwrap();
+            let answer = operator::send_request(&site.daemons[leader], &lonely).await.unwrap();
             assert!(!matches!(answer, PeerAnswer::Answered(_)), "{answer:?}");
         }
         assert_eq!(change(&site, 1).await, ChangeReply::Changed(Revision::new(2)));
--- a/crates/bench/tests/quorum_disks.rs
+++ b/crates/bench/tests/quorum_disks.rs
@@ -87,7 +87,7 @@
     let begun = Instant::now();
     while begun.elapsed() < LONG {
         for daemon in &site.daemons {
-            let answer = operator::ask(daemon, &request).await;
+            let answer = operator::send_request(daemon, &request).await;
             assert!(!matches!(answer, Ok(PeerAnswer::Answered(_))), "{answer:?}");
         }
     }
@@ -107,12 +107,12 @@
         _ => false,
     };
     let deadline = Instant::now() + PATIENCE;
-    while !is_voter(&operator::ask_leader(&site.daemons, &remove).await.unwrap().1, None) {
+    while !is_voter(&operator::send_to_leader(&site.daemons, &remove).await.unwrap().1, None) {
         assert!(Instant::now() < deadline, "the voter stays");
     }
     let fresh = folder(site.daemons[host].spec().admin_listen).unwrap();
     let add = LeaderRequest::AddVoter { host: id.clone(), folder: fresh };
-    while !is_voter(&operator::ask_leader(&site.daemons, &add).await.unwrap().1, Some(fresh)) {
+    while !is_voter(&operator::send_to_leader(&site.daemons, &add).await.unwrap().1, Some(fresh)) {
         assert!(Instant::now() < deadline, "the voter isn't taken in");
     }
 }
