--- a/crates/bench/src/gate.rs
+++ b/crates/bench/src/gate.rs
@@ -11,19 +11,19 @@
 
 /// How far a call got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Passage {
+pub enum GateEvent {
     /// A connection arrived.
     Connected,
     /// Bytes of a request arrived.
-    Requested,
+    RequestReceived,
     /// Bytes of an answer arrived.
-    Answered,
+    ResponseReceived,
 }
 
 /// A gate before one target.
 pub struct Gate {
     address: SocketAddr,
-    passages: flume::Receiver<Passage>,
+    gate_events: flume::Receiver<GateEvent>,
     answers: Arc<Latch>,
 }
 
@@ -55,18 +55,18 @@
     pub fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port is free");
         let address = listener.local_addr().expect("a bound listener has an address");
-        let (tx, passages) = flume::unbounded();
+        let (tx, gate_events) = flume::unbounded();
         let answers = Arc::new(Latch::default());
         let latch = Arc::clone(&answers);
         std::thread::spawn(move || {
             while let Ok((near, _)) = listener.accept() {
-                let _ = tx.send(Passage::Connected);
+                let _ = tx.send(GateEvent::Connected);
                 if let Err(e) = join(near, target, &tx, &latch) {
                     log::debug!("gated connection ended: {e}");
                 }
             }
         });
-        Self { address, passages, answers }
+        Self { address, gate_events, answers }
     }
 
     /// Returns the address that stands for the target.
@@ -75,8 +75,8 @@
     }
 
     /// Returns the ring that tells how far calls got.
-    pub fn passages(&self) -> &flume::Receiver<Passage> {
-        &self.passages
+    pub fn gate_events(&self) -> &flume::Receiver<GateEvent> {
+        &self.gate_events
     }
 
     /// Holds answers, or lets them pass again.
@@ -94,7 +94,7 @@
 fn join(
     near: TcpStream,
     target: SocketAddr,
-    tx: &flume::Sender<Passage>,
+    tx: &flume::Sender<GateEvent>,
     answers: &Arc<Latch>,
 ) -> io::Result<()> {
     let far = TcpStream::connect(target)?;
@@ -104,13 +104,13 @@
     let requests = tx.clone();
     std::thread::spawn(move || {
         carry(near_rx, far_tx, || {
-            let _ = requests.send(Passage::Requested);
+            let _ = requests.send(GateEvent::RequestReceived);
         });
     });
     let (tx, answers) = (tx.clone(), Arc::clone(answers));
     std::thread::spawn(move || {
         carry(far, near, || {
-            let _ = tx.send(Passage::Answered);
+            let _ = tx.send(GateEvent::ResponseReceived);
             answers.pass();
         });
     });
--- a/crates/bench/tests/claims_faults.rs
+++ b/crates/bench/tests/claims_faults.rs
@@ -6,7 +6,7 @@
 use bench::{
     Fault,
     caller::{self, CallOutcome},
-    gate::{Gate, Passage},
+    gate::{Gate, GateEvent},
     operator,
     process::{Program, wait_until},
     site::{Site, SiteSpec, organisation_key},
@@ -150,9 +150,9 @@
         }
     }
 
-    async fn wait_passage(&self, wanted: Passage) {
-        let passages = self.gate.passages();
-        let seen = async { while passages.recv_async().await != Ok(wanted) {} };
+    async fn wait_passage(&self, wanted: GateEvent) {
+        let gate_events = self.gate.gate_events();
+        let seen = async { while gate_events.recv_async().await != Ok(wanted) {} };
         tokio::time::timeout(PATIENCE, seen).await.expect("the call gets that far");
     }
 
@@ -172,9 +172,9 @@
         }
         let order = tokio::task::spawn_local(self.order(self.sender));
         match step {
-            Step::Connected => self.wait_passage(Passage::Connected).await,
+            Step::Connected => self.wait_passage(GateEvent::Connected).await,
             Step::Claimed => self.wait_claimed().await,
-            Step::Sent => self.wait_passage(Passage::Answered).await,
+            Step::Sent => self.wait_passage(GateEvent::ResponseReceived).await,
             Step::Answered => {
                 while !order.is_finished() {
                     tokio::task::yield_now().await;
