--- a/crates/bench/src/gate.rs
+++ b/crates/bench/src/gate.rs
@@ -80,7 +80,7 @@
     }
 
     /// Holds answers, or lets them pass again.
-    pub fn hold_answers(&self, held: bool) {
+    pub fn hold_responses(&self, held: bool) {
         self.answers.set(held);
     }
 }
--- a/crates/bench/src/proxy.rs
+++ b/crates/bench/src/proxy.rs
@@ -39,7 +39,7 @@
     /// Whether bytes towards the target are held.
     pub hold_requests: bool,
     /// Whether bytes from the target are held.
-    pub hold_answers: bool,
+    pub hold_responses: bool,
     /// Whether new connections are closed at once, and open ones cut.
     pub refuse: bool,
     /// Cuts a connection after so many bytes from the target.
@@ -49,7 +49,7 @@
 impl Fault {
     /// Holds bytes both ways, as a network partition does.
     pub fn partition() -> Self {
-        Self { hold_requests: true, hold_answers: true, ..Self::default() }
+        Self { hold_requests: true, hold_responses: true, ..Self::default() }
     }
 
     /// Delays bytes by `delay` each way.
@@ -295,6 +295,6 @@
 fn holds(fault: &Fault, direction: Direction) -> bool {
     match direction {
         Direction::Requests => fault.hold_requests,
-        Direction::Answers => fault.hold_answers,
+        Direction::Answers => fault.hold_responses,
     }
 }
--- a/crates/bench/tests/claims_faults.rs
+++ b/crates/bench/tests/claims_faults.rs
@@ -89,7 +89,7 @@
 
     fn heal(&self) {
         self.site.peer_proxies.iter().for_each(bench::Proxy::heal);
-        self.gate.hold_answers(false);
+        self.gate.hold_responses(false);
     }
 
     fn runs(&self) -> u64 {
@@ -164,10 +164,10 @@
                 self.hold_from(self.sender, &held);
             }
             Step::Claimed => {
-                let held = Fault { hold_answers: true, ..Fault::default() };
+                let held = Fault { hold_responses: true, ..Fault::default() };
                 self.site.peer_proxies[self.leader].set_for(self.ip(self.sender), held);
             }
-            Step::Sent => self.gate.hold_answers(true),
+            Step::Sent => self.gate.hold_responses(true),
             Step::Answered => {}
         }
         let order = tokio::task::spawn_local(self.order(self.sender));
@@ -292,7 +292,7 @@
         let scene = Scene::start().await;
         let order = scene.send_until(Step::Sent).await;
         scene.cut_off(scene.sender);
-        scene.gate.hold_answers(false);
+        scene.gate.hold_responses(false);
         let first = order.await.unwrap();
         assert!(matches!(first, CallOutcome::Answered { .. }), "{first:?}");
         let elsewhere = scene.checked_order(scene.third()).await;
@@ -353,7 +353,7 @@
         let order = scene.send_until(Step::Sent).await;
         let sender = scene.sender;
         scene.site.daemons[sender].terminate().unwrap();
-        scene.gate.hold_answers(false);
+        scene.gate.hold_responses(false);
         let first = order.await.unwrap();
         assert!(matches!(first, CallOutcome::Answered { .. }), "{first:?}");
         let status = scene.site.daemons[sender].wait_end(PATIENCE).unwrap();
--- a/crates/bench/tests/endpoints.rs
+++ b/crates/bench/tests/endpoints.rs
@@ -229,7 +229,7 @@
     connection_delayed_mid_stream: |proxy| proxy.set(Fault::delay(Duration::from_millis(100)));
     connection_losing_packets_mid_stream: |proxy| proxy.set(Fault { loss: 0.2, ..Fault::default() });
     connection_half_open_mid_stream: |proxy| {
-        proxy.set(Fault { hold_answers: true, ..Fault::default() });
+        proxy.set(Fault { hold_responses: true, ..Fault::default() });
     };
 }
 
--- a/crates/bench/tests/kv.rs
+++ b/crates/bench/tests/kv.rs
@@ -130,7 +130,7 @@
     dead_source_is_a_miss:
         Case { fault: Fault { refuse: true, ..Fault::default() }, ..Case::default() } => 0;
     silent_source_is_a_miss:
-        Case { fault: Fault { hold_answers: true, ..Fault::default() }, ..Case::default() } => 0;
+        Case { fault: Fault { hold_responses: true, ..Fault::default() }, ..Case::default() } => 0;
 }
 
 #[test]
--- a/crates/bench/tests/operator/calls.rs
+++ b/crates/bench/tests/operator/calls.rs
@@ -28,7 +28,7 @@
 /// Makes an order that runs, and whose connection is cut before its answer.
 fn in_doubt(site: &Site) {
     let set = |fault: Fault| site.services.iter().for_each(|node| node.proxy.set(fault.clone()));
-    set(Fault { hold_answers: true, ..Fault::default() });
+    set(Fault { hold_responses: true, ..Fault::default() });
     let outcome = std::thread::scope(|scope| {
         let ordering = scope.spawn(|| order(site));
         let runs = || site.orders.runs(KEY) == 1;
--- a/crates/bench/tests/operator/changes.rs
+++ b/crates/bench/tests/operator/changes.rs
@@ -152,7 +152,7 @@
 fn change_whose_answer_is_lost_is_sent_again_and_made_once() {
     let site = site();
     let proxy = Proxy::start(admin(&site, 0), 1);
-    proxy.set(Fault { hold_answers: true, ..Fault::default() });
+    proxy.set(Fault { hold_responses: true, ..Fault::default() });
     let set = ["defaults", "set", "wait-weight", "2.5", "--yes", "--reason", "waits are long"];
     let args = [&set[..], &["--timeout", "1s", "--json"]].concat();
     let routers = [proxy.address(), admin(&site, 1)];
--- a/crates/bench/tests/routing.rs
+++ b/crates/bench/tests/routing.rs
@@ -282,7 +282,7 @@
 fn late_status_lookup_is_asked_of_a_second_endpoint_and_a_claimed_call_is_not() {
     let site = start(one_host());
     declare(&site, "[defaults]\nhedge-delay = \"100ms\"\n").unwrap();
-    let held = bench::Fault { hold_answers: true, ..bench::Fault::default() };
+    let held = bench::Fault { hold_responses: true, ..bench::Fault::default() };
     site.services[0].proxy.set(held);
     let key = organisation_key(&site.spec.organisations[0]);
     let router = site.daemons[0].spec().listen;
--- a/crates/bench/tests/streams.rs
+++ b/crates/bench/tests/streams.rs
@@ -181,7 +181,7 @@
 fn slow_first_token_is_asked_of_another_engine() {
     let site = site(&["a"], 2);
     declare(&site, "[defaults]\nfirst-token-timeout = '400ms'\n").unwrap();
-    site.engines[0].proxy.set(Fault { hold_answers: true, ..Fault::default() });
+    site.engines[0].proxy.set(Fault { hold_responses: true, ..Fault::default() });
     for number in 0..4 {
         let ask = CompletionSpec { prompt: format!("question {number}"), ..ask(&site, false) };
         let outcome = block_on(caller::complete(site.routers()[0], &ask));
