--- a/crates/bench/src/balancer.rs
+++ b/crates/bench/src/balancer.rs
@@ -12,7 +12,7 @@
 use crate::{
     caller::CompletionSpec,
     process::Daemon,
-    stream::{AnswerStream, Opened, StreamEnd, check_whole},
+    stream::{CompletionStream, OpenResult, StreamEnd, check_complete},
 };
 
 /// Time between two looks at a host's readiness.
@@ -86,13 +86,13 @@
     pub async fn ask(&self, ask: &CompletionSpec) -> Balanced {
         let begun = Instant::now();
         let mut balanced = Balanced { first_token: None, refused: 0, cut: 0, failed: None };
-        let mut parts: Vec<AnswerStream> = Vec::new();
+        let mut parts: Vec<CompletionStream> = Vec::new();
         for _ in 0..MAX_TRIES {
             let Some(host) = self.pick(begun).await else { break };
             let last = parts.iter().rev().find_map(|part| part.last_id.as_ref());
-            let mut stream = match AnswerStream::open(host.listen, ask, last).await {
-                Ok(Opened::Stream(stream)) => *stream,
-                Ok(Opened::Failed(problem)) => {
+            let mut stream = match CompletionStream::open(host.listen, ask, last).await {
+                Ok(OpenResult::Stream(stream)) => *stream,
+                Ok(OpenResult::Failed(problem)) => {
                     balanced.failed = Some(format!("{problem:?}"));
                     return balanced;
                 }
@@ -110,7 +110,7 @@
             match end {
                 Ok(StreamEnd::Done) => {
                     let parts: Vec<_> = parts.iter().collect();
-                    balanced.failed = check_whole(ask, &parts).err().map(|e| e.to_string());
+                    balanced.failed = check_complete(ask, &parts).err().map(|e| e.to_string());
                     return balanced;
                 }
                 Ok(StreamEnd::Failed(problem)) => {
--- a/crates/bench/src/stream.rs
+++ b/crates/bench/src/stream.rs
@@ -23,7 +23,7 @@
 const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A streamed answer that is being read.
-pub struct AnswerStream {
+pub struct CompletionStream {
     body: Incoming,
     parser: Parser,
     events: VecDeque<Event>,
@@ -34,9 +34,9 @@
 }
 
 /// What a request for a stream got.
-pub enum Opened {
+pub enum OpenResult {
     /// A stream.
-    Stream(Box<AnswerStream>),
+    Stream(Box<CompletionStream>),
     /// A refusal or failure.
     Failed(Problem),
 }
@@ -50,7 +50,7 @@
     Failed(Problem),
 }
 
-impl AnswerStream {
+impl CompletionStream {
     /// Asks for a stream, or for the rest of one after an event.
     ///
     /// # Errors
@@ -60,7 +60,7 @@
         router: SocketAddr,
         ask: &CompletionSpec,
         resume: Option<&EventId>,
-    ) -> eyre::Result<Opened> {
+    ) -> eyre::Result<OpenResult> {
         let mut req = Request::post(ask.path())
             .header("host", router.to_string())
             .header("authorization", format!("Bearer {}", ask.key));
@@ -70,9 +70,9 @@
         let req = req.body(Full::new(Bytes::from(ask.body(true).to_string())))?;
         let response = caller::send(router, req).await?;
         if !response.status().is_success() {
-            return Ok(Opened::Failed(caller::read_problem(response).await?));
+            return Ok(OpenResult::Failed(caller::read_problem(response).await?));
         }
-        Ok(Opened::Stream(Box::new(Self {
+        Ok(OpenResult::Stream(Box::new(Self {
             body: response.into_body(),
             parser: Parser::new(MAX_EVENT),
             events: VecDeque::new(),
@@ -141,13 +141,13 @@
     }
 }
 
-impl Opened {
+impl OpenResult {
     /// Returns the stream.
     ///
     /// # Errors
     ///
     /// Returns an error that shows the problem if there is none.
-    pub fn stream(self) -> eyre::Result<AnswerStream> {
+    pub fn stream(self) -> eyre::Result<CompletionStream> {
         match self {
             Self::Stream(stream) => Ok(*stream),
             Self::Failed(problem) => Err(eyre!("no stream: {problem:?}")),
@@ -173,7 +173,7 @@
 /// # Errors
 ///
 /// Returns an error that names the first difference.
-pub fn check_whole(ask: &CompletionSpec, parts: &[&AnswerStream]) -> eyre::Result<()> {
+pub fn check_complete(ask: &CompletionSpec, parts: &[&CompletionStream]) -> eyre::Result<()> {
     let tokens: Vec<_> = parts.iter().flat_map(|part| &part.tokens).collect();
     let expected = ask.expected();
     let differs = expected.iter().zip(&tokens).position(|(expected, token)| expected != *token);
--- a/crates/bench/tests/endpoints.rs
+++ b/crates/bench/tests/endpoints.rs
@@ -10,7 +10,7 @@
     partition,
     process::{Daemon, Program, wait_until},
     site::{FLEET_KEY, Site, SiteSpec, organisation_key},
-    stream::{AnswerStream, StreamEnd, check_whole},
+    stream::{CompletionStream, StreamEnd, check_complete},
 };
 use wire::announcement::AnnouncementBody;
 
@@ -60,12 +60,12 @@
     }
 }
 
-async fn open(site: &Site, router: usize, ask: &CompletionSpec) -> AnswerStream {
-    AnswerStream::open(site.routers()[router], ask, None).await.unwrap().stream().unwrap()
+async fn open(site: &Site, router: usize, ask: &CompletionSpec) -> CompletionStream {
+    CompletionStream::open(site.routers()[router], ask, None).await.unwrap().stream().unwrap()
 }
 
 /// Returns the engine that generates, by its place in the site.
-fn engine_of(stream: &AnswerStream) -> usize {
+fn engine_of(stream: &CompletionStream) -> usize {
     let endpoint = &stream.last_id.as_ref().unwrap().endpoint;
     let number: usize = endpoint.as_str().rsplit('-').next().unwrap().parse().unwrap();
     number - 1
@@ -164,12 +164,12 @@
         site.restart_engine(engine, Incarnation::new(2));
         let end = stream.finish().await.unwrap();
         assert_eq!(end, StreamEnd::Done, "{}", site.daemons[0].log().unwrap());
-        check_whole(&ask, &[&stream]).unwrap();
+        check_complete(&ask, &[&stream]).unwrap();
         wait_until("the new life is known", SOON, || {
             let router = site.routers()[1];
             let resumed = block_on_new(
                 move |ask, id| async move {
-                    AnswerStream::open(router, &ask, Some(&id)).await.unwrap().problem().ok()
+                    CompletionStream::open(router, &ask, Some(&id)).await.unwrap().problem().ok()
                 },
                 ask.clone(),
                 id.clone(),
@@ -182,7 +182,7 @@
         let before = requests(&site, engine);
         ask_all(&site, &[0, 1, 2]).await;
         assert!(before < requests(&site, engine), "the new life gets no work");
-        let old = AnswerStream::open(site.routers()[2], &ask, Some(&id)).await.unwrap();
+        let old = CompletionStream::open(site.routers()[2], &ask, Some(&id)).await.unwrap();
         assert_eq!(old.problem().unwrap().verdict, Some(Verdict::MayHaveRun));
     });
     assert_eq!(site.tally.lock().wrong_salts, 0);
@@ -211,7 +211,7 @@
                 let hurt: fn(&Proxy) = $hurt;
                 hurt(&site.engines[engine_of(&stream)].proxy);
                 assert_eq!(stream.finish().await.unwrap(), StreamEnd::Done);
-                check_whole(&ask, &[&stream]).unwrap();
+                check_complete(&ask, &[&stream]).unwrap();
             });
         }
     )*};
@@ -246,7 +246,7 @@
         }
         drop(site.engines.remove(killed));
         assert_eq!(stream.finish().await.unwrap(), StreamEnd::Done);
-        check_whole(&ask, &[&stream]).unwrap();
+        check_complete(&ask, &[&stream]).unwrap();
     });
 }
 
--- a/crates/bench/tests/shutdown.rs
+++ b/crates/bench/tests/shutdown.rs
@@ -10,7 +10,7 @@
     caller::{CompletionSpec, block_on},
     process::{Program, wait_until},
     site::{Site, SiteSpec, organisation_key},
-    stream::{AnswerStream, StreamEnd, check_whole},
+    stream::{CompletionStream, StreamEnd, check_complete},
 };
 
 const SOON: Duration = Duration::from_secs(5);
@@ -38,8 +38,8 @@
     }
 }
 
-async fn open(site: &Site, ask: &CompletionSpec) -> AnswerStream {
-    AnswerStream::open(site.routers()[0], ask, None).await.unwrap().stream().unwrap()
+async fn open(site: &Site, ask: &CompletionSpec) -> CompletionStream {
+    CompletionStream::open(site.routers()[0], ask, None).await.unwrap().stream().unwrap()
 }
 
 fn readiness(site: &Site) -> u16 {
@@ -96,7 +96,7 @@
             .unwrap();
         for stream in [&mut before, &mut during] {
             assert_eq!(stream.finish().await.unwrap(), StreamEnd::Done);
-            check_whole(&ask, &[stream]).unwrap();
+            check_complete(&ask, &[stream]).unwrap();
         }
     });
     assert_eq!(site.daemons[0].wait_end(SOON).unwrap().code(), Some(0));
--- a/crates/bench/tests/streams.rs
+++ b/crates/bench/tests/streams.rs
@@ -9,7 +9,7 @@
     declare::declare,
     process::{Program, wait_until},
     site::{Site, SiteSpec, organisation_key},
-    stream::{AnswerStream, StreamEnd, check_whole},
+    stream::{CompletionStream, StreamEnd, check_complete},
 };
 use bytes::Bytes;
 use http_body_util::Full;
@@ -51,26 +51,30 @@
 }
 
 /// Opens a stream and reads its first tokens.
-async fn begin(site: &Site, ask: &CompletionSpec) -> AnswerStream {
+async fn begin(site: &Site, ask: &CompletionSpec) -> CompletionStream {
     let mut stream = open(site, 0, ask).await;
     stream.read_tokens(5).await.unwrap();
     stream
 }
 
 /// Resumes a stream at the second host.
-async fn resume_elsewhere(site: &Site, ask: &CompletionSpec, first: &AnswerStream) -> AnswerStream {
+async fn resume_elsewhere(
+    site: &Site,
+    ask: &CompletionSpec,
+    first: &CompletionStream,
+) -> CompletionStream {
     let id = first.last_id.clone().unwrap();
-    let second = AnswerStream::open(site.routers()[1], ask, Some(&id)).await.unwrap();
+    let second = CompletionStream::open(site.routers()[1], ask, Some(&id)).await.unwrap();
     second.stream().unwrap()
 }
 
-async fn check_finishes(ask: &CompletionSpec, mut stream: AnswerStream) {
+async fn check_finishes(ask: &CompletionSpec, mut stream: CompletionStream) {
     assert_eq!(stream.finish().await.unwrap(), StreamEnd::Done);
-    check_whole(ask, &[&stream]).unwrap();
+    check_complete(ask, &[&stream]).unwrap();
 }
 
-async fn open(site: &Site, host: usize, ask: &CompletionSpec) -> AnswerStream {
-    AnswerStream::open(site.routers()[host], ask, None).await.unwrap().stream().unwrap()
+async fn open(site: &Site, host: usize, ask: &CompletionSpec) -> CompletionStream {
+    CompletionStream::open(site.routers()[host], ask, None).await.unwrap().stream().unwrap()
 }
 
 async fn whole_answer(site: &Site, ask: &CompletionSpec, choices: u64) -> Value {
@@ -86,7 +90,7 @@
 }
 
 /// Returns the engine that generates, by its place in the site.
-fn engine_of(site: &Site, stream: &AnswerStream) -> usize {
+fn engine_of(site: &Site, stream: &CompletionStream) -> usize {
     let id: &EventId = stream.last_id.as_ref().unwrap();
     let is_it = |id: &EventId, i: usize| id.endpoint.as_str() == format!("engine-{}", i + 1);
     (0..site.engines.len()).find(|&i| is_it(id, i)).unwrap()
@@ -223,7 +227,7 @@
         let first = begin(&site, &ask).await;
         let mut second = resume_elsewhere(&site, &ask, &first).await;
         assert_eq!(second.finish().await.unwrap(), StreamEnd::Done);
-        check_whole(&ask, &[&first, &second]).unwrap();
+        check_complete(&ask, &[&first, &second]).unwrap();
     });
     let counts = total(&site, |counts| counts.requests);
     assert_eq!((counts, total(&site, |counts| counts.generated)), (1, TOKENS));
@@ -240,7 +244,7 @@
         let engine = engine_of(&site, &second);
         drop(site.engines.remove(engine));
         assert_eq!(second.finish().await.unwrap(), StreamEnd::Done);
-        check_whole(&ask, &[&first, &second]).unwrap();
+        check_complete(&ask, &[&first, &second]).unwrap();
     });
 }
 
@@ -255,7 +259,7 @@
         drop(stream);
         drop(site.engines.remove(engine));
         site.wait_endpoints().unwrap();
-        let again = AnswerStream::open(site.routers()[1], &ask, Some(&id)).await.unwrap();
+        let again = CompletionStream::open(site.routers()[1], &ask, Some(&id)).await.unwrap();
         let problem = again.problem().unwrap();
         assert_eq!((problem.status, problem.verdict), (410, Some(Verdict::MayHaveRun)));
     });
@@ -271,10 +275,10 @@
         let router = site.routers()[0];
         let other =
             CompletionSpec { key: organisation_key(&site.spec.organisations[1]), ..ask.clone() };
-        let refused = AnswerStream::open(router, &other, Some(&id)).await.unwrap();
+        let refused = CompletionStream::open(router, &other, Some(&id)).await.unwrap();
         assert_eq!(refused.problem().unwrap().status, 410);
         let other = CompletionSpec { prompt: "another prompt".into(), ..ask.clone() };
-        let refused = AnswerStream::open(router, &other, Some(&id)).await.unwrap();
+        let refused = CompletionStream::open(router, &other, Some(&id)).await.unwrap();
         assert_eq!(refused.problem().unwrap().status, 409);
         check_finishes(&ask, stream).await;
     });
