--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -245,7 +245,7 @@
     /// # Errors
     ///
     /// Returns an error if it doesn't end within `timeout`.
-    pub fn wait_end(&mut self, timeout: Duration) -> eyre::Result<ExitStatus> {
+    pub fn wait_exit(&mut self, timeout: Duration) -> eyre::Result<ExitStatus> {
         let deadline = Instant::now() + timeout;
         loop {
             if let Some(status) = self.child.try_wait()? {
--- a/crates/bench/src/site.rs
+++ b/crates/bench/src/site.rs
@@ -214,7 +214,7 @@
     pub fn wait_endpoints(&self) -> eyre::Result<()> {
         let expected =
             self.engines.len() + self.services.len() + usize::from(self.kept_kv.is_some());
-        self.daemons.iter().try_for_each(|daemon| self.wait_known_by(daemon, expected))
+        self.daemons.iter().try_for_each(|daemon| self.wait_endpoint_count(daemon, expected))
     }
 
     /// Waits until a daemon knows `expected` endpoints.
@@ -222,13 +222,13 @@
     /// # Errors
     ///
     /// Returns an error if that takes too long.
-    pub fn wait_known_by(&self, daemon: &Daemon, expected: usize) -> eyre::Result<()> {
+    pub fn wait_endpoint_count(&self, daemon: &Daemon, expected: usize) -> eyre::Result<()> {
         let what = format!("{} knows {expected} endpoints", daemon.spec().host);
-        wait_until(&what, START_TIMEOUT, || self.known_by(daemon) == Some(expected))
+        wait_until(&what, START_TIMEOUT, || self.ready_endpoint_count(daemon) == Some(expected))
     }
 
     /// Returns how many endpoints a daemon knows, if it answers.
-    pub fn known_by(&self, daemon: &Daemon) -> Option<usize> {
+    pub fn ready_endpoint_count(&self, daemon: &Daemon) -> Option<usize> {
         known_endpoints(daemon.spec().admin_listen)
     }
 
--- a/crates/bench/tests/claims_faults.rs
+++ b/crates/bench/tests/claims_faults.rs
@@ -356,7 +356,7 @@
         scene.gate.hold_responses(false);
         let first = order.await.unwrap();
         assert!(matches!(first, CallOutcome::Answered { .. }), "{first:?}");
-        let status = scene.site.daemons[sender].wait_end(PATIENCE).unwrap();
+        let status = scene.site.daemons[sender].wait_exit(PATIENCE).unwrap();
         assert_eq!(status.code(), Some(0));
         assert_eq!(scene.checked_order(scene.third()).await, first);
     });
--- a/crates/bench/tests/endpoints.rs
+++ b/crates/bench/tests/endpoints.rs
@@ -134,7 +134,7 @@
             }
             partition::heal(&site);
             for daemon in &site.daemons {
-                site.wait_known_by(daemon, 2).unwrap();
+                site.wait_endpoint_count(daemon, 2).unwrap();
             }
             block_on(ask_all(&site, &[0, 1, 2]));
             assert_eq!(requests(&site, 0), before, "after the partition");
@@ -276,7 +276,7 @@
     block_on(ask_all(&site, &[0, 1, 2]));
     assert_eq!(requests(&site, 0), before);
     for daemon in &site.daemons {
-        site.wait_known_by(daemon, 2).unwrap();
+        site.wait_endpoint_count(daemon, 2).unwrap();
     }
 }
 
--- a/crates/bench/tests/peers.rs
+++ b/crates/bench/tests/peers.rs
@@ -70,6 +70,6 @@
     friend.wait_ready(Duration::from_secs(10)).unwrap();
 
     let expected = site.engines.len() + site.services.len();
-    site.wait_known_by(&friend, expected).unwrap();
-    assert_eq!(site.known_by(&stranger), Some(0));
+    site.wait_endpoint_count(&friend, expected).unwrap();
+    assert_eq!(site.ready_endpoint_count(&stranger), Some(0));
 }
--- a/crates/bench/tests/quorum_disks.rs
+++ b/crates/bench/tests/quorum_disks.rs
@@ -196,7 +196,7 @@
     }
     assert!(0 < damaged);
     site.daemons[1].start_again().unwrap();
-    let status = site.daemons[1].wait_end(PATIENCE).unwrap();
+    let status = site.daemons[1].wait_exit(PATIENCE).unwrap();
     assert_eq!(status.code(), Some(1));
     block_on(async { change(&site, 1).await });
 }
--- a/crates/bench/tests/restarts.rs
+++ b/crates/bench/tests/restarts.rs
@@ -26,7 +26,7 @@
     let load = RunningLoad::start(&site, RATE, 1);
     for daemon in &mut site.daemons {
         daemon.terminate().unwrap();
-        assert_eq!(daemon.wait_end(SOON).unwrap().code(), Some(0));
+        assert_eq!(daemon.wait_exit(SOON).unwrap().code(), Some(0));
         daemon.start_again().unwrap();
         daemon.wait_ready(SOON).unwrap();
     }
--- a/crates/bench/tests/shutdown.rs
+++ b/crates/bench/tests/shutdown.rs
@@ -99,7 +99,7 @@
             check_complete(&ask, &[stream]).unwrap();
         }
     });
-    assert_eq!(site.daemons[0].wait_end(SOON).unwrap().code(), Some(0));
+    assert_eq!(site.daemons[0].wait_exit(SOON).unwrap().code(), Some(0));
 }
 
 #[test]
@@ -130,7 +130,7 @@
         let answer = reader.join().unwrap();
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer:?}");
     }
-    assert_eq!(site.daemons[0].wait_end(SOON).unwrap().code(), Some(0));
+    assert_eq!(site.daemons[0].wait_exit(SOON).unwrap().code(), Some(0));
 }
 
 #[test]
@@ -145,7 +145,7 @@
     let answer = idle.ask_models(&key);
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer:?}");
     assert!(answer.to_lowercase().contains("connection: close"), "{answer}");
-    assert_eq!(site.daemons[0].wait_end(SOON).unwrap().code(), Some(0));
+    assert_eq!(site.daemons[0].wait_exit(SOON).unwrap().code(), Some(0));
 }
 
 #[test]
@@ -160,7 +160,7 @@
         site.daemons[0].terminate().unwrap();
         assert!(stream.finish().await.is_err());
     });
-    assert_eq!(site.daemons[0].wait_end(SOON).unwrap().code(), Some(3));
+    assert_eq!(site.daemons[0].wait_exit(SOON).unwrap().code(), Some(3));
     let log = site.daemons[0].log().unwrap();
     assert!(log.contains("request cut") && log.contains("/v1/completions"), "{log}");
 }
