--- a/crates/bench/src/demo.rs
+++ b/crates/bench/src/demo.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     declare::declare,
-    load::{self, Load, Observed},
+    load::{self, FakeCounts, Load},
     process::Program,
     report::Summary,
     site::{Site, SiteSpec},
@@ -45,7 +45,7 @@
         span: SPAN,
         seed,
     };
-    let observed = Observed { tally: site.tally.clone(), orders: site.orders.clone() };
+    let observed = FakeCounts { tally: site.tally.clone(), orders: site.orders.clone() };
     let bar = ProgressBar::new((RATE * SPAN.as_secs_f64()) as u64);
     bar.set_style(ProgressStyle::with_template("{elapsed} {wide_bar} {pos} requests, {msg}")?);
     let counts = {
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -50,7 +50,7 @@
 
 /// What the load generator shares with the fakes.
 #[derive(Clone, Debug)]
-pub struct Observed {
+pub struct FakeCounts {
     /// What the engines counted.
     pub tally: SharedTally,
     /// How often each order ran.
@@ -92,14 +92,14 @@
 }
 
 /// Sends the load and returns what was counted; `progress` is told of each answer.
-pub fn run(load: &Load, observed: &Observed, progress: impl Fn(&Counts) + 'static) -> Counts {
+pub fn run(load: &Load, observed: &FakeCounts, progress: impl Fn(&Counts) + 'static) -> Counts {
     send(plan_all(load), observed, progress)
 }
 
 /// Sends planned requests, each when it is due, and returns what was counted.
 pub fn send(
     planned: Vec<Planned>,
-    observed: &Observed,
+    observed: &FakeCounts,
     progress: impl Fn(&Counts) + 'static,
 ) -> Counts {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -112,7 +112,7 @@
 
 async fn send_all(
     planned: Vec<Planned>,
-    observed: &Observed,
+    observed: &FakeCounts,
     progress: Rc<impl Fn(&Counts) + 'static>,
 ) -> Counts {
     let counts = Rc::new(RefCell::new(Counts::default()));
@@ -219,7 +219,7 @@
     text
 }
 
-async fn send_one(planned: Planned, observed: &Observed, counts: &RefCell<Counts>) {
+async fn send_one(planned: Planned, observed: &FakeCounts, counts: &RefCell<Counts>) {
     counts.borrow_mut().totals.requests += 1;
     let key = organisation_key(&planned.organisation);
     match planned.kind {
@@ -245,7 +245,7 @@
     }
 }
 
-fn count_ask(outcome: Outcome, measured: bool, observed: &Observed, counts: &mut Counts) {
+fn count_ask(outcome: Outcome, measured: bool, observed: &FakeCounts, counts: &mut Counts) {
     match outcome {
         Outcome::Answered(timing) => {
             counts.totals.answered += 1;
--- a/crates/bench/src/run.rs
+++ b/crates/bench/src/run.rs
@@ -16,7 +16,7 @@
 use crate::{
     declare::declare,
     fake::EngineCounts,
-    load::{self, Observed},
+    load::{self, FakeCounts},
     process::Program,
     report::{Completions, Summary},
     site::{Site, SiteSpec},
@@ -106,7 +106,7 @@
     let planned = workload.plan();
     let cache_blocks = sites::CACHE_BLOCKS;
     let bound_hit_rate = workload::bound(&planned, site.engines.len(), cache_blocks);
-    let observed = Observed { tally: site.tally.clone(), orders: site.orders.clone() };
+    let observed = FakeCounts { tally: site.tally.clone(), orders: site.orders.clone() };
     let (counts, watched) = thread::scope(|scope| {
         let sending = scope.spawn(|| load::send(planned, &observed, |_| {}));
         let watched = Watch::until(&mut site, spec, || sending.is_finished());
--- a/crates/bench/tests/whole_path.rs
+++ b/crates/bench/tests/whole_path.rs
@@ -3,7 +3,7 @@
 use std::{path::PathBuf, time::Duration};
 
 use bench::{
-    load::{self, Load, Observed},
+    load::{self, FakeCounts, Load},
     process::Program,
     report::Summary,
     site::{Site, SiteSpec},
@@ -25,7 +25,7 @@
         span: Duration::from_secs(3),
         seed: 1,
     };
-    let observed = Observed { tally: site.tally.clone(), orders: site.orders.clone() };
+    let observed = FakeCounts { tally: site.tally.clone(), orders: site.orders.clone() };
     let summary = Summary::new(&load::run(&load, &observed, |_| {}), &site);
 
     assert!(100 < summary.totals.requests, "{summary:?}");
