--- a/crates/bench/src/partition.rs
+++ b/crates/bench/src/partition.rs
@@ -3,7 +3,7 @@
 use crate::{Fault, site::Site};
 
 /// Holds all bytes between a router and its peers; its endpoints and callers still reach it.
-pub fn cut_off_router(site: &Site, router: usize) {
+pub fn isolate_router(site: &Site, router: usize) {
     site.peer_proxies[router].set(Fault::partition());
     let ip = site.daemons[router].spec().listen.ip();
     for proxy in &site.peer_proxies {
@@ -15,11 +15,11 @@
 ///
 /// Announcements pass, since engines send them past the proxies: a router goes on to know engines
 /// that it can't reach.
-pub fn cut_off_data_centre(site: &Site, data_centre: &str) {
+pub fn isolate_data_centre(site: &Site, data_centre: &str) {
     for (router, daemon) in site.daemons.iter().enumerate() {
         let inside = daemon.spec().data_centre == data_centre;
         if inside {
-            cut_off_router(site, router);
+            isolate_router(site, router);
         }
         for (engine, of) in site.engines.iter().zip(&site.spec.engines) {
             if (*of == data_centre) != inside {
--- a/crates/bench/tests/endpoints.rs
+++ b/crates/bench/tests/endpoints.rs
@@ -110,7 +110,7 @@
         fn $name() {
             let site = site();
             block_on(ask_all(&site, &[0, 1, 2]));
-            partition::cut_off_router(&site, $router);
+            partition::isolate_router(&site, $router);
             let left = Instant::now();
             site.engines[0].announcer.leave();
             // Late copies of what it said before arrive in between.
@@ -285,7 +285,7 @@
     let site = site();
     declare(&site, "[defaults]\nfirst-token-timeout = '700ms'\n").unwrap();
     block_on(ask_all(&site, &[0, 1, 2]));
-    partition::cut_off_data_centre(&site, "c");
+    partition::isolate_data_centre(&site, "c");
     block_on(ask_all(&site, &[0, 1, 2]));
     partition::heal(&site);
     site.wait_endpoints().unwrap();
