--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -167,7 +167,8 @@
         let deadline = Instant::now() + timeout;
         loop {
             if let Some(status) = self.child.try_wait()? {
-                eyre::bail!("{} ended early: {status}", self.spec.host);
+                let (host, log) = (&self.spec.host, self.log()?);
+                eyre::bail!("{host} exited before it was ready: {status}; its log:\n{log}");
             }
             if attohttpc::get(&url).timeout(POLL * 20).send().is_ok_and(|r| r.is_success()) {
                 return Ok(());
