--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that checks what it gets.
+//! A fake caller that checks the responses it receives.
 
 use std::{
     net::SocketAddr,
@@ -21,55 +21,55 @@
 
 use crate::model::Generation;
 
-/// Longest event taken.
-const MAX_EVENT: ByteCount = ByteCount::new(1 << 20);
+/// Longest accepted event of a stream.
+const MAX_EVENT_BYTES: ByteCount = ByteCount::new(1 << 20);
 
-/// Time for a whole answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time limit of a complete response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A completion to ask for.
+/// A completion to request.
 #[derive(Clone, Debug)]
 pub struct CompletionSpec {
-    /// The caller's key.
+    /// The caller's API key.
     pub key: String,
     /// The model.
     pub model: String,
     /// The prompt.
     pub prompt: String,
-    /// Tokens wanted.
+    /// Tokens to generate.
     pub tokens: u64,
-    /// Whether to ask by chat.
+    /// Whether to use the chat API.
     pub chat: bool,
 }
 
-/// What a caller got.
+/// Outcome of a completion request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// The whole answer to the request.
+    /// A complete and correct response.
     Answered(Timing),
     /// A refusal or an explicit failure.
     Failed(Problem),
-    /// An answer that ended early without saying so.
+    /// A response that ended early without an explicit failure.
     Incomplete(String),
-    /// An answer to something else.
-    Crossed(String),
+    /// A response to another request.
+    Mismatched(String),
 }
 
-/// When the pieces of an answer arrived.
+/// Arrival times of a response's tokens.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Timing {
     /// The request's id at the router.
-    pub request: String,
-    /// From sending the request to the first token.
+    pub request_id: String,
+    /// Time to first token, from sending the request.
     pub first_token: Duration,
-    /// Between one token and the next.
+    /// Times between consecutive tokens.
     pub gaps: Vec<Duration>,
 }
 
-/// What a caller of a plain service got.
+/// Outcome of a call to a plain service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallOutcome {
-    /// The service's answer.
+    /// The service's response.
     Answered {
         /// HTTP status.
         status: u16,
@@ -78,12 +78,12 @@
     },
     /// A refusal or an explicit failure.
     Failed(Problem),
-    /// No answer, so that nothing is known.
+    /// No response, so it is unknown whether the call ran.
     Unknown(String),
 }
 
 impl CompletionSpec {
-    /// Returns the request's body, for a streamed answer or a whole one.
+    /// Returns the request's body, for a streamed response or a single one.
     pub fn body(&self, stream: bool) -> Value {
         let mut fields = json!({
             "model": self.model,
@@ -98,17 +98,17 @@
         fields
     }
 
-    /// Returns the path that takes it.
+    /// Returns the request's path.
     pub fn path(&self) -> &'static str {
         if self.chat { "/v1/chat/completions" } else { "/v1/completions" }
     }
 
-    /// Returns the text that an engine takes as its prompt.
+    /// Returns the prompt text that an engine sees.
     pub fn text(&self) -> String {
         if self.chat { format!("user\n{}\n", self.prompt) } else { self.prompt.clone() }
     }
 
-    /// Returns the tokens that answer it.
+    /// Returns the tokens of the correct response.
     pub fn expected(&self) -> Vec<String> {
         let text = self.text();
         let tokens = usize::try_from(self.tokens).unwrap_or(usize::MAX);
@@ -116,7 +116,7 @@
     }
 }
 
-/// Runs a caller on this thread.
+/// Runs a caller's future to completion on this thread.
 ///
 /// # Panics
 ///
@@ -129,26 +129,26 @@
     tokio::task::LocalSet::new().block_on(&runtime, future)
 }
 
-/// Returns an id that no other request of this process has; engines tell streams apart by it.
+/// Returns an id that is unique in this process; engines tell streams apart by it.
 fn new_request_id() -> String {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     format!("caller-{}", NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
-/// Asks a router for a completion and checks the answer.
-pub async fn complete(router: SocketAddr, ask: &CompletionSpec) -> Outcome {
-    let begun = Instant::now();
-    let req = Request::post(ask.path())
+/// Requests a completion from a router and checks the response.
+pub async fn complete(router: SocketAddr, spec: &CompletionSpec) -> Outcome {
+    let started = Instant::now();
+    let req = Request::post(spec.path())
         .header("host", router.to_string())
-        .header("authorization", format!("Bearer {}", ask.key))
+        .header("authorization", format!("Bearer {}", spec.key))
         .header("content-type", "application/json")
         .header("x-request-id", new_request_id())
-        .body(Full::new(Bytes::from(ask.body(true).to_string())))
+        .body(Full::new(Bytes::from(spec.body(true).to_string())))
         .expect("the request's parts are valid");
-    let answer = async {
+    let response = async {
         match send(router, req).await {
             Ok(response) if response.status().is_success() => {
-                read_stream(response, ask, begun).await
+                read_stream(response, spec, started).await
             }
             Ok(response) => match read_problem(response).await {
                 Ok(problem) => Outcome::Failed(problem),
@@ -157,8 +157,8 @@
             Err(e) => Outcome::Incomplete(e.to_string()),
         }
     };
-    let timeout = tokio::time::timeout(ANSWER_TIMEOUT, answer).await;
-    timeout.unwrap_or_else(|_| Outcome::Incomplete("no whole answer in time".into()))
+    let timeout = tokio::time::timeout(RESPONSE_TIMEOUT, response).await;
+    timeout.unwrap_or_else(|_| Outcome::Incomplete("the response was not complete in time".into()))
 }
 
 /// Calls a plain service through a router.
@@ -179,7 +179,7 @@
         req = req.header("idempotency-key", idempotency_key);
     }
     let req = req.body(Full::new(Bytes::from(body.to_owned()))).expect("valid parts");
-    let answer = async {
+    let response = async {
         let response = send(router, req).await?;
         let status = response.status().as_u16();
         let problem = response.headers().get("content-type").is_some_and(is_problem);
@@ -190,15 +190,15 @@
         let body = String::from_utf8_lossy(&body).into_owned();
         eyre::Ok(CallOutcome::Answered { status, body })
     };
-    match tokio::time::timeout(ANSWER_TIMEOUT, answer).await {
+    match tokio::time::timeout(RESPONSE_TIMEOUT, response).await {
         Ok(Ok(outcome)) => outcome,
         Ok(Err(e)) => CallOutcome::Unknown(e.to_string()),
-        Err(_) => CallOutcome::Unknown("no answer in time".into()),
+        Err(_) => CallOutcome::Unknown("no response in time".into()),
     }
 }
 
 impl CallOutcome {
-    /// Returns the verdict that the caller was given, if any.
+    /// Returns the call's verdict, if the caller received one.
     pub fn verdict(&self) -> Option<Verdict> {
         match self {
             Self::Failed(problem) => problem.verdict,
@@ -212,11 +212,11 @@
     content_type == problem::CONTENT_TYPE
 }
 
-/// Sends a request over a connection of its own.
+/// Sends a request over a new connection.
 ///
 /// # Errors
 ///
-/// Returns an error if there is no answer.
+/// Returns an error if there is no response.
 pub async fn send(
     router: SocketAddr,
     req: Request<Full<Bytes>>,
@@ -233,17 +233,17 @@
     Ok(serde_json::from_slice(&body)?)
 }
 
-/// Checks each token of a stream against the expected ones.
+/// Reads a stream and compares each token with the expected one.
 async fn read_stream(
     response: Response<Incoming>,
-    ask: &CompletionSpec,
-    begun: Instant,
+    spec: &CompletionSpec,
+    started: Instant,
 ) -> Outcome {
     let mut body = response.into_body();
-    let mut parser = Parser::new(MAX_EVENT);
-    let mut expected = ask.expected().into_iter();
+    let mut parser = Parser::new(MAX_EVENT_BYTES);
+    let mut expected = spec.expected().into_iter();
     let mut timing = Timing::default();
-    let mut last = None;
+    let mut last_token_at = None;
     let mut events = Vec::new();
     while let Some(frame) = body.frame().await {
         let frame = match frame {
@@ -255,21 +255,23 @@
             return Outcome::Incomplete(e.to_string());
         }
         for event in events.drain(..) {
-            if let Some(outcome) = check(&event, &mut expected, &mut timing, &mut last, begun) {
+            if let Some(outcome) =
+                check_event(&event, &mut expected, &mut timing, &mut last_token_at, started)
+            {
                 return outcome;
             }
         }
     }
-    Outcome::Incomplete("the stream ended in silence".into())
+    Outcome::Incomplete("the stream ended without an end marker or a failure".into())
 }
 
-/// Checks an event; returns the outcome if the stream ends with it.
-fn check(
+/// Checks an event; returns the outcome if it ends the stream.
+fn check_event(
     event: &Event,
     expected: &mut impl Iterator<Item = String>,
     timing: &mut Timing,
-    last: &mut Option<Instant>,
-    begun: Instant,
+    last_token_at: &mut Option<Instant>,
+    started: Instant,
 ) -> Option<Outcome> {
     if event.kind.as_deref() == Some("error") {
         return Some(match serde_json::from_str(&event.data) {
@@ -289,28 +291,28 @@
     };
     let text = chunk.text().filter(|text| !text.is_empty())?;
     let now = Instant::now();
-    match last.replace(now) {
-        None => timing.first_token = now.saturating_duration_since(begun),
+    match last_token_at.replace(now) {
+        None => timing.first_token = now.saturating_duration_since(started),
         Some(before) => timing.gaps.push(now.saturating_duration_since(before)),
     }
-    timing.request = request_of(&chunk);
+    timing.request_id = request_id(&chunk);
     if expected.next().as_deref() != Some(text) {
-        return Some(Outcome::Crossed(format!("unexpected token {text:?}")));
+        return Some(Outcome::Mismatched(format!("unexpected token {text:?}")));
     }
     None
 }
 
-fn request_of(chunk: &Chunk<'_>) -> String {
+fn request_id(chunk: &Chunk<'_>) -> String {
     let id = chunk.id.as_ref();
     let id = id.strip_prefix("chatcmpl-").or_else(|| id.strip_prefix("cmpl-")).unwrap_or(id);
     id.to_owned()
 }
 
-/// Reads a JSON body of a whole answer.
+/// Reads the JSON body of a response.
 ///
 /// # Errors
 ///
-/// Returns an error if the body is cut or not JSON.
+/// Returns an error if the body is truncated or not JSON.
 pub async fn read_json(response: Response<Incoming>) -> eyre::Result<Value> {
     let body = response.into_body().collect().await?.to_bytes();
     Ok(serde_json::from_slice(&body)?)
--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -1,4 +1,4 @@
-//! `bench decision`: what the cores of one routing decision cost.
+//! `bench decision`: measures the time of one routing decision, without I/O.
 
 use std::time::{Duration, Instant};
 
@@ -9,33 +9,33 @@
 use route::{Candidate, Policy as _, Request, Warm};
 use serde::Serialize;
 
-/// Models, each served by its part of the endpoints.
-const MODELS: usize = 7;
+/// Number of models; each is served by an equal share of the endpoints.
+const MODEL_COUNT: usize = 7;
 
-/// Bytes of the prompts.
+/// Length of each prompt.
 const PROMPT_BYTES: usize = 12_800;
 
-/// Blocks that decide a prompt's home.
-const LEVEL: usize = 100;
+/// Number of leading blocks that decide a prompt's home endpoint.
+const PLACEMENT_LEVEL: usize = 100;
 
-/// Different prompts.
-const PROMPTS: usize = 400;
+/// Number of distinct prompts.
+const PROMPT_COUNT: usize = 400;
 
-/// Decisions measured.
-const DECISIONS: usize = 4_000;
+/// Number of measured decisions.
+const DECISION_COUNT: usize = 4_000;
 
 const BLOCK_BYTES: BlockBytes = BlockBytes::new(64).expect("the size is not zero");
 
-/// What decisions cost.
+/// Mean times of a decision's steps.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct DecisionCost {
     /// Endpoints in the warm index.
     pub endpoints: usize,
-    /// Endpoints that serve the model asked for.
+    /// Endpoints that serve the requested model.
     pub candidates: usize,
-    /// Time for a prompt's chain of hashes, in microseconds.
+    /// Time to compute a prompt's hash chain, in microseconds.
     pub chain_us: f64,
-    /// Time to look the chain up, in microseconds.
+    /// Time to look up the chain in the index, in microseconds.
     pub lookup_us: f64,
     /// Time to rank the candidates and choose, in microseconds.
     pub choice_us: f64,
@@ -43,7 +43,7 @@
     pub total_us: f64,
 }
 
-/// Measures decisions among `endpoints` endpoints.
+/// Measures routing decisions candidate_list `endpoints` endpoints.
 ///
 /// # Panics
 ///
@@ -57,7 +57,7 @@
         ids.iter().map(|id| index.bind(id, Incarnation::new(1)).expect("a slot is free")).collect();
     let salt = salt();
     let prompts: Vec<Vec<u8>> =
-        (0..PROMPTS).map(|_| (0..PROMPT_BYTES).map(|_| rng.random()).collect()).collect();
+        (0..PROMPT_COUNT).map(|_| (0..PROMPT_BYTES).map(|_| rng.random()).collect()).collect();
     let now = MonotonicTime::from_millis(1);
     for prompt in &prompts {
         let chain = Chain::of(salt, BLOCK_BYTES, prompt);
@@ -65,22 +65,22 @@
             index.record_sent(now, slots[rng.random_range(0..endpoints)], &chain);
         }
     }
-    let candidates = endpoints.div_ceil(MODELS);
+    let candidates = endpoints.div_ceil(MODEL_COUNT);
     let mut policy = Warm::default();
-    let mut warmth = PrefixMatches::default();
-    let mut spent = [Duration::ZERO; 3];
-    for i in 0..DECISIONS {
-        let begun = Instant::now();
-        let chain = Chain::of(salt, BLOCK_BYTES, &prompts[i % PROMPTS]);
+    let mut matches = PrefixMatches::default();
+    let mut totals = [Duration::ZERO; 3];
+    for i in 0..DECISION_COUNT {
+        let started = Instant::now();
+        let chain = Chain::of(salt, BLOCK_BYTES, &prompts[i % PROMPT_COUNT]);
         let hashed = Instant::now();
-        index.match_prefix(now, &chain, &mut warmth);
+        index.match_prefix(now, &chain, &mut matches);
         let looked_up = Instant::now();
         let rank = |level, id| chain.at_level(level).map_or(0, |home| prefix::rank(home, id));
-        let among: Vec<_> = (0..candidates)
+        let candidate_list: Vec<_> = (0..candidates)
             .map(|e| Candidate {
-                rank: rank(LEVEL, &ids[e]),
-                longer_prefix_rank: rank(LEVEL + 4, &ids[e]),
-                warm_tokens: TokenCount::new(warmth.blocks(slots[e]) as u64 * 16),
+                rank: rank(PLACEMENT_LEVEL, &ids[e]),
+                longer_prefix_rank: rank(PLACEMENT_LEVEL + 4, &ids[e]),
+                warm_tokens: TokenCount::new(matches.blocks(slots[e]) as u64 * 16),
                 in_flight: (e % 5) as u32,
                 reported_requests: (e % 9) as u32,
                 report_age: Duration::from_millis(700),
@@ -89,13 +89,13 @@
             })
             .collect();
         let req = Request { prompt_tokens: TokenCount::new(PROMPT_BYTES as u64 / 4), homes: 2 };
-        std::hint::black_box(policy.choose(&req, &among, &mut rng));
+        std::hint::black_box(policy.choose(&req, &candidate_list, &mut rng));
         let chosen = Instant::now();
-        let steps = [hashed - begun, looked_up - hashed, chosen - looked_up];
-        spent.iter_mut().zip(steps).for_each(|(sum, step)| *sum += step);
+        let steps = [hashed - started, looked_up - hashed, chosen - looked_up];
+        totals.iter_mut().zip(steps).for_each(|(sum, step)| *sum += step);
     }
     let [chain_us, lookup_us, choice_us] =
-        spent.map(|sum| sum.as_secs_f64() * 1e6 / DECISIONS as f64);
+        totals.map(|sum| sum.as_secs_f64() * 1e6 / DECISION_COUNT as f64);
     let total_us = chain_us + lookup_us + choice_us;
     DecisionCost { endpoints, candidates, chain_us, lookup_us, choice_us, total_us }
 }
--- a/crates/bench/src/declare.rs
+++ b/crates/bench/src/declare.rs
@@ -1,4 +1,4 @@
-//! Changes of the declaration, as an operator makes them.
+//! Changes the declaration through the operator API.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,34 +11,34 @@
     site::{OPERATOR_KEY, Site},
 };
 
-/// Time for one request.
-const TIMEOUT: Duration = Duration::from_secs(5);
+/// Time limit of one request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time for a change to be in force on every daemon.
-const IN_FORCE: Duration = Duration::from_secs(15);
+/// Time limit for a change to be in force on every daemon.
+const APPLY_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Replaces the declaration and waits until it is in force on every daemon.
 ///
 /// # Errors
 ///
-/// Returns an error if the change is refused or isn't in force in time.
+/// Returns an error if the change isn't accepted and in force in time.
 pub fn declare(site: &Site, toml: &str) -> eyre::Result<Revision> {
     let admin = site.daemons[0].spec().admin_listen;
     let mut revision = None;
-    wait_until("the declaration is accepted", IN_FORCE, || {
-        let before = in_force(admin).unwrap_or_default();
-        let answer = post(admin, toml, before);
-        if let Err(e) = &answer {
-            log::info!("the declaration was not accepted: {e}");
+    wait_until("the declaration is accepted", APPLY_TIMEOUT, || {
+        let before = revision_in_force(admin).unwrap_or_default();
+        let response = post(admin, toml, before);
+        if let Err(e) = &response {
+            log::info!("declaration change failed, retrying: {e}");
         }
-        revision = answer.ok();
+        revision = response.ok();
         revision.is_some()
     })?;
     let revision = revision.unwrap_or_default();
     for daemon in &site.daemons {
         let admin = daemon.spec().admin_listen;
-        let newer = || in_force(admin).is_some_and(|known| revision <= known);
-        wait_until("the declaration is in force", IN_FORCE, newer)?;
+        let in_force = || revision_in_force(admin).is_some_and(|current| revision <= current);
+        wait_until("the declaration is in force", APPLY_TIMEOUT, in_force)?;
     }
     Ok(revision)
 }
@@ -53,7 +53,7 @@
     };
     let response = attohttpc::post(format!("http://{admin}{DECLARATION_PATH}"))
         .bearer_auth(OPERATOR_KEY)
-        .timeout(TIMEOUT)
+        .timeout(REQUEST_TIMEOUT)
         .bytes(serde_json::to_vec(&change)?)
         .send()?;
     let status = response.status();
@@ -61,13 +61,14 @@
     ensure!(status.is_success(), "{status}: {text}");
     match serde_json::from_str(&text)? {
         ChangeAnswer::Applied { revision } => Ok(revision),
-        other => Err(eyre::eyre!("{other:?}")),
+        other => Err(eyre::eyre!("declaration change not applied: {other:?}")),
     }
 }
 
-fn in_force(admin: SocketAddr) -> Option<Revision> {
+fn revision_in_force(admin: SocketAddr) -> Option<Revision> {
     let url = format!("http://{admin}{DECLARATION_PATH}");
-    let response = attohttpc::get(url).bearer_auth(OPERATOR_KEY).timeout(TIMEOUT).send().ok()?;
+    let response =
+        attohttpc::get(url).bearer_auth(OPERATOR_KEY).timeout(REQUEST_TIMEOUT).send().ok()?;
     let current: CurrentDeclaration = serde_json::from_str(&response.text().ok()?).ok()?;
     Some(current.revision)
 }
--- a/crates/bench/src/demo.rs
+++ b/crates/bench/src/demo.rs
@@ -1,4 +1,4 @@
-//! `bench demo`: the whole path on one machine, under a mixed load.
+//! `bench demo`: runs a whole system on one machine under a mixed load.
 
 use std::time::Duration;
 
@@ -14,17 +14,17 @@
     site::{Site, SiteSpec},
 };
 
-/// How long the load lasts.
-const SPAN: Duration = Duration::from_secs(12);
+/// Duration of the load.
+const LOAD_DURATION: Duration = Duration::from_secs(12);
 
-/// Requests a second.
-const RATE: f64 = 60.0;
+/// Requests per second.
+const REQUESTS_PER_SECOND: f64 = 60.0;
 
-/// Starts a site, sends it a load and returns the figures.
+/// Starts a site, sends it the load and returns the results.
 ///
 /// # Errors
 ///
-/// Returns an error if the site doesn't come up.
+/// Returns an error if the site doesn't start.
 pub fn run(program: &Program, seed: u64) -> eyre::Result<Summary> {
     let spec = SiteSpec {
         daemons: vec!["a", "b", "c", "a"],
@@ -33,7 +33,7 @@
         seed,
         ..SiteSpec::small()
     };
-    println!("starting 4 daemons, 6 engines, 2 plain services and a store of kept KV");
+    println!("starting 4 daemons, 6 engines, 2 plain services and a KV store");
     let site = Site::start(program, spec)?;
     declare(&site, "[defaults]\nkv-transfer = \"both\"\n")?;
     let load = Load {
@@ -41,16 +41,16 @@
         organisations: site.spec.organisations.clone(),
         model: site.spec.model.clone(),
         service: site.spec.service.clone(),
-        rate: RATE,
-        span: SPAN,
+        rate: REQUESTS_PER_SECOND,
+        span: LOAD_DURATION,
         seed,
     };
-    let observed = FakeCounts { tally: site.tally.clone(), orders: site.orders.clone() };
-    let bar = ProgressBar::new((RATE * SPAN.as_secs_f64()) as u64);
+    let fakes = FakeCounts { tally: site.tally.clone(), orders: site.orders.clone() };
+    let bar = ProgressBar::new((REQUESTS_PER_SECOND * LOAD_DURATION.as_secs_f64()) as u64);
     bar.set_style(ProgressStyle::with_template("{elapsed} {wide_bar} {pos} requests, {msg}")?);
     let counts = {
         let bar = bar.clone();
-        load::run(&load, &observed, move |counts| {
+        load::run(&load, &fakes, move |counts| {
             bar.set_position(counts.totals.requests);
             bar.set_message(format!("{} answered", counts.totals.answered));
         })
@@ -59,7 +59,7 @@
     Ok(Summary::new(&counts, &site))
 }
 
-/// Returns the figures as a table.
+/// Returns a summary as a table.
 ///
 /// # Panics
 ///
--- a/crates/bench/src/gate.rs
+++ b/crates/bench/src/gate.rs
@@ -1,4 +1,4 @@
-//! A TCP gate before an endpoint: it tells how far a call got, and holds its bytes.
+//! A TCP proxy before an endpoint that reports how server a call got and can hold its response.
 
 use std::{
     io::{self, Read as _, Write as _},
@@ -6,43 +6,43 @@
     sync::{Arc, Condvar, Mutex, PoisonError},
 };
 
-/// Bytes moved at once.
+/// Size of the copy buffer.
 const CHUNK_BYTES: usize = 16 << 10;
 
-/// How far a call got.
+/// An event on a connection through a gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GateEvent {
     /// A connection arrived.
     Connected,
     /// Bytes of a request arrived.
     RequestReceived,
-    /// Bytes of an answer arrived.
+    /// Bytes of a response arrived.
     ResponseReceived,
 }
 
-/// A gate before one target.
+/// A TCP proxy before one target.
 pub struct Gate {
     address: SocketAddr,
     gate_events: flume::Receiver<GateEvent>,
-    answers: Arc<Latch>,
+    responses: Arc<Latch>,
 }
 
-/// Holds those who pass while it is shut.
+/// Blocks threads in [`Latch::wait`] while it is closed.
 #[derive(Default)]
 struct Latch {
-    shut: Mutex<bool>,
+    closed: Mutex<bool>,
     opened: Condvar,
 }
 
 impl Latch {
-    fn set(&self, shut: bool) {
-        *self.shut.lock().unwrap_or_else(PoisonError::into_inner) = shut;
+    fn set_closed(&self, closed: bool) {
+        *self.closed.lock().unwrap_or_else(PoisonError::into_inner) = closed;
         self.opened.notify_all();
     }
 
-    fn pass(&self) {
-        let shut = self.shut.lock().unwrap_or_else(PoisonError::into_inner);
-        drop(self.opened.wait_while(shut, |shut| *shut));
+    fn wait(&self) {
+        let closed = self.closed.lock().unwrap_or_else(PoisonError::into_inner);
+        drop(self.opened.wait_while(closed, |closed| *closed));
     }
 }
 
@@ -56,71 +56,71 @@
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port is free");
         let address = listener.local_addr().expect("a bound listener has an address");
         let (tx, gate_events) = flume::unbounded();
-        let answers = Arc::new(Latch::default());
-        let latch = Arc::clone(&answers);
+        let responses = Arc::new(Latch::default());
+        let latch = Arc::clone(&responses);
         std::thread::spawn(move || {
-            while let Ok((near, _)) = listener.accept() {
+            while let Ok((client, _)) = listener.accept() {
                 let _ = tx.send(GateEvent::Connected);
-                if let Err(e) = join(near, target, &tx, &latch) {
-                    log::debug!("gated connection ended: {e}");
+                if let Err(e) = connect(client, target, &tx, &latch) {
+                    log::debug!("gate: connection failed: {e}");
                 }
             }
         });
-        Self { address, gate_events, answers }
+        Self { address, gate_events, responses }
     }
 
-    /// Returns the address that stands for the target.
+    /// Returns the address at which callers reach the target through the gate.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns the ring that tells how far calls got.
+    /// Returns the channel of events on the gate's connections.
     pub fn gate_events(&self) -> &flume::Receiver<GateEvent> {
         &self.gate_events
     }
 
-    /// Holds answers, or lets them pass again.
+    /// Holds responses, or releases them.
     pub fn hold_responses(&self, held: bool) {
-        self.answers.set(held);
+        self.responses.set_closed(held);
     }
 }
 
 impl Drop for Gate {
     fn drop(&mut self) {
-        self.answers.set(false);
+        self.responses.set_closed(false);
     }
 }
 
-fn join(
-    near: TcpStream,
+fn connect(
+    client: TcpStream,
     target: SocketAddr,
     tx: &flume::Sender<GateEvent>,
-    answers: &Arc<Latch>,
+    responses: &Arc<Latch>,
 ) -> io::Result<()> {
-    let far = TcpStream::connect(target)?;
-    near.set_nodelay(true)?;
-    far.set_nodelay(true)?;
-    let (near_rx, far_tx) = (near.try_clone()?, far.try_clone()?);
+    let server = TcpStream::connect(target)?;
+    client.set_nodelay(true)?;
+    server.set_nodelay(true)?;
+    let (client_rx, server_tx) = (client.try_clone()?, server.try_clone()?);
     let requests = tx.clone();
     std::thread::spawn(move || {
-        carry(near_rx, far_tx, || {
+        copy(client_rx, server_tx, || {
             let _ = requests.send(GateEvent::RequestReceived);
         });
     });
-    let (tx, answers) = (tx.clone(), Arc::clone(answers));
+    let (tx, responses) = (tx.clone(), Arc::clone(responses));
     std::thread::spawn(move || {
-        carry(far, near, || {
+        copy(server, client, || {
             let _ = tx.send(GateEvent::ResponseReceived);
-            answers.pass();
+            responses.wait();
         });
     });
     Ok(())
 }
 
-fn carry(mut rx: TcpStream, mut tx: TcpStream, before_each: impl Fn()) {
+fn copy(mut rx: TcpStream, mut tx: TcpStream, on_read: impl Fn()) {
     let mut bytes = vec![0; CHUNK_BYTES];
     while let Ok(count @ 1..) = rx.read(&mut bytes) {
-        before_each();
+        on_read();
         if tx.write_all(&bytes[..count]).is_err() {
             break;
         }
--- a/crates/bench/src/latency.rs
+++ b/crates/bench/src/latency.rs
@@ -1,4 +1,5 @@
-//! `bench latency`: what a daemon adds to a direct call, and what it takes to carry streams.
+//! `bench latency`: measures the latency that a daemon adds to a direct call, and the daemon's CPU
+//! time and memory while it relays streams.
 
 use std::{
     cell::RefCell,
@@ -20,27 +21,27 @@
     usage::usage,
 };
 
-/// Streams at once, a measurement each.
-const STREAMS: [usize; 3] = [1, 32, 256];
+/// Numbers of concurrent streams; each is measured separately.
+const STREAM_COUNTS: [usize; 3] = [1, 32, 256];
 
-/// How long each measurement lasts.
-const SPAN: Duration = Duration::from_secs(5);
+/// Duration of each measurement.
+const MEASUREMENT_DURATION: Duration = Duration::from_secs(5);
 
-/// Tokens of each answer.
-const TOKENS: u64 = 64;
+/// Tokens in each response.
+const RESPONSE_TOKENS: u64 = 64;
 
-/// Time between two tokens of an engine.
-const DECODE: Duration = Duration::from_millis(20);
+/// Time between two tokens of a stream at the engine.
+const DECODE_TIME_PER_TOKEN: Duration = Duration::from_millis(20);
 
-/// Time for an answer, about.
-const ANSWER_SPAN: Duration = Duration::from_millis(1_300);
+/// Approximate time of one response.
+const RESPONSE_TIME: Duration = Duration::from_millis(1_300);
 
-/// One measurement.
+/// Result for one number of concurrent streams.
 #[derive(Clone, Debug, Serialize)]
-pub struct Row {
-    /// Streams at once.
+pub struct LatencyResult {
+    /// Concurrent streams.
     pub streams: usize,
-    /// Answers that were not whole, on either path.
+    /// Requests without a complete response, on either path.
     pub failed: u64,
     /// Time to first token of a direct call, median, in milliseconds.
     pub direct_ttft_p50_ms: f64,
@@ -58,11 +59,11 @@
     pub added_gap_p50_ms: f64,
     /// Difference of the 99th percentiles of the time between tokens, in milliseconds.
     pub added_gap_p99_ms: f64,
-    /// Tokens a second through the daemon.
+    /// Tokens per second through the daemon.
     pub tokens_per_second: f64,
-    /// Requests a second through the daemon.
+    /// Requests per second through the daemon.
     pub requests_per_second: f64,
-    /// Processor time that the daemon took, in cores.
+    /// CPU time used by the daemon, in cores.
     pub daemon_cores: f64,
     /// The daemon's resident memory, in MiB.
     pub daemon_mib: f64,
@@ -70,42 +71,42 @@
     pub daemon_threads: u64,
 }
 
-/// What one path showed.
-struct Path {
+/// Measurements of one path: direct, or through the daemon.
+struct PathStats {
     first_token: Histogram<u64>,
     gap: Histogram<u64>,
     tokens: u64,
-    answers: u64,
+    responses: u64,
     failed: u64,
-    took: Duration,
+    elapsed: Duration,
 }
 
 /// Measures direct calls and calls through one daemon in turn.
 ///
 /// # Errors
 ///
-/// Returns an error if the site doesn't come up.
-pub fn run(program: &Program) -> eyre::Result<Vec<Row>> {
+/// Returns an error if the site doesn't start.
+pub fn run(program: &Program) -> eyre::Result<Vec<LatencyResult>> {
     let spec = SiteSpec::one_daemon(|cfg| {
         cfg.prefill_token = Duration::ZERO;
-        cfg.decode_token = DECODE;
+        cfg.decode_token = DECODE_TIME_PER_TOKEN;
         cfg.decode_share = Duration::ZERO;
         cfg.max_running = 1_000;
     });
     let site = Site::start(program, spec)?;
-    STREAMS.into_iter().map(|streams| measure(&site, streams)).collect()
+    STREAM_COUNTS.into_iter().map(|streams| measure(&site, streams)).collect()
 }
 
-fn measure(site: &Site, streams: usize) -> eyre::Result<Row> {
+fn measure(site: &Site, streams: usize) -> eyre::Result<LatencyResult> {
     let engines: Vec<_> = site.engines.iter().map(|node| node.proxy.address()).collect();
-    let direct = drive(site, &engines, streams);
+    let direct = run_streams(site, &engines, streams);
     let pid = site.daemons[0].pid();
     let before = usage(pid)?;
-    let routed = drive(site, &site.routers(), streams);
+    let routed = run_streams(site, &site.routers(), streams);
     let after = usage(pid)?;
-    let seconds = routed.took.as_secs_f64();
+    let seconds = routed.elapsed.as_secs_f64();
     let p = percentile_ms;
-    Ok(Row {
+    Ok(LatencyResult {
         streams,
         failed: direct.failed + routed.failed,
         direct_ttft_p50_ms: p(&direct.first_token, 50.0),
@@ -117,62 +118,68 @@
         added_gap_p50_ms: p(&routed.gap, 50.0) - p(&direct.gap, 50.0),
         added_gap_p99_ms: p(&routed.gap, 99.0) - p(&direct.gap, 99.0),
         tokens_per_second: routed.tokens as f64 / seconds,
-        requests_per_second: routed.answers as f64 / seconds,
+        requests_per_second: routed.responses as f64 / seconds,
         daemon_cores: (after.cpu - before.cpu).as_secs_f64() / seconds,
         daemon_mib: after.mib,
         daemon_threads: after.threads,
     })
 }
 
-/// Keeps `streams` streams under way for a while.
-fn drive(site: &Site, targets: &[SocketAddr], streams: usize) -> Path {
+/// Runs `streams` concurrent streams for [`MEASUREMENT_DURATION`].
+fn run_streams(site: &Site, targets: &[SocketAddr], streams: usize) -> PathStats {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime can be made");
     let tasks = tokio::task::LocalSet::new();
-    let path = Rc::new(RefCell::new(Path::new()));
-    let begun = Instant::now();
+    let path = Rc::new(RefCell::new(PathStats::new()));
+    let started = Instant::now();
     tasks.block_on(&runtime, async {
         let streams = (0..streams).map(|number| {
             let target = targets[number % targets.len()];
-            let ask = sample_completion(site, number as u64, TOKENS);
-            let offset = ANSWER_SPAN.mul_f64(number as f64 / streams as f64);
-            tokio::task::spawn_local(stream(ask, target, offset, begun + SPAN, Rc::clone(&path)))
+            let spec = sample_completion(site, number as u64, RESPONSE_TOKENS);
+            let offset = RESPONSE_TIME.mul_f64(number as f64 / streams as f64);
+            tokio::task::spawn_local(repeat_completion(
+                spec,
+                target,
+                offset,
+                started + MEASUREMENT_DURATION,
+                Rc::clone(&path),
+            ))
         });
         for stream in streams.collect::<Vec<_>>() {
             stream.await.expect("a caller doesn't panic");
         }
     });
-    let mut path = path.replace(Path::new());
-    path.took = begun.elapsed();
+    let mut path = path.replace(PathStats::new());
+    path.elapsed = started.elapsed();
     path
 }
 
-/// Asks again and again; the streams' starts are spread over the time of one answer.
-async fn stream(
-    ask: CompletionSpec,
+/// Requests completions one after another; `offset` spreads the streams over one response time.
+async fn repeat_completion(
+    spec: CompletionSpec,
     target: SocketAddr,
     offset: Duration,
     until: Instant,
-    path: Rc<RefCell<Path>>,
+    path: Rc<RefCell<PathStats>>,
 ) {
     tokio::time::sleep(offset).await;
     while Instant::now() < until {
-        let outcome = caller::complete(target, &ask).await;
+        let outcome = caller::complete(target, &spec).await;
         path.borrow_mut().count(outcome);
     }
 }
 
-impl Path {
+impl PathStats {
     fn new() -> Self {
         Self {
             first_token: histogram(),
             gap: histogram(),
             tokens: 0,
-            answers: 0,
+            responses: 0,
             failed: 0,
-            took: Duration::ZERO,
+            elapsed: Duration::ZERO,
         }
     }
 
@@ -181,8 +188,8 @@
             self.failed += 1;
             return;
         };
-        self.answers += 1;
-        self.tokens += TOKENS;
+        self.responses += 1;
+        self.tokens += RESPONSE_TOKENS;
         record(&mut self.first_token, timing.first_token);
         for gap in timing.gaps {
             record(&mut self.gap, gap);
@@ -190,8 +197,8 @@
     }
 }
 
-/// Returns the measurements as a table.
-pub fn table(rows: &[Row]) -> String {
+/// Returns the results as a table.
+pub fn table(results: &[LatencyResult]) -> String {
     let mut table = Table::new();
     table.load_preset(UTF8_FULL_CONDENSED).set_header([
         "streams",
@@ -206,19 +213,19 @@
         "MiB",
         "threads",
     ]);
-    for row in rows {
+    for result in results {
         table.add_row([
-            row.streams.to_string(),
-            row.failed.to_string(),
-            format!("{:.2}", row.added_p50_ms),
-            format!("{:.2}", row.added_p99_ms),
-            format!("{:.2}", row.added_gap_p50_ms),
-            format!("{:.2}", row.added_gap_p99_ms),
-            format!("{:.0}", row.tokens_per_second),
-            format!("{:.1}", row.requests_per_second),
-            format!("{:.2}", row.daemon_cores),
-            format!("{:.1}", row.daemon_mib),
-            row.daemon_threads.to_string(),
+            result.streams.to_string(),
+            result.failed.to_string(),
+            format!("{:.2}", result.added_p50_ms),
+            format!("{:.2}", result.added_p99_ms),
+            format!("{:.2}", result.added_gap_p50_ms),
+            format!("{:.2}", result.added_gap_p99_ms),
+            format!("{:.0}", result.tokens_per_second),
+            format!("{:.1}", result.requests_per_second),
+            format!("{:.2}", result.daemon_cores),
+            format!("{:.1}", result.daemon_mib),
+            result.daemon_threads.to_string(),
         ]);
     }
     table.to_string()
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,6 +1,7 @@
-//! Fakes at the interfaces, a fault-injecting proxy, a load generator and measurements.
+//! Integration test bed and benchmarks: fake engines, services and callers, a fault-injecting
+//! proxy, a load generator and measurements.
 //!
-//! The router's processes are the real ones; what stands around them is small and made here:
+//! The router runs as real daemon processes. Everything around it is a small fake of this crate:
 //! engines, plain services, callers, and a [`Proxy`] that delays, holds and cuts connections.
 //!
 //! # Example
@@ -8,10 +9,10 @@
 //! ```
 //! use bench::model::Generation;
 //!
-//! let whole: Vec<_> = Generation::after(b"Dear diary").take(4).collect();
-//! let begun = format!("Dear diary{}{}", whole[0], whole[1]);
-//! let rest: Vec<_> = Generation::after(begun.as_bytes()).take(2).collect();
-//! assert_eq!(rest, whole[2..]);
+//! let complete: Vec<_> = Generation::after(b"Dear diary").take(4).collect();
+//! let partial = format!("Dear diary{}{}", complete[0], complete[1]);
+//! let rest: Vec<_> = Generation::after(partial.as_bytes()).take(2).collect();
+//! assert_eq!(rest, complete[2..]);
 //! ```
 
 pub mod balancer;
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -1,4 +1,5 @@
-//! A load with the shape of the sites': prompts share prefixes nested in three levels.
+//! A load generator whose prompts share prefixes nested in three levels, as those of the measured
+//! sites do.
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -14,92 +15,92 @@
     site::{Site, organisation_key},
 };
 
-/// Texts at the second level of each organisation's prompts.
-const BOOKS: u64 = 3;
+/// Texts at the second level of an organisation's prompts.
+const BOOKS_PER_ORGANISATION: u64 = 3;
 
-/// Texts at the third level of each book.
-const PAGES: u64 = 12;
+/// Texts at the third level below each book.
+const PAGES_PER_BOOK: u64 = 12;
 
-/// Words at the three levels of a prompt.
+/// Words at each of the three levels of a prompt.
 const LEVEL_WORDS: [usize; 3] = [320, 160, 80];
 
-/// Share of requests that look an order's status up.
+/// Share of requests that look up an order's status.
 const LOOKUP_SHARE: f64 = 0.15;
 
 /// Share of requests that are orders.
 const ORDER_SHARE: f64 = 0.10;
 
-/// A load to be sent to routers.
+/// A load to send to routers.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Where callers connect.
+    /// Addresses at which callers connect.
     pub routers: Vec<SocketAddr>,
-    /// The organisations that call; the first ones call most.
+    /// The calling organisations; the first ones call most.
     pub organisations: Vec<OrganisationId>,
-    /// The model asked.
+    /// The requested model.
     pub model: ModelId,
-    /// The plain service called.
+    /// The called plain service.
     pub service: ServiceId,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// How long to send.
+    /// Duration of the load.
     pub span: Duration,
-    /// Decides everything that is random.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
-/// What the load generator shares with the fakes.
+/// Counts that the load generator reads from the fakes.
 #[derive(Clone, Debug)]
 pub struct FakeCounts {
-    /// What the engines counted.
+    /// Counts of all engines.
     pub tally: SharedTally,
-    /// How often each order ran.
+    /// Number of runs of each order.
     pub orders: ServiceCounts,
 }
 
-/// What a request asks for.
+/// A request's kind.
 #[derive(Clone, Debug)]
-pub enum Kind {
+pub enum RequestKind {
     /// A completion.
-    CompletionSpec(CompletionSpec),
-    /// An order's status.
+    Completion(CompletionSpec),
+    /// A lookup of an order's status.
     Lookup {
-        /// Where it is looked up.
+        /// Path of the status.
         path: String,
     },
     /// An order, which may run at most once.
     Order {
-        /// Where it is sent.
+        /// Path to which it is sent.
         path: String,
         /// Its idempotency key.
         key: String,
     },
 }
 
-/// A request of the load.
+/// A request of the load, planned before it is sent.
 #[derive(Clone, Debug)]
-pub struct Planned {
-    /// When it is sent, from the begin of the load.
+pub struct PlannedRequest {
+    /// When it is sent, from the start of the load.
     pub due: Duration,
-    /// Where the caller connects.
+    /// Address at which the caller connects.
     pub router: SocketAddr,
-    /// Who calls.
+    /// The calling organisation.
     pub organisation: OrganisationId,
-    /// What is asked for.
-    pub kind: Kind,
-    /// Whether its times count, as those of a warm-up don't.
+    /// What is requested.
+    pub kind: RequestKind,
+    /// Whether its times are recorded; those of the warm-up are not.
     pub measured: bool,
 }
 
-/// Sends the load and returns what was counted; `progress` is told of each answer.
-pub fn run(load: &Load, observed: &FakeCounts, progress: impl Fn(&Counts) + 'static) -> Counts {
-    send(plan_all(load), observed, progress)
+/// Sends the load and returns the counts; calls `progress` after each request.
+pub fn run(load: &Load, fakes: &FakeCounts, progress: impl Fn(&Counts) + 'static) -> Counts {
+    send(plan_all(load), fakes, progress)
 }
 
-/// Sends planned requests, each when it is due, and returns what was counted.
+/// Sends planned requests, each when it is due, and returns the counts.
 pub fn send(
-    planned: Vec<Planned>,
-    observed: &FakeCounts,
+    planned: Vec<PlannedRequest>,
+    fakes: &FakeCounts,
     progress: impl Fn(&Counts) + 'static,
 ) -> Counts {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -107,24 +108,24 @@
         .build()
         .expect("a runtime can be made");
     let tasks = tokio::task::LocalSet::new();
-    tasks.block_on(&runtime, send_all(planned, observed, Rc::new(progress)))
+    tasks.block_on(&runtime, send_all(planned, fakes, Rc::new(progress)))
 }
 
 async fn send_all(
-    planned: Vec<Planned>,
-    observed: &FakeCounts,
+    planned: Vec<PlannedRequest>,
+    fakes: &FakeCounts,
     progress: Rc<impl Fn(&Counts) + 'static>,
 ) -> Counts {
     let counts = Rc::new(RefCell::new(Counts::default()));
-    let begun = tokio::time::Instant::now();
+    let started = tokio::time::Instant::now();
     let mut tasks = Vec::new();
     for request in planned {
-        tokio::time::sleep_until(begun + request.due).await;
+        tokio::time::sleep_until(started + request.due).await;
         let counts = Rc::clone(&counts);
-        let observed = observed.clone();
+        let fakes = fakes.clone();
         let progress = Rc::clone(&progress);
         tasks.push(tokio::task::spawn_local(async move {
-            send_one(request, &observed, &counts).await;
+            send_one(request, &fakes, &counts).await;
             progress(&counts.borrow());
         }));
     }
@@ -134,7 +135,7 @@
     counts.take()
 }
 
-fn plan_all(load: &Load) -> Vec<Planned> {
+fn plan_all(load: &Load) -> Vec<PlannedRequest> {
     let mut rng = Pcg64Mcg::seed_from_u64(load.seed);
     let mut due = Duration::ZERO;
     let mut planned = Vec::new();
@@ -149,23 +150,25 @@
     }
 }
 
-fn plan(load: &Load, due: Duration, number: u64, rng: &mut Pcg64Mcg) -> Planned {
+fn plan(load: &Load, due: Duration, number: u64, rng: &mut Pcg64Mcg) -> PlannedRequest {
     let router = load.routers[rng.random_range(0..load.routers.len())];
     let organisation = pick_organisation(&load.organisations, rng).clone();
     let service = &load.service;
     let draw: f64 = rng.random();
     let kind = if draw < LOOKUP_SHARE {
-        Kind::Lookup { path: format!("/services/{service}/orders/{}", rng.random_range(0..50)) }
+        RequestKind::Lookup {
+            path: format!("/services/{service}/orders/{}", rng.random_range(0..50)),
+        }
     } else if draw < LOOKUP_SHARE + ORDER_SHARE {
         let path = format!("/services/{service}/orders");
-        Kind::Order { path, key: format!("order-{}-{number}", load.seed) }
+        RequestKind::Order { path, key: format!("order-{}-{number}", load.seed) }
     } else {
-        Kind::CompletionSpec(plan_ask(load, &organisation, number, rng))
+        RequestKind::Completion(plan_completion(load, &organisation, number, rng))
     };
-    Planned { due, router, organisation, kind, measured: true }
+    PlannedRequest { due, router, organisation, kind, measured: true }
 }
 
-/// Picks an organisation; each is picked half as often as the one before, down to a floor.
+/// Picks an organisation: in 60% of the cases one of the first three, otherwise any.
 pub fn pick_organisation<'a>(
     organisations: &'a [OrganisationId],
     rng: &mut Pcg64Mcg,
@@ -175,15 +178,15 @@
     &organisations[rng.random_range(0..among)]
 }
 
-fn plan_ask(
+fn plan_completion(
     load: &Load,
     organisation: &OrganisationId,
     number: u64,
     rng: &mut Pcg64Mcg,
 ) -> CompletionSpec {
-    let skewed: f64 = rng.random::<f64>() * rng.random::<f64>();
-    let page = (skewed * PAGES as f64) as u64;
-    let book = rng.random_range(0..BOOKS);
+    let skewed_draw: f64 = rng.random::<f64>() * rng.random::<f64>();
+    let page = (skewed_draw * PAGES_PER_BOOK as f64) as u64;
+    let book = rng.random_range(0..BOOKS_PER_ORGANISATION);
     let prompt = prompt(organisation, book, page, number);
     CompletionSpec {
         key: organisation_key(organisation),
@@ -194,7 +197,7 @@
     }
 }
 
-/// Returns a completion to ask for in the name of a site's first organisation.
+/// Returns a completion request of a site's first organisation.
 pub fn sample_completion(site: &Site, question: u64, tokens: u64) -> CompletionSpec {
     let organisation = &site.spec.organisations[0];
     CompletionSpec {
@@ -206,7 +209,7 @@
     }
 }
 
-/// Returns a prompt: house style, book, page, and a question of its own.
+/// Returns a prompt made of the house style, a book, a page and a question.
 pub fn prompt(organisation: &OrganisationId, book: u64, page: u64, question: u64) -> String {
     let mut text = format!("organisation {organisation}\n");
     let seeds = ["style".to_owned(), format!("book {book}"), format!("book {book} page {page}")];
@@ -219,33 +222,33 @@
     text
 }
 
-async fn send_one(planned: Planned, observed: &FakeCounts, counts: &RefCell<Counts>) {
+async fn send_one(planned: PlannedRequest, fakes: &FakeCounts, counts: &RefCell<Counts>) {
     counts.borrow_mut().totals.requests += 1;
     let key = organisation_key(&planned.organisation);
     match planned.kind {
-        Kind::CompletionSpec(ask) => {
-            let outcome = caller::complete(planned.router, &ask).await;
+        RequestKind::Completion(spec) => {
+            let outcome = caller::complete(planned.router, &spec).await;
             let mut counts = counts.borrow_mut();
-            let of_organisation = counts.organisations.entry(planned.organisation).or_default();
-            of_organisation.asked += 1;
-            of_organisation.answered += u64::from(matches!(outcome, Outcome::Answered(_)));
-            count_ask(outcome, planned.measured, observed, &mut counts);
+            let completions = counts.organisations.entry(planned.organisation).or_default();
+            completions.asked += 1;
+            completions.answered += u64::from(matches!(outcome, Outcome::Answered(_)));
+            count_completion(outcome, planned.measured, fakes, &mut counts);
         }
-        Kind::Lookup { path } => {
+        RequestKind::Lookup { path } => {
             let outcome = caller::call(planned.router, Method::GET, &path, &key, None, "").await;
             count_call(&outcome, &mut counts.borrow_mut());
         }
-        Kind::Order { path, key: order } => {
+        RequestKind::Order { path, key: order } => {
             let outcome =
                 caller::call(planned.router, Method::POST, &path, &key, Some(&order), "{}").await;
             let mut counts = counts.borrow_mut();
             count_call(&outcome, &mut counts);
-            count_order(&outcome, observed.orders.runs(&order), &mut counts);
+            count_order(&outcome, fakes.orders.runs(&order), &mut counts);
         }
     }
 }
 
-fn count_ask(outcome: Outcome, measured: bool, observed: &FakeCounts, counts: &mut Counts) {
+fn count_completion(outcome: Outcome, measured: bool, fakes: &FakeCounts, counts: &mut Counts) {
     match outcome {
         Outcome::Answered(timing) => {
             counts.totals.answered += 1;
@@ -256,17 +259,17 @@
             for gap in timing.gaps {
                 record(&mut counts.gap, gap);
             }
-            if let Some(own) = observed.tally.lock().first_tokens.remove(&timing.request) {
-                record(&mut counts.added, timing.first_token.saturating_sub(own));
+            if let Some(engine_time) = fakes.tally.lock().first_tokens.remove(&timing.request_id) {
+                record(&mut counts.added, timing.first_token.saturating_sub(engine_time));
             }
         }
-        Outcome::Failed(problem) => counts.fail(problem.verdict),
+        Outcome::Failed(problem) => counts.count_failure(problem.verdict),
         Outcome::Incomplete(why) => {
-            log::debug!("incomplete: {why}");
+            log::debug!("incomplete response: {why}");
             counts.totals.incomplete += 1;
         }
-        Outcome::Crossed(why) => {
-            log::debug!("crossed: {why}");
+        Outcome::Mismatched(why) => {
+            log::debug!("response to another request: {why}");
             counts.totals.crossed += 1;
         }
     }
@@ -275,7 +278,7 @@
 fn count_call(outcome: &CallOutcome, counts: &mut Counts) {
     match outcome {
         CallOutcome::Answered { .. } => counts.totals.answered += 1,
-        CallOutcome::Failed(problem) => counts.fail(problem.verdict),
+        CallOutcome::Failed(problem) => counts.count_failure(problem.verdict),
         CallOutcome::Unknown(_) => counts.totals.incomplete += 1,
     }
 }
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! `bench`: demonstrations and measurements of the router.
+//! `bench`: demonstrates and benchmarks the router.
 
 use std::{path::PathBuf, process::ExitCode, time::Duration};
 
@@ -15,41 +15,41 @@
 use route::PolicyKind;
 use serde::Serialize;
 
-/// Demonstrates and measures the router with fakes at its interfaces
+/// Demonstrates and benchmarks the router with fake engines, services and callers
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 enum Options {
     /// Run the whole system on this machine under a mixed load
     #[bpaf(command)]
     Demo {
-        /// Print the figures as one JSON object on the last line
+        /// Print the results as one JSON object on the last line
         json: bool,
-        /// Decides everything that is random
+        /// Seed of all random choices
         #[bpaf(fallback(1))]
         seed: u64,
     },
     /// Measure commits, elections and restarts of the quorum
     #[bpaf(command)]
     Quorum {
-        /// Print the figures as one JSON object on the last line
+        /// Print the results as one JSON object on the last line
         json: bool,
-        /// Decides everything that is random
+        /// Seed of all random choices
         #[bpaf(fallback(1))]
         seed: u64,
     },
-    /// Measure one policy on one site
+    /// Measure one routing policy on one site
     #[bpaf(command)]
     Run {
         /// The site: printers or villagers
         #[bpaf(argument("SITE"))]
         site: SiteKind,
-        /// How routers choose: round-robin, least-in-flight, hash, warm-v1 or warm
+        /// Routing policy: round-robin, least-in-flight, hash, warm-v1 or warm
         #[bpaf(argument("NAME"), fallback(PolicyKind::Warm))]
         policy: PolicyKind,
-        /// Decides everything that is random
+        /// Seed of all random choices
         #[bpaf(fallback(1))]
         seed: u64,
-        /// Completions a second, as a share of what the engines can carry
+        /// Completions per second, as a share of the engines' capacity
         #[bpaf(fallback(0.7))]
         load: f64,
         /// How long to measure after the warm-up, in seconds
@@ -58,25 +58,25 @@
         /// Where engines may fetch cached blocks from: off, neighbour, store or both
         #[bpaf(argument("PLACE"), fallback(KvTransfer::Off))]
         kv_transfer: KvTransfer,
-        /// What goes wrong at half time: engines or shift
+        /// Fault injected halfway through the measurement: engines or shift
         #[bpaf(argument("NAME"), optional)]
         fault: Option<RunFault>,
-        /// Print the figures as one JSON object on the last line
+        /// Print the results as one JSON object on the last line
         json: bool,
     },
-    /// Measure what the cores of one routing decision cost
+    /// Measure the time of one routing decision
     #[bpaf(command)]
     Decision {
-        /// Endpoints to choose from
+        /// Endpoints in the warm index
         #[bpaf(fallback(1_800))]
         endpoints: usize,
-        /// Decides everything that is random
+        /// Seed of all random choices
         #[bpaf(fallback(1))]
         seed: u64,
-        /// Print the figures as one JSON object on the last line
+        /// Print the results as one JSON object on the last line
         json: bool,
     },
-    /// Measure every policy on one site
+    /// Measure every routing policy on one site
     #[bpaf(command)]
     Compare {
         /// The site: printers or villagers
@@ -85,34 +85,34 @@
         /// Seeds, separated by commas
         #[bpaf(argument("LIST"), fallback("1,2,3".to_owned()))]
         seeds: String,
-        /// Completions a second, as a share of what the engines can carry
+        /// Completions per second, as a share of the engines' capacity
         #[bpaf(fallback(0.7))]
         load: f64,
         /// How long to measure after the warm-up, in seconds
         #[bpaf(fallback(12))]
         seconds: u64,
-        /// Draw the figures into this SVG file
+        /// Plot the results into this SVG file
         #[bpaf(argument("FILE"), optional)]
         plot: Option<PathBuf>,
-        /// Print the figures as one JSON object on the last line
+        /// Print the results as one JSON object on the last line
         json: bool,
     },
-    /// Measure what restarts of routers cost
+    /// Measure how router restarts affect callers and the hit rate
     #[bpaf(command)]
     Restarts {
-        /// Print the figures as one JSON object on the last line
+        /// Print the results as one JSON object on the last line
         json: bool,
-        /// Decides everything that is random
+        /// Seed of all random choices
         #[bpaf(fallback(1))]
         seed: u64,
     },
-    /// Measure what a daemon adds to a direct call, at 1, 32 and 256 streams
+    /// Measure the latency that a daemon adds to a direct call, at 1, 32 and 256 streams
     #[bpaf(command)]
     Latency {
-        /// Print the measurements as one JSON array on the last line
+        /// Print the results as one JSON array on the last line
         json: bool,
     },
-    /// Measure how messages, processor time and memory grow with the size of a fleet
+    /// Measure how messages, CPU time and memory grow with the size of a fleet
     #[bpaf(command)]
     Slopes {
         /// Print the slopes as one JSON array on the last line
@@ -137,7 +137,7 @@
     }
 }
 
-/// Runs a daemon in this process, so that one program holds all that a demonstration needs.
+/// Runs a daemon in this process, so that a demonstration needs only this executable.
 fn run_daemon(args: &[String]) -> ExitCode {
     let args: Vec<&str> = args.iter().map(String::as_str).collect();
     match daemon::Settings::from_args(&args) {
@@ -149,7 +149,7 @@
     }
 }
 
-/// Runs the operator's tool in this process.
+/// Runs the operator CLI in this process.
 fn run_operator(args: &[String]) -> ExitCode {
     let args: Vec<&str> = args.iter().map(String::as_str).collect();
     cli::run(&args).into()
@@ -160,15 +160,15 @@
     match options {
         Options::Demo { json, seed } => {
             let summary = demo::run(&program, seed)?;
-            show(&summary, json)?;
+            print_summary(&summary, json)?;
         }
         Options::Run { site, policy, seed, load, seconds, kv_transfer, fault, json } => {
             let span = Duration::from_secs(seconds);
             let spec = RunSpec { site, policy, seed, load, span, kv_transfer, fault };
-            show(&run::run(&program, &spec)?, json)?;
+            print_summary(&run::run(&program, &spec)?, json)?;
         }
         Options::Decision { endpoints, seed, json } => {
-            show(&decision::measure(endpoints, seed), json)?;
+            print_summary(&decision::measure(endpoints, seed), json)?;
         }
         Options::Compare { site, seeds, load, seconds, plot, json } => {
             let seeds: Vec<u64> = seeds.split(',').map(str::parse).collect::<Result<_, _>>()?;
@@ -176,20 +176,20 @@
             let policy = PolicyKind::default();
             let kv_transfer = KvTransfer::Off;
             let spec = RunSpec { site, policy, seed: 1, load, span, kv_transfer, fault: None };
-            let compared = compare::run(&program, &spec, &seeds)?;
-            println!("{}", compare::table(&compared));
+            let results = compare::run(&program, &spec, &seeds)?;
+            println!("{}", compare::table(&results));
             if let Some(path) = plot {
-                compare::plot(&compared, &path)?;
+                compare::plot(&results, &path)?;
             }
             if json {
-                println!("{}", serde_json::json!({"site": site.as_str(), "policies": compared}));
+                println!("{}", serde_json::json!({"site": site.as_str(), "policies": results}));
             }
         }
         Options::Quorum { json, seed } => {
-            let figures = quorum_bench::run(&program, seed)?;
-            print!("{figures}");
+            let report = quorum_bench::run(&program, seed)?;
+            print!("{report}");
             if json {
-                println!("{}", serde_json::to_string(&figures)?);
+                println!("{}", serde_json::to_string(&report)?);
             }
         }
         Options::Restarts { json, seed } => {
@@ -217,7 +217,7 @@
     Ok(())
 }
 
-fn show(summary: &impl Serialize, json: bool) -> eyre::Result<()> {
+fn print_summary(summary: &impl Serialize, json: bool) -> eyre::Result<()> {
     println!("{}", demo::table(summary));
     if json {
         println!("{}", serde_json::to_string(summary)?);
--- a/crates/bench/src/operator.rs
+++ b/crates/bench/src/operator.rs
@@ -1,4 +1,4 @@
-//! An operator who asks routers over the protocol between them.
+//! An operator client that sends leader requests over the routers' peer protocol.
 
 use std::{
     net::{IpAddr, Ipv4Addr, SocketAddr},
@@ -20,16 +20,16 @@
     site::{FLEET_KEY, OPERATOR_KEY},
 };
 
-/// Time for one router's answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time limit of one router's response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time until some router has led and answered.
+/// Time limit for a leader to respond.
 const LEADER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Time between looks for a leader.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Time between two rounds of attempts to reach a leader.
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Connects to the peer address of a daemon, past the proxies.
+/// Connects to a daemon's peer address directly, without the proxy.
 ///
 /// # Errors
 ///
@@ -39,23 +39,24 @@
     let host: HostId = "operator".parse()?;
     let address = daemon.spec().peer_listen;
     let connecting = PeerClient::connect(source, address, host, FLEET_KEY);
-    tokio::time::timeout(ANSWER_TIMEOUT, connecting).await?
+    tokio::time::timeout(RESPONSE_TIMEOUT, connecting).await?
 }
 
-/// Sends a request to one daemon.
+/// Sends a leader request to one daemon.
 ///
 /// # Errors
 ///
 /// Returns an error if the daemon can't be reached.
 pub async fn send_request(daemon: &Daemon, request: &LeaderRequest) -> eyre::Result<PeerAnswer> {
-    connect(daemon).await?.submit(request, ANSWER_TIMEOUT).await
+    connect(daemon).await?.submit(request, RESPONSE_TIMEOUT).await
 }
 
-/// Sends an idempotent request to each daemon in turn until one has led and answered.
+/// Sends an idempotent request to each daemon in turn until the leader responds; returns its index
+/// and response.
 ///
 /// # Errors
 ///
-/// Returns an error if none has in time.
+/// Returns an error if no leader responds in time.
 pub async fn send_to_leader(
     daemons: &[Daemon],
     request: &LeaderRequest,
@@ -63,37 +64,37 @@
     let deadline = Instant::now() + LEADER_TIMEOUT;
     while Instant::now() < deadline {
         for (i, daemon) in daemons.iter().enumerate() {
-            if let Ok(PeerAnswer::Answered(answer)) = send_request(daemon, request).await {
-                return Ok((i, answer));
+            if let Ok(PeerAnswer::Answered(response)) = send_request(daemon, request).await {
+                return Ok((i, response));
             }
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
-    bail!("no router led and answered in time")
+    bail!("no leader responded in time")
 }
 
-/// Returns which daemon leads the quorum.
+/// Returns the index of the daemon that leads the quorum.
 ///
 /// # Errors
 ///
-/// Returns an error if none does in time.
+/// Returns an error if no leader responds in time.
 pub async fn leader(daemons: &[Daemon]) -> eyre::Result<usize> {
     send_to_leader(daemons, &LeaderRequest::ReadUnsettled).await.map(|(i, _)| i)
 }
 
-/// Returns what the quorum knows of a call.
+/// Returns the quorum's record of a call.
 ///
 /// # Errors
 ///
-/// Returns an error if no leader answers in time.
+/// Returns an error if no leader responds in time.
 pub async fn read_call(daemons: &[Daemon], key: &CallKey) -> eyre::Result<Option<fleet::Call>> {
     match send_to_leader(daemons, &LeaderRequest::ReadCall(key.clone())).await? {
         (_, LeaderAnswer::Call(call)) => Ok(call.map(|call| *call)),
-        (_, other) => bail!("unexpected answer {other:?}"),
+        (_, other) => bail!("unexpected response from the leader: {other:?}"),
     }
 }
 
-/// Returns a change of the whole configuration.
+/// Returns a change that replaces the whole declaration.
 pub fn change(id: &str, expected: u64, declaration: &str) -> ConfigChange {
     ConfigChange {
         id: id.parse().expect("a valid id"),
@@ -105,37 +106,38 @@
     }
 }
 
-/// Makes a change, resent until it is answered.
+/// Submits a change, and sends it again until the leader responds.
 ///
 /// # Errors
 ///
-/// Returns an error if no leader answers in time.
+/// Returns an error if no leader responds in time.
 pub async fn submit_change(daemons: &[Daemon], change: ConfigChange) -> eyre::Result<ChangeReply> {
     let request = LeaderRequest::Command(Command::Change(change));
     match send_to_leader(daemons, &request).await? {
         (_, LeaderAnswer::Reply(Reply::Change(reply))) => Ok(reply),
-        (_, other) => bail!("unexpected answer {other:?}"),
+        (_, other) => bail!("unexpected response from the leader: {other:?}"),
     }
 }
 
-/// Returns the configuration in force at a daemon, `None` for the built-in one.
+/// Returns the configuration in force at a daemon, or `None` for the built-in one.
 ///
 /// # Errors
 ///
 /// Returns an error if the daemon can't be reached.
 pub async fn configuration(daemon: &Daemon) -> eyre::Result<Option<Configuration>> {
     let client = connect(daemon).await?;
-    let asked = client.configuration(Revision::ZERO);
-    tokio::time::timeout(ANSWER_TIMEOUT, asked).await.ok().wrap_err("no answer in time")?
+    let response = client.configuration(Revision::ZERO);
+    tokio::time::timeout(RESPONSE_TIMEOUT, response).await.ok().wrap_err("no response in time")?
 }
 
-/// Returns a daemon's status page.
+/// Returns a daemon's status.
 ///
 /// # Errors
 ///
 /// Returns an error if the daemon can't be reached.
 pub fn status(admin: SocketAddr) -> eyre::Result<Status> {
     let url = format!("http://{admin}{STATUS_PATH}");
-    let page = attohttpc::get(url).bearer_auth(OPERATOR_KEY).timeout(ANSWER_TIMEOUT).send()?;
-    Ok(serde_json::from_str(&page.text()?)?)
+    let response =
+        attohttpc::get(url).bearer_auth(OPERATOR_KEY).timeout(RESPONSE_TIMEOUT).send()?;
+    Ok(serde_json::from_str(&response.text()?)?)
 }
--- a/crates/bench/src/partition.rs
+++ b/crates/bench/src/partition.rs
@@ -1,8 +1,8 @@
-//! Network partitions of a site, by its proxies.
+//! Network partitions of a site, made by its proxies.
 
 use crate::{Fault, site::Site};
 
-/// Holds all bytes between a router and its peers; its endpoints and callers still reach it.
+/// Holds all bytes between a router and its peers; its endpoints and callers can still reach it.
 pub fn isolate_router(site: &Site, router: usize) {
     site.peer_proxies[router].set(Fault::partition());
     let ip = site.daemons[router].spec().listen.ip();
@@ -13,23 +13,23 @@
 
 /// Holds all bytes between a data centre's routers and engines and those of the others.
 ///
-/// Announcements pass, since engines send them past the proxies: a router goes on to know engines
-/// that it can't reach.
+/// Announcements still arrive, since engines send them directly: a router keeps engines in its
+/// membership that it can't reach.
 pub fn isolate_data_centre(site: &Site, data_centre: &str) {
     for (router, daemon) in site.daemons.iter().enumerate() {
         let inside = daemon.spec().data_centre == data_centre;
         if inside {
             isolate_router(site, router);
         }
-        for (engine, of) in site.engines.iter().zip(&site.spec.engines) {
-            if (*of == data_centre) != inside {
+        for (engine, engine_data_centre) in site.engines.iter().zip(&site.spec.engines) {
+            if (*engine_data_centre == data_centre) != inside {
                 engine.proxy.set_for(daemon.spec().listen.ip(), Fault::partition());
             }
         }
     }
 }
 
-/// Ends all partitions.
+/// Removes all partitions.
 pub fn heal(site: &Site) {
     site.peer_proxies.iter().for_each(crate::Proxy::heal);
     site.engines.iter().for_each(|engine| engine.proxy.heal());
--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -1,4 +1,4 @@
-//! Daemons as processes that can be killed, frozen and restarted.
+//! Daemons as child processes that can be killed, suspended and restarted.
 
 use std::{
     fs::File,
@@ -14,67 +14,67 @@
 use eyre::{WrapErr as _, ensure};
 use rustix::process::{Pid, Signal, kill_process};
 
-/// First port for callers.
-const LISTEN_PORT: u16 = 20_000;
+/// First port tried for callers.
+const FIRST_LISTEN_PORT: u16 = 20_000;
 
-/// First port for other routers.
-const PEER_PORT: u16 = 21_000;
+/// First port tried for other routers.
+const FIRST_PEER_PORT: u16 = 21_000;
 
-/// First port for operators.
-const ADMIN_PORT: u16 = 22_000;
+/// First port tried for operators.
+const FIRST_ADMIN_PORT: u16 = 22_000;
 
-/// Ports tried for one purpose.
-const PORTS: u16 = 1_000;
+/// Number of ports tried for each listener.
+const PORT_RANGE: u16 = 1_000;
 
-/// Lines of a daemon's log that a failing test shows.
-const SHOWN_LINES: usize = 400;
+/// Most lines of a daemon's log that a failing test prints.
+const MAX_PRINTED_LOG_LINES: usize = 400;
 
-/// Time between looks at a condition.
-const POLL: Duration = Duration::from_millis(5);
+/// Time between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The program that runs a daemon, with the arguments that come before its settings.
+/// The executable that runs a daemon, and the arguments that precede the daemon's settings.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// The executable file.
+    /// Path of the executable.
     pub path: PathBuf,
-    /// Arguments before the daemon's settings.
+    /// Arguments that precede the daemon's settings.
     pub args: Vec<String>,
 }
 
 impl Program {
-    /// Returns the program `bench` at `path`, which holds the daemon.
+    /// Returns the `bench` executable at `path`, which includes the daemon.
     pub fn bench(path: &str) -> Self {
         Self { path: path.into(), args: vec!["daemon".into()] }
     }
 }
 
-/// A daemon's settings, as flags.
+/// A daemon's settings, passed as flags.
 #[derive(Clone, Debug)]
 pub struct DaemonSpec {
-    /// Its host id.
+    /// Host id.
     pub host: String,
-    /// Its data centre.
+    /// Data centre.
     pub data_centre: String,
-    /// Where callers connect.
+    /// Address for callers.
     pub listen: SocketAddr,
-    /// Where other routers connect.
+    /// Address for other routers.
     pub peer_listen: SocketAddr,
-    /// Where operators connect.
+    /// Address for operators.
     pub admin_listen: SocketAddr,
     /// Other flags.
     pub flags: Vec<String>,
 }
 
 impl DaemonSpec {
-    /// Returns settings with free ports on a loopback address of its own.
+    /// Returns settings with free ports on an unused loopback address.
     pub fn new(host: &str, data_centre: &str) -> Self {
         let ip = unused_loopback();
         Self {
             host: host.to_owned(),
             data_centre: data_centre.to_owned(),
-            listen: free_port(ip, LISTEN_PORT),
-            peer_listen: free_port(ip, PEER_PORT),
-            admin_listen: free_port(ip, ADMIN_PORT),
+            listen: free_port(ip, FIRST_LISTEN_PORT),
+            peer_listen: free_port(ip, FIRST_PEER_PORT),
+            admin_listen: free_port(ip, FIRST_ADMIN_PORT),
             flags: Vec::new(),
         }
     }
@@ -117,7 +117,7 @@
     }
 }
 
-/// A daemon's process; killed on drop.
+/// A daemon's process, killed on drop.
 pub struct Daemon {
     spec: DaemonSpec,
     program: Program,
@@ -141,12 +141,13 @@
         Ok(Self { spec, program: program.clone(), child, log, frozen: false })
     }
 
-    /// Returns its settings.
+    /// Returns the daemon's settings.
     pub fn spec(&self) -> &DaemonSpec {
         &self.spec
     }
 
-    /// Returns what it has logged; nothing if `RUST_LOG` sends the logs to this process's own.
+    /// Returns the process's log; empty if `RUST_LOG` is set, as the log then goes to this process's
+    /// standard error.
     ///
     /// # Errors
     ///
@@ -157,11 +158,11 @@
         Ok(String::from_utf8_lossy(&log).into_owned())
     }
 
-    /// Waits until it is ready, or ends.
+    /// Waits until the daemon is ready.
     ///
     /// # Errors
     ///
-    /// Returns an error if it ends, or isn't ready within `timeout`.
+    /// Returns an error if the process exits, or isn't ready within `timeout`.
     pub fn wait_ready(&mut self, timeout: Duration) -> eyre::Result<()> {
         let url = format!("http://{}/readyz", self.spec.admin_listen);
         let deadline = Instant::now() + timeout;
@@ -170,19 +171,24 @@
                 let (host, log) = (&self.spec.host, self.log()?);
                 eyre::bail!("{host} exited before it was ready: {status}; its log:\n{log}");
             }
-            if attohttpc::get(&url).timeout(POLL * 20).send().is_ok_and(|r| r.is_success()) {
+            if attohttpc::get(&url).timeout(POLL_INTERVAL * 20).send().is_ok_and(|r| r.is_success())
+            {
                 return Ok(());
             }
-            ensure!(Instant::now() < deadline, "{} was not ready in time", self.spec.host);
-            std::thread::sleep(POLL);
+            ensure!(
+                Instant::now() < deadline,
+                "{} was not ready within {timeout:?}",
+                self.spec.host
+            );
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Kills it without notice.
+    /// Kills the process with SIGKILL.
     ///
     /// # Errors
     ///
-    /// Returns an error if it can't be signalled.
+    /// Returns an error if the process can't be signalled.
     pub fn kill(&mut self) -> eyre::Result<()> {
         self.frozen = false;
         self.child.kill()?;
@@ -190,86 +196,90 @@
         Ok(())
     }
 
-    /// Kills it without notice and starts it again with the same settings.
+    /// Kills the process with SIGKILL and starts it again with the same settings.
     ///
     /// # Errors
     ///
-    /// Returns an error if it can't be killed or started.
+    /// Returns an error if the process can't be killed or started.
     pub fn restart(&mut self) -> eyre::Result<()> {
         self.kill()?;
         self.start_again()
     }
 
-    /// Starts it again after it has ended.
+    /// Starts the process again after it has exited.
     ///
     /// # Errors
     ///
-    /// Returns an error if it can't be started.
+    /// Returns an error if the process can't be started.
     pub fn start_again(&mut self) -> eyre::Result<()> {
         self.child = self.spec.command(&self.program, &self.log)?.spawn()?;
         Ok(())
     }
 
-    /// Stops it from running, as a host that hangs.
+    /// Suspends the process with SIGSTOP, as when a host hangs.
     ///
     /// # Errors
     ///
-    /// Returns an error if it can't be signalled.
+    /// Returns an error if the process can't be signalled.
     pub fn freeze(&mut self) -> eyre::Result<()> {
         self.signal(Signal::STOP)?;
         self.frozen = true;
         Ok(())
     }
 
-    /// Lets it run again.
+    /// Resumes the process with SIGCONT.
     ///
     /// # Errors
     ///
-    /// Returns an error if it can't be signalled.
+    /// Returns an error if the process can't be signalled.
     pub fn thaw(&mut self) -> eyre::Result<()> {
         self.signal(Signal::CONT)?;
         self.frozen = false;
         Ok(())
     }
 
-    /// Asks it to end gracefully.
+    /// Starts a graceful shutdown with SIGTERM.
     ///
     /// # Errors
     ///
-    /// Returns an error if it can't be signalled.
+    /// Returns an error if the process can't be signalled.
     pub fn terminate(&self) -> eyre::Result<()> {
         self.signal(Signal::TERM)
     }
 
-    /// Waits for its end.
+    /// Waits until the process exits.
     ///
     /// # Errors
     ///
-    /// Returns an error if it doesn't end within `timeout`.
+    /// Returns an error if it doesn't exit within `timeout`.
     pub fn wait_exit(&mut self, timeout: Duration) -> eyre::Result<ExitStatus> {
         let deadline = Instant::now() + timeout;
         loop {
             if let Some(status) = self.child.try_wait()? {
                 return Ok(status);
             }
-            ensure!(Instant::now() < deadline, "{} did not end in time", self.spec.host);
-            std::thread::sleep(POLL);
+            ensure!(
+                Instant::now() < deadline,
+                "{} did not exit within {timeout:?}",
+                self.spec.host
+            );
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Returns the process's id.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Prints the end of its log, for a test that fails.
-    #[expect(clippy::print_stderr, reason = "a failing test shows it")]
-    fn show_log(&self) {
+    /// Prints the end of the log when a test fails.
+    #[expect(clippy::print_stderr, reason = "a failing test prints it")]
+    fn print_log(&self) {
         let host = &self.spec.host;
         match self.log() {
             Ok(log) => {
-                let skipped = log.lines().count().saturating_sub(SHOWN_LINES);
-                eprintln!("-- log of {host}, {skipped} lines left out");
+                let skipped = log.lines().count().saturating_sub(MAX_PRINTED_LOG_LINES);
+                eprintln!("-- log of {host}, first {skipped} lines omitted");
                 log.lines().skip(skipped).for_each(|line| eprintln!("{line}"));
             }
             Err(e) => eprintln!("-- log of {host} can't be read: {e}"),
@@ -278,7 +288,7 @@
 
     fn signal(&self, signal: Signal) -> eyre::Result<()> {
         let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
-        kill_process(pid.ok_or_else(|| eyre::eyre!("no process id"))?, signal)?;
+        kill_process(pid.ok_or_else(|| eyre::eyre!("the process id is out of range"))?, signal)?;
         Ok(())
     }
 }
@@ -287,7 +297,7 @@
     fn drop(&mut self) {
         let _ = self.kill();
         if std::thread::panicking() {
-            self.show_log();
+            self.print_log();
         }
     }
 }
@@ -296,7 +306,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error that names `what` if it doesn't hold within `timeout`.
+/// Returns an error that names `what` if the condition doesn't hold within `timeout`.
 pub fn wait_until(
     what: &str,
     timeout: Duration,
@@ -304,28 +314,28 @@
 ) -> eyre::Result<()> {
     let deadline = Instant::now() + timeout;
     while !condition() {
-        ensure!(Instant::now() < deadline, "not within {timeout:?}: {what}");
-        std::thread::sleep(POLL);
+        ensure!(Instant::now() < deadline, "condition not met within {timeout:?}: {what}");
+        std::thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
 
-/// Shows the daemons' logs to those who ask for them, and keeps them otherwise.
+/// Returns the output for a daemon's log: standard error if `RUST_LOG` is set, otherwise `log`.
 fn log_output(log: &File) -> io::Result<Stdio> {
     if std::env::var_os("RUST_LOG").is_some() {
-        // The measurements' own output is left alone.
+        // Standard output carries the results of the measurements.
         return Ok(Stdio::from(io::stderr()));
     }
     log.try_clone().map(Stdio::from)
 }
 
-/// Returns the level that `RUST_LOG` names, if it is a plain one.
+/// Returns the level in `RUST_LOG`, if it is a plain level without filters.
 fn log_level() -> Option<String> {
     let level = std::env::var("RUST_LOG").ok()?;
     level.parse::<log::LevelFilter>().is_ok().then_some(level)
 }
 
-/// Returns a loopback address that no other daemon of this process has.
+/// Returns a loopback address that no other daemon of this process uses.
 fn unused_loopback() -> IpAddr {
     static NEXT: AtomicU8 = AtomicU8::new(0);
     let pid = std::process::id();
@@ -334,9 +344,9 @@
     IpAddr::V4(Ipv4Addr::new(127, 128 | high, low, number.wrapping_add(2)))
 }
 
-/// Returns a free port from `first` on, below those that outgoing connections take.
+/// Returns the first free port from `first` on, below the range of ephemeral ports.
 fn free_port(ip: IpAddr, first: u16) -> SocketAddr {
-    (first..first + PORTS)
+    (first..first + PORT_RANGE)
         .find_map(|port| TcpListener::bind((ip, port)).ok()?.local_addr().ok())
         .expect("a port is free on the loopback interface")
 }
--- a/crates/bench/src/proxy.rs
+++ b/crates/bench/src/proxy.rs
@@ -20,61 +20,61 @@
     time::Instant,
 };
 
-/// Time that a lost packet holds a connection back.
-const RETRANSMIT: Duration = Duration::from_millis(200);
+/// Delay of a connection's bytes after a lost packet.
+const RETRANSMIT_DELAY: Duration = Duration::from_millis(200);
 
-/// Bytes moved at once.
+/// Size of the read buffer.
 const CHUNK_BYTES: usize = 16 << 10;
 
-/// Chunks on the way in one direction.
-const CHUNKS_UNDER_WAY: usize = 256;
+/// Most chunks in flight in one direction.
+const MAX_CHUNKS_IN_FLIGHT: usize = 256;
 
-/// What a proxy does to connections.
+/// FaultTable that a proxy injects into connections.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fault {
-    /// Added to every chunk, each way.
+    /// Delay of every chunk, in each direction.
     pub delay: Duration,
-    /// Share of chunks that are held back as if a packet were lost.
+    /// Share of chunks that are delayed as if a packet were lost.
     pub loss: f64,
     /// Whether bytes towards the target are held.
     pub hold_requests: bool,
     /// Whether bytes from the target are held.
     pub hold_responses: bool,
-    /// Whether new connections are closed at once, and open ones cut.
+    /// Whether new connections are reset and open ones closed.
     pub refuse: bool,
-    /// Cuts a connection after so many bytes from the target.
+    /// Closes a connection after this many bytes from the target.
     pub cut_after: Option<u64>,
 }
 
 impl Fault {
-    /// Holds bytes both ways, as a network partition does.
+    /// Holds bytes in both directions, as a network partition does.
     pub fn partition() -> Self {
         Self { hold_requests: true, hold_responses: true, ..Self::default() }
     }
 
-    /// Delays bytes by `delay` each way.
+    /// Delays bytes by `delay` in each direction.
     pub fn delay(delay: Duration) -> Self {
         Self { delay, ..Self::default() }
     }
 }
 
 #[derive(Clone, Debug, Default)]
-struct Faults {
-    usual: Fault,
+struct FaultTable {
+    default: Fault,
     by_source: HashMap<IpAddr, Fault>,
 }
 
-impl Faults {
-    fn of(&self, source: IpAddr) -> Fault {
-        self.by_source.get(&source).unwrap_or(&self.usual).clone()
+impl FaultTable {
+    fn for_source(&self, source: IpAddr) -> Fault {
+        self.by_source.get(&source).unwrap_or(&self.default).clone()
     }
 }
 
-/// A TCP proxy before one target, which injects faults by the source's address.
+/// A TCP proxy before one target that injects faults, by the source's address.
 pub struct Proxy {
     address: SocketAddr,
     target: Arc<Mutex<SocketAddr>>,
-    faults: watch::Sender<Faults>,
+    faults: watch::Sender<FaultTable>,
     stop: Option<flume::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
@@ -89,7 +89,7 @@
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port is free");
         let address = listener.local_addr().expect("a bound listener has an address");
         listener.set_nonblocking(true).expect("a listener can be made non-blocking");
-        let (faults, faults_rx) = watch::channel(Faults::default());
+        let (faults, faults_rx) = watch::channel(FaultTable::default());
         let (stop_tx, stop_rx) = flume::bounded(1);
         let target = Arc::new(Mutex::new(target));
         let thread = {
@@ -102,19 +102,19 @@
         Self { address, target, faults, stop: Some(stop_tx), thread: Some(thread) }
     }
 
-    /// Returns the address that stands for the target.
+    /// Returns the address at which the target is reached through the proxy.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sends new connections to another target.
+    /// Connects new connections to another target.
     pub fn retarget(&self, target: SocketAddr) {
         *self.target.lock().unwrap_or_else(PoisonError::into_inner) = target;
     }
 
-    /// Sets the fault for all sources without one of their own.
+    /// Sets the default fault, for sources without a specific one.
     pub fn set(&self, fault: Fault) {
-        self.faults.send_modify(|faults| faults.usual = fault);
+        self.faults.send_modify(|faults| faults.default = fault);
     }
 
     /// Sets the fault for connections from `source`.
@@ -124,9 +124,9 @@
         });
     }
 
-    /// Takes all faults away.
+    /// Removes all faults.
     pub fn heal(&self) {
-        self.faults.send_modify(|faults| *faults = Faults::default());
+        self.faults.send_modify(|faults| *faults = FaultTable::default());
     }
 }
 
@@ -142,7 +142,7 @@
 fn serve(
     listener: TcpListener,
     target: Arc<Mutex<SocketAddr>>,
-    faults: watch::Receiver<Faults>,
+    faults: watch::Receiver<FaultTable>,
     stop: flume::Receiver<()>,
     seed: u64,
 ) {
@@ -161,7 +161,7 @@
 async fn accept(
     listener: TcpListener,
     target: Arc<Mutex<SocketAddr>>,
-    faults: watch::Receiver<Faults>,
+    faults: watch::Receiver<FaultTable>,
     seed: u64,
 ) {
     let listener = tokio::net::TcpListener::from_std(listener).expect("the listener is usable");
@@ -171,39 +171,39 @@
         let target = *target.lock().unwrap_or_else(PoisonError::into_inner);
         let faults = faults.clone();
         tokio::task::spawn_local(async move {
-            if let Err(e) = join(stream, source.ip(), target, faults, number).await {
-                log::debug!("proxied connection ended: {e}");
+            if let Err(e) = relay(stream, source.ip(), target, faults, number).await {
+                log::debug!("proxy: connection failed: {e}");
             }
         });
     }
 }
 
-/// Joins a connection to the target until either side ends, or a fault cuts it.
-async fn join(
-    near: TcpStream,
+/// Relays a connection to the target until either side closes it, or a fault does.
+async fn relay(
+    client: TcpStream,
     source: IpAddr,
     target: SocketAddr,
-    mut faults: watch::Receiver<Faults>,
+    mut faults: watch::Receiver<FaultTable>,
     seed: u64,
 ) -> io::Result<()> {
-    if faults.borrow().of(source).refuse {
-        return reset(near);
+    if faults.borrow().for_source(source).refuse {
+        return reset(client);
     }
-    near.set_nodelay(true)?;
-    let far = TcpStream::connect(target).await?;
-    far.set_nodelay(true)?;
-    let (near_rx, near_tx) = near.into_split();
-    let (far_rx, far_tx) = far.into_split();
-    let link = Rc::new(Link { source, faults: faults.clone() });
-    let requests = link.clone().carry(near_rx, far_tx, Direction::Requests, seed);
-    let answers = link.carry(far_rx, near_tx, Direction::Answers, !seed);
+    client.set_nodelay(true)?;
+    let server = TcpStream::connect(target).await?;
+    server.set_nodelay(true)?;
+    let (client_rx, client_tx) = client.into_split();
+    let (server_rx, server_tx) = server.into_split();
+    let relay = Rc::new(Relay { source, faults: faults.clone() });
+    let requests = relay.clone().copy(client_rx, server_tx, Direction::Requests, seed);
+    let responses = relay.copy(server_rx, client_tx, Direction::Responses, !seed);
     tokio::select! {
-        ends = async { tokio::join!(requests, answers) } => ends.0.and(ends.1),
-        _ = faults.wait_for(|faults| faults.of(source).refuse) => Ok(()),
+        ends = async { tokio::join!(requests, responses) } => ends.0.and(ends.1),
+        _ = faults.wait_for(|faults| faults.for_source(source).refuse) => Ok(()),
     }
 }
 
-/// Closes a connection so that the other side sees a reset.
+/// Closes a connection with a TCP reset.
 fn reset(stream: TcpStream) -> io::Result<()> {
     stream.set_zero_linger()
 }
@@ -211,12 +211,12 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Direction {
     Requests,
-    Answers,
+    Responses,
 }
 
-struct Link {
+struct Relay {
     source: IpAddr,
-    faults: watch::Receiver<Faults>,
+    faults: watch::Receiver<FaultTable>,
 }
 
 struct Chunk {
@@ -224,15 +224,15 @@
     bytes: Vec<u8>,
 }
 
-impl Link {
-    async fn carry(
+impl Relay {
+    async fn copy(
         self: Rc<Self>,
         rx: OwnedReadHalf,
         tx: OwnedWriteHalf,
         direction: Direction,
         seed: u64,
     ) -> io::Result<()> {
-        let (chunk_tx, chunk_rx) = flume::bounded::<Chunk>(CHUNKS_UNDER_WAY);
+        let (chunk_tx, chunk_rx) = flume::bounded::<Chunk>(MAX_CHUNKS_IN_FLIGHT);
         let reading = Rc::clone(&self).read_chunks(rx, chunk_tx, seed);
         let writing = write_chunks(self, tx, chunk_rx, direction);
         let (read, written) = tokio::join!(reading, writing);
@@ -254,10 +254,10 @@
                 return Ok(());
             }
             bytes.truncate(count);
-            let fault = self.faults.borrow().of(self.source);
+            let fault = self.faults.borrow().for_source(self.source);
             let lost = rng.random_bool(fault.loss.clamp(0.0, 1.0));
-            let held_back = if lost { RETRANSMIT } else { Duration::ZERO };
-            last_due = last_due.max(Instant::now() + fault.delay + held_back);
+            let extra_delay = if lost { RETRANSMIT_DELAY } else { Duration::ZERO };
+            last_due = last_due.max(Instant::now() + fault.delay + extra_delay);
             if chunks.send_async(Chunk { due: last_due, bytes }).await.is_err() {
                 return Ok(());
             }
@@ -266,35 +266,35 @@
 }
 
 async fn write_chunks(
-    link: Rc<Link>,
+    relay: Rc<Relay>,
     mut tx: OwnedWriteHalf,
     chunks: flume::Receiver<Chunk>,
     direction: Direction,
 ) -> io::Result<()> {
-    let mut faults = link.faults.clone();
+    let mut faults = relay.faults.clone();
     let mut written = 0;
     while let Ok(chunk) = chunks.recv_async().await {
-        // A timer that is due already still costs a tick.
+        // Sleeping until a past instant still takes a timer tick.
         if Instant::now() < chunk.due {
             tokio::time::sleep_until(chunk.due).await;
         }
-        let open = |faults: &Faults| !holds(&faults.of(link.source), direction);
-        if faults.wait_for(open).await.is_err() {
+        let is_open = |faults: &FaultTable| !is_held(&faults.for_source(relay.source), direction);
+        if faults.wait_for(is_open).await.is_err() {
             return Ok(());
         }
         written += chunk.bytes.len() as u64;
         tx.write_all(&chunk.bytes).await?;
-        let cut_after = link.faults.borrow().of(link.source).cut_after;
-        if direction == Direction::Answers && cut_after.is_some_and(|limit| limit <= written) {
+        let cut_after = relay.faults.borrow().for_source(relay.source).cut_after;
+        if direction == Direction::Responses && cut_after.is_some_and(|limit| limit <= written) {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
     }
     tx.shutdown().await
 }
 
-fn holds(fault: &Fault, direction: Direction) -> bool {
+fn is_held(fault: &Fault, direction: Direction) -> bool {
     match direction {
         Direction::Requests => fault.hold_requests,
-        Direction::Answers => fault.hold_responses,
+        Direction::Responses => fault.hold_responses,
     }
 }
--- a/crates/bench/src/quorum_bench.rs
+++ b/crates/bench/src/quorum_bench.rs
@@ -1,4 +1,4 @@
-//! Measures the quorum: commits, restarts, elections and how fast a change is in force.
+//! `bench quorum`: measures commits, restarts, elections and the time until a change is in force.
 
 use std::{
     fmt, fs,
@@ -23,86 +23,87 @@
     site::{Site, SiteSpec},
 };
 
-/// Time of one measurement of commits.
-const SPAN: Duration = Duration::from_secs(2);
+/// Duration of one measurement of commits.
+const COMMIT_DURATION: Duration = Duration::from_secs(2);
 
-/// Time of the measurement at rest.
-const IDLE: Duration = Duration::from_secs(3);
+/// Duration of the measurement without load.
+const IDLE_DURATION: Duration = Duration::from_secs(3);
 
-/// Delay between data centres, one way.
-const DELAY: Duration = Duration::from_millis(5);
+/// One-way delay between data centres.
+const ONE_WAY_DELAY: Duration = Duration::from_millis(5);
 
-/// Claims under way at once.
-const CONCURRENCY: [usize; 3] = [1, 16, 128];
+/// Numbers of concurrent claims.
+const CONCURRENCIES: [usize; 3] = [1, 16, 128];
 
-const VOTERS: [usize; 2] = [3, 5];
+/// Numbers of voters.
+const VOTER_COUNTS: [usize; 2] = [3, 5];
 
-/// Times that the leader is killed, and changes timed.
+/// Number of elections and of changes to measure.
 const SAMPLES: u64 = 5;
 
-/// Time for one answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time limit of one response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Changes before a restart.
-const CHANGES: [u64; 2] = [1_000, 100_000];
+/// Numbers of changes before a restart.
+const CHANGE_COUNTS: [u64; 2] = [1_000, 100_000];
 
-/// Entries in one sync of a prepared log.
-const BATCH: u64 = 500;
+/// Entries per sync while writing a log.
+const ENTRIES_PER_SYNC: u64 = 500;
 
-/// Entries after which a snapshot replaces a prepared log, as in the daemon.
+/// Entries after which the written log is replaced by a snapshot, as in the daemon.
 const SNAPSHOT_ENTRIES: u64 = 4_096;
 
-/// Ticks of processor time in a second, as Linux counts them for processes.
+/// Clock ticks per second in which Linux counts a process's CPU time.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// What was measured.
+/// Results of the measurements.
 #[derive(Clone, Debug, Serialize)]
-pub struct QuorumFigures {
+pub struct QuorumReport {
     /// Commits under load.
-    pub commits: Vec<CommitFigures>,
-    /// Processor time of all voters in a second at rest, in microseconds.
+    pub commits: Vec<CommitReport>,
+    /// CPU time of all voters per second without load, in microseconds.
     pub idle_cpu_us: f64,
-    /// Bytes written to disk by all voters in a second at rest.
+    /// Bytes written to disk by all voters per second without load.
     pub idle_disk_bytes: f64,
-    /// From the leader's death to the next answer of a leader, in milliseconds.
+    /// From the leader's kill to the first response of a new leader, in milliseconds.
     pub leaderless_ms: Vec<f64>,
-    /// From sending a change until it was in force on all hosts, in milliseconds.
+    /// From sending a change until it is in force on all hosts, in milliseconds.
     pub in_force_ms: Vec<f64>,
-    /// Opening and replaying a voter's folder in this process.
-    pub restarts: Vec<RestartFigures>,
+    /// Times to open and replay a voter's data folder in this process.
+    pub restarts: Vec<RestartReport>,
 }
 
-/// Commits of claims and their releases at one concurrency.
+/// Commits of claims and releases at one concurrency.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct CommitFigures {
-    /// Voters.
+pub struct CommitReport {
+    /// Number of voters.
     pub voters: usize,
-    /// Delay between hosts, one way, in milliseconds.
+    /// One-way delay between hosts, in milliseconds.
     pub delay_ms: u64,
-    /// Claims under way at once.
+    /// Concurrent claims.
     pub concurrency: usize,
-    /// Commits a second.
+    /// Commits per second.
     pub per_second: f64,
-    /// Median time of a claim's commit, in milliseconds.
+    /// Median time to commit a claim, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile, in milliseconds.
+    /// 99th percentile of the time to commit a claim, in milliseconds.
     pub p99_ms: f64,
-    /// Processor time of all voters for a commit, in microseconds.
+    /// CPU time of all voters per commit, in microseconds.
     pub cpu_us: f64,
-    /// Bytes written to disk by all voters for a commit.
+    /// Bytes written to disk by all voters per commit.
     pub disk_bytes: f64,
 }
 
 /// A restart after many changes.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct RestartFigures {
-    /// Changes before it.
+pub struct RestartReport {
+    /// Changes before the restart.
     pub changes: u64,
-    /// Its time, in milliseconds.
+    /// Time to open and replay the data folder, in milliseconds.
     pub millis: f64,
 }
 
-/// What processes have used.
+/// CPU time and disk writes of a group of processes.
 #[derive(Clone, Copy, Debug, Default)]
 struct Usage {
     cpu_us: f64,
@@ -113,30 +114,30 @@
 ///
 /// # Errors
 ///
-/// Returns an error if a site doesn't come up or stops answering.
-pub fn run(program: &Program, seed: u64) -> eyre::Result<QuorumFigures> {
+/// Returns an error if a site doesn't start or stops responding.
+pub fn run(program: &Program, seed: u64) -> eyre::Result<QuorumReport> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let mut commits = Vec::new();
-        for voters in VOTERS {
+        for voters in VOTER_COUNTS {
             let site = start(program, voters, seed)?;
             commits.extend(measure_commits(&site, voters, Duration::ZERO).await?);
-            site.peer_proxies.iter().for_each(|proxy| proxy.set(Fault::delay(DELAY)));
-            commits.extend(measure_commits(&site, voters, DELAY).await?);
+            site.peer_proxies.iter().for_each(|proxy| proxy.set(Fault::delay(ONE_WAY_DELAY)));
+            commits.extend(measure_commits(&site, voters, ONE_WAY_DELAY).await?);
         }
-        let mut site = start(program, VOTERS[0], seed)?;
+        let mut site = start(program, VOTER_COUNTS[0], seed)?;
         let before = usage(&site.daemons)?;
-        tokio::time::sleep(IDLE).await;
+        tokio::time::sleep(IDLE_DURATION).await;
         let idle = usage(&site.daemons)?.since(before);
         let in_force_ms = measure_changes(&site).await?;
         let leaderless_ms = measure_elections(&mut site).await?;
-        Ok(QuorumFigures {
+        Ok(QuorumReport {
             commits,
-            idle_cpu_us: idle.cpu_us / IDLE.as_secs_f64(),
-            idle_disk_bytes: idle.disk_bytes / IDLE.as_secs_f64(),
+            idle_cpu_us: idle.cpu_us / IDLE_DURATION.as_secs_f64(),
+            idle_disk_bytes: idle.disk_bytes / IDLE_DURATION.as_secs_f64(),
             leaderless_ms,
             in_force_ms,
-            restarts: CHANGES.into_iter().map(measure_restart).collect::<Result<_, _>>()?,
+            restarts: CHANGE_COUNTS.into_iter().map(measure_restart).collect::<Result<_, _>>()?,
         })
     })
 }
@@ -152,23 +153,23 @@
     site: &Site,
     voters: usize,
     delay: Duration,
-) -> eyre::Result<Vec<CommitFigures>> {
-    let mut figures = Vec::new();
-    for concurrency in CONCURRENCY {
+) -> eyre::Result<Vec<CommitReport>> {
+    let mut reports = Vec::new();
+    for concurrency in CONCURRENCIES {
         let leader = operator::leader(&site.daemons).await?;
         let client = operator::connect(&site.daemons[leader]).await?;
         let before = usage(&site.daemons)?;
-        let begun = Instant::now();
-        let claimers = (0..concurrency).map(|number| claim_for_a_while(&client, number, begun));
+        let started = Instant::now();
+        let claimers = (0..concurrency).map(|number| run_claims(&client, number, started));
         let latencies = future::try_join_all(claimers).await?;
-        let elapsed = begun.elapsed().as_secs_f64();
+        let elapsed = started.elapsed().as_secs_f64();
         let used = usage(&site.daemons)?.since(before);
         let mut histogram = Histogram::<u64>::new(3)?;
         for latency in latencies.into_iter().flatten() {
             histogram.record(u64::try_from(latency.as_micros())?)?;
         }
         let commits = 2.0 * histogram.len() as f64;
-        figures.push(CommitFigures {
+        reports.push(CommitReport {
             voters,
             delay_ms: u64::try_from(delay.as_millis())?,
             concurrency,
@@ -179,19 +180,19 @@
             disk_bytes: used.disk_bytes / commits,
         });
     }
-    Ok(figures)
+    Ok(reports)
 }
 
-/// Claims calls and releases them; returns how long each claim's commit took.
-async fn claim_for_a_while(
+/// Claims and releases calls for [`COMMIT_DURATION`]; returns the time to commit each claim.
+async fn run_claims(
     client: &PeerClient,
     number: usize,
-    begun: Instant,
+    started: Instant,
 ) -> eyre::Result<Vec<Duration>> {
     let organisation: OrganisationId = format!("organisation-{number}").parse()?;
     let owner = Owner { host: "bench".parse()?, incarnation: Incarnation::new(1) };
     let mut latencies = Vec::new();
-    while begun.elapsed() < SPAN {
+    while started.elapsed() < COMMIT_DURATION {
         let id: u128 = rand::random();
         let key: IdempotencyKey = format!("{id:032x}").parse()?;
         let claim = Claim {
@@ -217,9 +218,9 @@
 }
 
 async fn commit(client: &PeerClient, command: Command) -> eyre::Result<()> {
-    let answer = client.submit(&LeaderRequest::Command(command), ANSWER_TIMEOUT).await?;
-    let committed = matches!(answer, PeerAnswer::Answered(LeaderAnswer::Reply(_)));
-    ensure!(committed, "not committed: {answer:?}");
+    let response = client.submit(&LeaderRequest::Command(command), RESPONSE_TIMEOUT).await?;
+    let committed = matches!(response, PeerAnswer::Answered(LeaderAnswer::Reply(_)));
+    ensure!(committed, "command not committed: {response:?}");
     Ok(())
 }
 
@@ -227,13 +228,15 @@
     let mut millis = Vec::new();
     for number in 0..SAMPLES {
         let change = operator::change(&format!("change-{number}"), number, "");
-        let begun = Instant::now();
+        let started = Instant::now();
         let reply = operator::submit_change(&site.daemons, change).await?;
-        let ChangeReply::Changed(revision) = reply else { eyre::bail!("refused: {reply:?}") };
+        let ChangeReply::Changed(revision) = reply else {
+            eyre::bail!("change refused: {reply:?}")
+        };
         for daemon in &site.daemons {
             while operator::configuration(daemon).await?.is_none_or(|c| c.revision < revision) {}
         }
-        millis.push(in_millis(begun.elapsed()));
+        millis.push(in_millis(started.elapsed()));
     }
     Ok(millis)
 }
@@ -243,20 +246,20 @@
     for _ in 0..SAMPLES {
         let leader = operator::leader(&site.daemons).await?;
         site.daemons[leader].kill()?;
-        let begun = Instant::now();
+        let started = Instant::now();
         operator::leader(&site.daemons).await?;
-        millis.push(in_millis(begun.elapsed()));
+        millis.push(in_millis(started.elapsed()));
         site.daemons[leader].start_again()?;
-        site.daemons[leader].wait_ready(ANSWER_TIMEOUT)?;
+        site.daemons[leader].wait_ready(RESPONSE_TIMEOUT)?;
     }
     Ok(millis)
 }
 
-/// Times the opening of a folder that has taken `changes`, in this process.
-fn measure_restart(changes: u64) -> eyre::Result<RestartFigures> {
+/// Measures the time to open a data folder that holds `changes` changes, in this process.
+fn measure_restart(changes: u64) -> eyre::Result<RestartReport> {
     let folder = tempfile::tempdir()?;
     write_changes(folder.path(), changes)?;
-    let begun = Instant::now();
+    let started = Instant::now();
     let (_log, restored) = Log::open(folder.path(), RealDisk, FolderId::new(1))?;
     let mut fleet = match &restored.snapshot {
         Some(snapshot) => Fleet::from_snapshot(&snapshot.data)?,
@@ -267,18 +270,18 @@
             fleet.apply(entry.index, &Command::from_bytes(command)?);
         }
     }
-    let millis = in_millis(begun.elapsed());
-    ensure!(fleet.revision().as_u64() == changes, "changes are missing");
-    Ok(RestartFigures { changes, millis })
+    let millis = in_millis(started.elapsed());
+    ensure!(fleet.revision().as_u64() == changes, "some changes were not restored");
+    Ok(RestartReport { changes, millis })
 }
 
 fn write_changes(folder: &std::path::Path, changes: u64) -> eyre::Result<()> {
     let (mut log, _) = Log::open(folder, RealDisk, FolderId::new(1))?;
     let mut fleet = Fleet::default();
-    let mut covered = 0;
-    for first in (0..changes).step_by(usize::try_from(BATCH)?) {
+    let mut snapshot_index = 0;
+    for first in (0..changes).step_by(usize::try_from(ENTRIES_PER_SYNC)?) {
         let mut entries = Vec::new();
-        for number in first..changes.min(first + BATCH) {
+        for number in first..changes.min(first + ENTRIES_PER_SYNC) {
             let text = format!("[defaults]\nclaim-wait = \"{}ms\"\n", 1_000 + number % 1_000);
             let change = operator::change(&format!("change-{number}"), number, &text);
             let command = Command::Change(change);
@@ -290,8 +293,8 @@
         log.stage(None, &entries);
         log.sync()?;
         let applied = fleet.applied();
-        if SNAPSHOT_ENTRIES <= applied.as_u64() - covered {
-            covered = applied.as_u64();
+        if SNAPSHOT_ENTRIES <= applied.as_u64() - snapshot_index {
+            snapshot_index = applied.as_u64();
             log.save_snapshot(&Snapshot {
                 last_index: applied,
                 last_term: Term::new(1),
@@ -313,7 +316,7 @@
         sum.cpu_us += ticks as f64 / TICKS_PER_SECOND * 1e6;
         let io = fs::read_to_string(format!("/proc/{pid}/io"))?;
         let written = io.lines().find_map(|line| line.strip_prefix("write_bytes: "));
-        let written: u64 = written.wrap_err("no count of bytes written")?.parse()?;
+        let written: u64 = written.wrap_err("the process has no write_bytes counter")?.parse()?;
         sum.disk_bytes += written as f64;
     }
     Ok(sum)
@@ -332,7 +335,7 @@
     }
 }
 
-impl fmt::Display for QuorumFigures {
+impl fmt::Display for QuorumReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "voters delay/ms claims commits/s p50/ms p99/ms cpu/us disk/B")?;
         for row in &self.commits {
@@ -349,9 +352,9 @@
                 row.disk_bytes
             )?;
         }
-        writeln!(f, "idle second: {:.0} us, {:.0} B", self.idle_cpu_us, self.idle_disk_bytes)?;
-        writeln!(f, "without a leader, ms: {:.0?}", self.leaderless_ms)?;
-        writeln!(f, "change in force on all, ms: {:.0?}", self.in_force_ms)?;
+        writeln!(f, "idle, per second: {:.0} us, {:.0} B", self.idle_cpu_us, self.idle_disk_bytes)?;
+        writeln!(f, "time without a leader, ms: {:.0?}", self.leaderless_ms)?;
+        writeln!(f, "time until a change is in force on all hosts, ms: {:.0?}", self.in_force_ms)?;
         for restart in &self.restarts {
             writeln!(f, "restart after {} changes: {:.1} ms", restart.changes, restart.millis)?;
         }
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run counted, and its percentiles.
+//! Counts and latency percentiles of a run.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -8,53 +8,53 @@
 
 use crate::fake::EngineCounts;
 
-/// Longest time that a histogram holds, in microseconds.
+/// Longest time that a histogram can record, in microseconds.
 const MAX_MICROS: u64 = 60_000_000;
 
-/// What became of a run's requests.
+/// Outcomes of a run's requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Totals {
     /// Requests sent.
     pub requests: u64,
-    /// Requests answered whole.
+    /// Requests with a complete response.
     pub answered: u64,
-    /// Orders answered as run that never ran.
+    /// Orders reported as run that never ran.
     pub lost: u64,
     /// Orders that ran more than once.
     pub doubled: u64,
-    /// Answers to something else.
+    /// Responses to another request.
     pub crossed: u64,
-    /// Answers that ended early without saying so.
+    /// Responses that ended early without an explicit failure.
     pub incomplete: u64,
-    /// Requests refused or failed as not run.
+    /// Requests refused or failed with the verdict not run.
     pub not_run: u64,
-    /// Requests that may have run.
+    /// Requests failed with the verdict may have run.
     pub may_have_run: u64,
-    /// Orders refused as not run that did run.
+    /// Orders reported as not run that did run.
     pub false_not_run: u64,
 }
 
-/// Counts and times of a run, as fakes and callers saw them.
+/// Counts and times of a run, from the callers and the fakes.
 #[derive(Debug)]
 pub struct Counts {
-    /// What became of requests.
+    /// Outcomes of the requests.
     pub totals: Totals,
     /// Completions by organisation.
     pub organisations: BTreeMap<OrganisationId, Completions>,
-    /// From request to first token.
+    /// Time to first token.
     pub first_token: Histogram<u64>,
-    /// Between tokens.
+    /// Time between tokens.
     pub gap: Histogram<u64>,
-    /// First-token time beyond the engine's own.
+    /// Time to first token minus the engine's own time to first token.
     pub added: Histogram<u64>,
 }
 
 /// Completions of one organisation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Completions {
-    /// Asked for.
+    /// Completions requested.
     pub asked: u64,
-    /// Answered whole.
+    /// Completions with a complete response.
     pub answered: u64,
 }
 
@@ -71,8 +71,8 @@
 }
 
 impl Counts {
-    /// Counts a failure by its verdict; a failure without one ends in silence.
-    pub fn fail(&mut self, verdict: Option<Verdict>) {
+    /// Counts a failure by its verdict; one without a verdict counts as incomplete.
+    pub fn count_failure(&mut self, verdict: Option<Verdict>) {
         match verdict {
             Some(Verdict::NotRun) => self.totals.not_run += 1,
             Some(Verdict::MayHaveRun | Verdict::Ran) => self.totals.may_have_run += 1,
@@ -86,7 +86,7 @@
     Histogram::new_with_bounds(1, MAX_MICROS, 3).expect("the bounds are valid")
 }
 
-/// Records a time.
+/// Records a duration, capped at the histogram's maximum.
 pub fn record(histogram: &mut Histogram<u64>, span: Duration) {
     histogram.saturating_record(u64::try_from(span.as_micros()).unwrap_or(MAX_MICROS));
 }
@@ -96,21 +96,22 @@
     histogram.value_at_percentile(percentile) as f64 / 1_000.0
 }
 
-/// The figures of a run, as printed.
+/// A run's results, as printed.
 #[derive(Clone, Debug, Serialize)]
 pub struct Summary {
-    /// What became of requests.
+    /// Outcomes of the requests.
     #[serde(flatten)]
     pub totals: Totals,
-    /// Requests with a cache salt that belongs to another owner.
+    /// Requests with a cache salt of another owner.
     pub wrong_salts: u64,
-    /// Fetches of cached blocks that gave blocks of another name.
+    /// Fetches of cached blocks that returned other blocks than requested.
     pub wrong_transfers: u64,
     /// Share of prompt tokens found cached.
     pub hit_rate: f64,
-    /// Prompt tokens computed again.
+    /// Prompt tokens computed more than once.
     pub wasted_tokens: u64,
-    /// Prompt tokens fetched from another engine or the store; they count as cached.
+    /// Prompt tokens whose blocks were fetched from another engine or the KV store; they count as
+    /// cached.
     pub fetched_tokens: u64,
     /// Time to first token, median, in milliseconds.
     pub ttft_p50_ms: f64,
@@ -120,14 +121,14 @@
     pub ttft_p99_ms: f64,
     /// Time between tokens, 95th percentile, in milliseconds.
     pub gap_p95_ms: f64,
-    /// First-token time beyond the engine's own, median, in milliseconds.
+    /// Time to first token minus the engine's own, median, in milliseconds.
     pub added_p50_ms: f64,
-    /// First-token time beyond the engine's own, 99th percentile, in milliseconds.
+    /// Time to first token minus the engine's own, 99th percentile, in milliseconds.
     pub added_p99_ms: f64,
 }
 
 impl Summary {
-    /// Sums up a run.
+    /// Summarises a run on a site.
     pub fn new(counts: &Counts, site: &crate::site::Site) -> Self {
         let engines = site.engines.iter().map(|node| node.engine.counts());
         let engines = engines.fold(EngineCounts::default(), |sum, counts| sum.plus(&counts));
@@ -149,12 +150,12 @@
             added_p50_ms: percentile_ms(&counts.added, 50.0),
             added_p99_ms: percentile_ms(&counts.added, 99.0),
         };
-        summary.count_engines(&engines);
+        summary.set_engine_counts(&engines);
         summary
     }
 
-    /// Replaces what the engines counted.
-    pub fn count_engines(&mut self, engines: &EngineCounts) {
+    /// Replaces the engines' counts.
+    pub fn set_engine_counts(&mut self, engines: &EngineCounts) {
         self.hit_rate = engines.cached_tokens as f64 / engines.prompt_tokens.max(1) as f64;
         self.wasted_tokens = engines.wasted_tokens;
         self.fetched_tokens = engines.fetched_tokens;
--- a/crates/bench/src/restarts.rs
+++ b/crates/bench/src/restarts.rs
@@ -1,4 +1,5 @@
-//! `bench restarts`: what it costs that routers are killed and start again, one and all at once.
+//! `bench restarts`: measures failures, latency and hit rate when one router, or all of them at once,
+//! are killed and started again.
 
 use std::{
     sync::{
@@ -16,7 +17,7 @@
 use serde::Serialize;
 
 use crate::{
-    balancer::{Balanced, Balancer},
+    balancer::{BalancedOutcome, Balancer},
     caller::{CompletionSpec, block_on},
     load,
     process::Program,
@@ -24,34 +25,34 @@
     site::{Site, SiteSpec, organisation_key},
 };
 
-/// Requests a second.
-const RATE: f64 = 40.0;
+/// Requests per second.
+const REQUESTS_PER_SECOND: f64 = 40.0;
 
-/// Time before anything is counted.
-const WARM_UP: Duration = Duration::from_secs(8);
+/// Time before the first window.
+const WARM_UP_TIME: Duration = Duration::from_secs(8);
 
-/// Time over which a window counts.
-const WINDOW: Duration = Duration::from_secs(10);
+/// Duration of a window.
+const WINDOW_DURATION: Duration = Duration::from_secs(10);
 
-/// Time between two windows.
-const SETTLE: Duration = Duration::from_secs(3);
+/// Time to recover between the windows after restarts.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Most that the hit rate may fall after a restart.
+/// Largest allowed drop of the hit rate after a restart.
 const MAX_HIT_RATE_LOSS: f64 = 0.02;
 
-/// Most that the time to first token may grow after a restart.
-const MAX_FIRST_TOKEN_RATIO: f64 = 1.2;
+/// Largest allowed ratio of the p99 time to first token after a restart to that before.
+const MAX_TTFT_RATIO: f64 = 1.2;
 
-/// What happened in a window.
+/// Counts and latencies of a time window.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Window {
-    /// Requests that ended.
+    /// Completed requests, failed ones included.
     pub requests: u64,
-    /// Requests without a whole answer.
+    /// Requests without a complete response.
     pub failed: u64,
-    /// Why the first of them failed.
+    /// Reason of the first failure.
     pub failure: Option<String>,
-    /// Connections refused and tried at another host.
+    /// Connections refused and retried at another host.
     pub refused: u64,
     /// Streams cut and resumed at another host.
     pub cut: u64,
@@ -63,26 +64,27 @@
     pub ttft_p99_ms: f64,
 }
 
-/// The windows, and whether those after restarts meet the targets.
+/// The measured windows, and whether those after restarts meet the targets.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Without restarts.
+    /// Window without restarts.
     pub steady: Window,
-    /// After one router was killed and started again.
+    /// Window after one router was killed and started again.
     pub after_one: Window,
-    /// After all routers were killed and started again at once.
+    /// Window after all routers were killed and started again at once.
     pub after_all: Window,
-    /// Whether one restart costs at most 2 points of hit rate and 1.2 times the p99 TTFT.
+    /// Whether, after one restart, the hit rate is at most 2 points lower, the p99 TTFT at most 1.2
+    /// times as long, and no request failed.
     pub one_meets_targets: bool,
-    /// Whether the restart of all does.
+    /// The same for the restart of all routers.
     pub all_meet_targets: bool,
 }
 
-/// Measures the restarts on a site of its own.
+/// Measures restarts on a new site.
 ///
 /// # Errors
 ///
-/// Returns an error if the site doesn't come up, or a daemon can't be restarted.
+/// Returns an error if the site doesn't start, or a daemon can't be restarted.
 pub fn run(program: &Program, seed: u64) -> eyre::Result<Report> {
     let spec = SiteSpec {
         daemons: vec!["a", "a", "b", "b", "c", "c"],
@@ -92,19 +94,19 @@
         ..SiteSpec::small()
     };
     let mut site = Site::start(program, spec)?;
-    let load = RunningLoad::start(&site, RATE, seed);
-    std::thread::sleep(WARM_UP);
-    let steady = load.window(&site);
+    let load = RunningLoad::start(&site, REQUESTS_PER_SECOND, seed);
+    std::thread::sleep(WARM_UP_TIME);
+    let steady = load.measure_window(&site);
     site.daemons[0].restart()?;
-    let after_one = load.window(&site);
-    std::thread::sleep(SETTLE);
+    let after_one = load.measure_window(&site);
+    std::thread::sleep(SETTLE_TIME);
     for daemon in &mut site.daemons {
         daemon.kill()?;
     }
     for daemon in &mut site.daemons {
         daemon.start_again()?;
     }
-    let after_all = load.window(&site);
+    let after_all = load.measure_window(&site);
     load.stop();
     Ok(Report {
         one_meets_targets: meets_targets(&steady, &after_one),
@@ -117,7 +119,7 @@
 
 fn meets_targets(steady: &Window, after: &Window) -> bool {
     steady.hit_rate - MAX_HIT_RATE_LOSS <= after.hit_rate
-        && after.ttft_p99_ms <= steady.ttft_p99_ms * MAX_FIRST_TOKEN_RATIO
+        && after.ttft_p99_ms <= steady.ttft_p99_ms * MAX_TTFT_RATIO
         && after.failed == 0
 }
 
@@ -125,8 +127,9 @@
 pub fn table(report: &Report) -> Table {
     let mut table = Table::new();
     table.load_preset(UTF8_FULL_CONDENSED);
-    let head = "window|requests|failed|refused|cut|hit rate|TTFT p50 ms|TTFT p99 ms|meets targets";
-    table.set_header(head.split('|'));
+    let header =
+        "window|requests|failed|refused|cut|hit rate|TTFT p50 ms|TTFT p99 ms|meets targets";
+    table.set_header(header.split('|'));
     let rows = [
         ("steady", &report.steady, None),
         ("one restarted", &report.after_one, Some(report.one_meets_targets)),
@@ -148,46 +151,46 @@
     table
 }
 
-/// A load that runs on a thread of its own, through a balancer.
+/// A load that is sent through a balancer from a background thread.
 pub struct RunningLoad {
     stop: Arc<AtomicBool>,
-    counted: Arc<Mutex<Counted>>,
+    counts: Arc<Mutex<WindowCounts>>,
     thread: JoinHandle<()>,
 }
 
-struct Counted {
+struct WindowCounts {
     window: Window,
     first_token: Histogram<u64>,
 }
 
-impl Default for Counted {
+impl Default for WindowCounts {
     fn default() -> Self {
         Self { window: Window::default(), first_token: histogram() }
     }
 }
 
 impl RunningLoad {
-    /// Starts to send `rate` completions a second to a site.
+    /// Starts to send `rate` completions per second to a site.
     pub fn start(site: &Site, rate: f64, seed: u64) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
-        let counted = Arc::new(Mutex::new(Counted::default()));
+        let counts = Arc::new(Mutex::new(WindowCounts::default()));
         let balancer = Balancer::start(&site.daemons);
         let spec = site.spec.clone();
         let thread = {
-            let (stop, counted) = (Arc::clone(&stop), Arc::clone(&counted));
+            let (stop, counts) = (Arc::clone(&stop), Arc::clone(&counts));
             std::thread::spawn(move || {
-                block_on(send(&spec, &balancer, rate, seed, &stop, &counted));
+                block_on(send(&spec, &balancer, rate, seed, &stop, &counts));
             })
         };
-        Self { stop, counted, thread }
+        Self { stop, counts, thread }
     }
 
-    /// Counts what happens in a window from now.
-    pub fn window(&self, site: &Site) -> Window {
+    /// Measures a window that starts now.
+    pub fn measure_window(&self, site: &Site) -> Window {
         let before = prompt_tokens(site);
         self.take();
-        std::thread::sleep(WINDOW);
-        let Counted { mut window, first_token } = self.take();
+        std::thread::sleep(WINDOW_DURATION);
+        let WindowCounts { mut window, first_token } = self.take();
         let after = prompt_tokens(site);
         let [prompt, cached] = [after[0] - before[0], after[1] - before[1]];
         window.hit_rate = cached as f64 / prompt.max(1) as f64;
@@ -196,12 +199,12 @@
         window
     }
 
-    /// Returns what was counted since the last call.
-    fn take(&self) -> Counted {
-        std::mem::take(&mut *self.counted.lock().unwrap_or_else(PoisonError::into_inner))
+    /// Returns the counts since the last call and resets them.
+    fn take(&self) -> WindowCounts {
+        std::mem::take(&mut *self.counts.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Ends the load, waits for all answers and returns what was counted since the last window.
+    /// Stops the load, waits for all responses and returns the counts since the last window.
     ///
     /// # Panics
     ///
@@ -209,11 +212,11 @@
     pub fn stop(self) -> Window {
         self.stop.store(true, Ordering::Release);
         self.thread.join().expect("callers don't panic");
-        std::mem::take(&mut self.counted.lock().unwrap_or_else(PoisonError::into_inner).window)
+        std::mem::take(&mut self.counts.lock().unwrap_or_else(PoisonError::into_inner).window)
     }
 }
 
-/// Returns the prompt tokens that arrived at engines, and those of them that were cached.
+/// Returns the prompt tokens received by the engines, and how many of them were cached.
 fn prompt_tokens(site: &Site) -> [u64; 2] {
     let counts = site.engines.iter().map(|node| node.engine.counts());
     counts
@@ -226,24 +229,24 @@
     rate: f64,
     seed: u64,
     stop: &AtomicBool,
-    counted: &Arc<Mutex<Counted>>,
+    counts: &Arc<Mutex<WindowCounts>>,
 ) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let begun = tokio::time::Instant::now();
+    let started = tokio::time::Instant::now();
     let mut due = Duration::ZERO;
     let mut tasks = Vec::new();
     for number in 0.. {
         let uniform: f64 = rng.random_range(f64::EPSILON..1.0);
         due += Duration::from_secs_f64(-uniform.ln() / rate);
-        tokio::time::sleep_until(begun + due).await;
+        tokio::time::sleep_until(started + due).await;
         if stop.load(Ordering::Acquire) {
             break;
         }
-        let ask = plan(spec, number, &mut rng);
-        let (balancer, counted) = (balancer.clone(), Arc::clone(counted));
+        let request = plan(spec, number, &mut rng);
+        let (balancer, counts) = (balancer.clone(), Arc::clone(counts));
         tasks.push(tokio::task::spawn_local(async move {
-            let balanced = balancer.ask(&ask).await;
-            count(&balanced, &mut counted.lock().unwrap_or_else(PoisonError::into_inner));
+            let outcome = balancer.complete(&request).await;
+            count(&outcome, &mut counts.lock().unwrap_or_else(PoisonError::into_inner));
         }));
     }
     for task in tasks {
@@ -264,15 +267,15 @@
     }
 }
 
-fn count(balanced: &Balanced, counted: &mut Counted) {
-    counted.window.requests += 1;
-    counted.window.refused += balanced.refused;
-    counted.window.cut += balanced.cut;
-    if let Some(why) = &balanced.failed {
-        counted.window.failed += 1;
-        counted.window.failure.get_or_insert_with(|| why.clone());
+fn count(outcome: &BalancedOutcome, counts: &mut WindowCounts) {
+    counts.window.requests += 1;
+    counts.window.refused += outcome.refused;
+    counts.window.cut += outcome.cut;
+    if let Some(reason) = &outcome.failed {
+        counts.window.failed += 1;
+        counts.window.failure.get_or_insert_with(|| reason.clone());
     }
-    if let Some(first_token) = balanced.first_token {
-        record(&mut counted.first_token, first_token);
+    if let Some(first_token) = outcome.first_token {
+        record(&mut counts.first_token, first_token);
     }
 }
--- a/crates/bench/src/site.rs
+++ b/crates/bench/src/site.rs
@@ -1,4 +1,4 @@
-//! A site on one machine: daemons, fakes, and proxies before the endpoints.
+//! A site on one machine: daemons, fake endpoints, and proxies before daemons and endpoints.
 
 use std::{net::SocketAddr, path::Path, time::Duration};
 
@@ -18,48 +18,48 @@
     process::{Daemon, DaemonSpec, Program, wait_until},
 };
 
-/// The fleet's key in tests and demonstrations.
+/// Fleet key in tests and demonstrations.
 pub const FLEET_KEY: &str = "fleet-key-for-tests-only";
 
-/// An operator's key in tests and demonstrations.
+/// Operator key in tests and demonstrations.
 pub const OPERATOR_KEY: &str = "operator-key-for-tests-only";
 
-/// Time for a site to come up.
+/// Time limit for a site to start.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Peers that a daemon is told of at its start.
-const SEEDS: usize = 3;
+/// Most seed peers of a daemon.
+const MAX_SEED_PEERS: usize = 3;
 
-/// Time that a service takes for a call.
-const SERVICE_SPAN: Duration = Duration::from_millis(5);
+/// Time that a fake service takes to handle a call.
+const SERVICE_TIME: Duration = Duration::from_millis(5);
 
-/// Blocks that the store of kept KV holds.
-const KEPT_BLOCKS: usize = 200_000;
+/// Capacity of the KV store, in blocks.
+const KV_STORE_BLOCKS: usize = 200_000;
 
-/// What a site consists of.
+/// Configuration of a site.
 #[derive(Clone, Debug)]
 pub struct SiteSpec {
     /// Data centre of each daemon.
     pub daemons: Vec<&'static str>,
-    /// How many daemons, from the first, vote in the quorum.
+    /// Number of voters; the first daemons are the voters.
     pub voters: usize,
     /// Data centre of each engine.
     pub engines: Vec<&'static str>,
     /// Data centre of each endpoint of the plain service.
     pub services: Vec<&'static str>,
-    /// Data centre of the store of kept KV, if there is one.
+    /// Data centre of the KV store, if there is one.
     pub kept_kv: Option<&'static str>,
     /// The model that the engines serve.
     pub model: ModelId,
     /// The plain service.
     pub service: ServiceId,
-    /// The organisations that call.
+    /// The calling organisations.
     pub organisations: Vec<OrganisationId>,
-    /// Settings of every daemon, as flags with their values.
+    /// Settings of every daemon, as flags and values.
     pub flags: Vec<(&'static str, String)>,
-    /// Changes the settings of every engine.
+    /// Adjusts the settings of every engine.
     pub tune: fn(&mut EngineConfig),
-    /// Decides what the proxies lose.
+    /// Seed of the proxies' packet loss.
     pub seed: u64,
 }
 
@@ -69,19 +69,19 @@
     pub daemons: Vec<Daemon>,
     /// The proxy before the peer address of each daemon.
     pub peer_proxies: Vec<Proxy>,
-    /// The folder of the voters' data folders.
+    /// Temporary folder that contains the voters' data folders.
     pub data: TempDir,
     /// The engines.
     pub engines: Vec<EngineNode>,
     /// The endpoints of the plain service.
     pub services: Vec<ServiceNode>,
-    /// The store of kept KV.
-    pub kept_kv: Option<KeptKvNode>,
-    /// What the engines count together.
+    /// The KV store.
+    pub kept_kv: Option<KvStoreNode>,
+    /// Counts of all engines.
     pub tally: SharedTally,
-    /// How often each order ran.
+    /// Number of runs of each order.
     pub orders: ServiceCounts,
-    /// What it was made from.
+    /// The site's configuration.
     pub spec: SiteSpec,
 }
 
@@ -91,7 +91,7 @@
     pub engine: Engine,
     /// The proxy before it.
     pub proxy: Proxy,
-    /// What announces it.
+    /// Announces it to the routers.
     pub announcer: Announcer,
 }
 
@@ -101,21 +101,21 @@
     pub service: Service,
     /// The proxy before it.
     pub proxy: Proxy,
-    /// What announces it.
+    /// Announces it to the routers.
     pub announcer: Announcer,
 }
 
-/// A store of kept KV, behind a proxy.
-pub struct KeptKvNode {
-    /// The store.
+/// A KV store, behind a proxy.
+pub struct KvStoreNode {
+    /// The KV store.
     pub store: KeptKv,
     /// The proxy before it.
     pub proxy: Proxy,
-    /// What announces it.
+    /// Announces it to the routers.
     pub announcer: Announcer,
 }
 
-/// Returns the bearer key of an organisation.
+/// Returns the API key of an organisation.
 pub fn organisation_key(organisation: &OrganisationId) -> String {
     format!("key-of-{organisation}")
 }
@@ -130,7 +130,7 @@
             engines: vec!["a", "b", "c"],
             services: vec!["a", "b"],
             kept_kv: None,
-            model: id_model("diary-8b"),
+            model: model_id("diary-8b"),
             service: "orders".parse().expect("a valid id"),
             organisations: (1..=8).map(|n| id(&format!("school-{n}"))).collect(),
             flags: Vec::new(),
@@ -141,7 +141,7 @@
 }
 
 impl SiteSpec {
-    /// Returns one daemon before four engines, to measure what the daemon takes.
+    /// Returns a site of one daemon and four engines, to measure the daemon's own cost.
     pub fn one_daemon(tune: fn(&mut EngineConfig)) -> Self {
         Self {
             daemons: vec!["a"],
@@ -154,16 +154,16 @@
     }
 }
 
-fn id_model(text: &str) -> ModelId {
+fn model_id(text: &str) -> ModelId {
     text.parse().expect("a valid id")
 }
 
 impl Site {
-    /// Starts a site and waits until every daemon knows every endpoint.
+    /// Starts a site and waits until every daemon reports every endpoint as ready.
     ///
     /// # Errors
     ///
-    /// Returns an error if a process can't be started or the site doesn't come up in time.
+    /// Returns an error if a process can't be started or the site isn't ready in time.
     pub fn start(program: &Program, spec: SiteSpec) -> eyre::Result<Self> {
         let data = tempfile::tempdir()?;
         let specs: Vec<_> = spec
@@ -201,39 +201,39 @@
         Ok(site)
     }
 
-    /// Returns where callers connect.
+    /// Returns the addresses at which callers connect.
     pub fn routers(&self) -> Vec<SocketAddr> {
         self.daemons.iter().map(|daemon| daemon.spec().listen).collect()
     }
 
-    /// Waits until every daemon knows every endpoint.
+    /// Waits until every daemon reports every endpoint as ready.
     ///
     /// # Errors
     ///
-    /// Returns an error if that takes too long.
+    /// Returns an error if the count isn't reached in time.
     pub fn wait_endpoints(&self) -> eyre::Result<()> {
         let expected =
             self.engines.len() + self.services.len() + usize::from(self.kept_kv.is_some());
         self.daemons.iter().try_for_each(|daemon| self.wait_endpoint_count(daemon, expected))
     }
 
-    /// Waits until a daemon knows `expected` endpoints.
+    /// Waits until a daemon reports `expected` ready endpoints.
     ///
     /// # Errors
     ///
-    /// Returns an error if that takes too long.
+    /// Returns an error if the count isn't reached in time.
     pub fn wait_endpoint_count(&self, daemon: &Daemon, expected: usize) -> eyre::Result<()> {
-        let what = format!("{} knows {expected} endpoints", daemon.spec().host);
+        let what = format!("{} reports {expected} ready endpoints", daemon.spec().host);
         wait_until(&what, START_TIMEOUT, || self.ready_endpoint_count(daemon) == Some(expected))
     }
 
-    /// Returns how many endpoints a daemon knows, if it answers.
+    /// Returns how many ready endpoints a daemon reports, or `None` if it doesn't respond.
     pub fn ready_endpoint_count(&self, daemon: &Daemon) -> Option<usize> {
-        known_endpoints(daemon.spec().admin_listen)
+        count_ready_endpoints(daemon.spec().admin_listen)
     }
 
     fn start_endpoints(&mut self) {
-        self.kept_kv = self.spec.kept_kv.map(|data_centre| self.start_kept_kv(data_centre));
+        self.kept_kv = self.spec.kept_kv.map(|data_centre| self.start_kv_store(data_centre));
         for (i, data_centre) in self.spec.engines.clone().into_iter().enumerate() {
             let node = self.start_engine(i, data_centre);
             self.engines.push(node);
@@ -244,9 +244,9 @@
         }
     }
 
-    /// Kills an engine and starts it again, empty and under a new incarnation.
+    /// Kills an engine and starts it again, with an empty cache and a new incarnation.
     ///
-    /// Streams are cut, and what the old life counted is returned.
+    /// Cuts its streams and returns the counts of the killed engine.
     pub fn restart_engine(&mut self, i: usize, incarnation: Incarnation) -> EngineCounts {
         let engine = self.new_engine(i, incarnation);
         let node = &mut self.engines[i];
@@ -279,19 +279,19 @@
         EngineNode { engine, proxy, announcer }
     }
 
-    fn start_kept_kv(&self, data_centre: &str) -> KeptKvNode {
+    fn start_kv_store(&self, data_centre: &str) -> KvStoreNode {
         let id: EndpointId = format!("{STORE}-1").parse().expect("a valid id");
-        let store = KeptKv::start(KEPT_BLOCKS);
+        let store = KeptKv::start(KV_STORE_BLOCKS);
         let proxy = Proxy::start(store.address(), self.spec.seed);
         let announced = announced(id, data_centre, &proxy);
         let service = STORE.parse().expect("a valid id");
         let announcer = Announcer::service(announced, service, self.routers(), FLEET_KEY);
-        KeptKvNode { store, proxy, announcer }
+        KvStoreNode { store, proxy, announcer }
     }
 
     fn start_service(&self, i: usize, data_centre: &str) -> ServiceNode {
         let id = format!("{}-{}", self.spec.service, i + 1).parse().expect("a valid id");
-        let service = Service::start(SERVICE_SPAN, self.orders.clone());
+        let service = Service::start(SERVICE_TIME, self.orders.clone());
         let proxy = Proxy::start(service.address(), self.spec.seed);
         let announced = announced(id, data_centre, &proxy);
         let routers = self.routers();
@@ -318,7 +318,7 @@
     format!("host-{}", i + 1)
 }
 
-/// Adds what the daemon with number `i` needs to know of the others, and its vote.
+/// Adds the seed peers of the daemon at index `i` and, if it is a voter, its quorum settings.
 fn with_peers(
     mut daemon: DaemonSpec,
     i: usize,
@@ -327,7 +327,7 @@
     data: &Path,
 ) -> DaemonSpec {
     daemon = daemon.flag("--peer-advertise", peer_proxies[i].address());
-    let seeds = peer_proxies.iter().enumerate().filter(|(seed, _)| *seed != i).take(SEEDS);
+    let seeds = peer_proxies.iter().enumerate().filter(|(seed, _)| *seed != i).take(MAX_SEED_PEERS);
     for (_, proxy) in seeds {
         daemon = daemon.flag("--seed", proxy.address());
     }
@@ -351,9 +351,9 @@
     daemon
 }
 
-fn known_endpoints(admin: SocketAddr) -> Option<usize> {
+fn count_ready_endpoints(admin: SocketAddr) -> Option<usize> {
     let url = format!("http://{admin}{ENDPOINTS_PATH}");
-    let req = attohttpc::get(url).bearer_auth(OPERATOR_KEY).timeout(Duration::from_millis(500));
-    let known: Endpoints = serde_json::from_str(&req.send().ok()?.text().ok()?).ok()?;
-    Some(known.endpoints.iter().filter(|known| known.state == EndpointState::Ready).count())
+    let request = attohttpc::get(url).bearer_auth(OPERATOR_KEY).timeout(Duration::from_millis(500));
+    let page: Endpoints = serde_json::from_str(&request.send().ok()?.text().ok()?).ok()?;
+    Some(page.endpoints.iter().filter(|endpoint| endpoint.state == EndpointState::Ready).count())
 }
--- a/crates/bench/src/sites.rs
+++ b/crates/bench/src/sites.rs
@@ -1,4 +1,4 @@
-//! The two sites of the measurements: their shape, their traffic and their engines.
+//! The two sites of the measurements: their layout, workload and engines.
 
 use std::{fmt, str::FromStr, time::Duration};
 
@@ -21,22 +21,22 @@
     Villagers,
 }
 
-/// Blocks that an engine of a site caches.
+/// Cache size of a site's engine, in blocks.
 pub const CACHE_BLOCKS: usize = 2_000;
 
-/// Streams that an engine of a site runs at once.
+/// Most concurrent streams of a site's engine.
 pub const MAX_RUNNING: usize = 8;
 
-/// Time that an engine of a site takes to prefill a token.
-pub const PREFILL_TOKEN: Duration = Duration::from_micros(125);
+/// Time in which a site's engine prefills one token.
+pub const PREFILL_TIME_PER_TOKEN: Duration = Duration::from_micros(125);
 
-/// Time between two tokens of a stream that runs alone.
-pub const DECODE_TOKEN: Duration = Duration::from_millis(40);
+/// Time between two tokens of a stream that is the engine's only one.
+pub const DECODE_TIME_PER_TOKEN: Duration = Duration::from_millis(40);
 
-/// Time that each other running stream adds to that.
-pub const DECODE_SHARE: Duration = Duration::from_micros(500);
+/// Time that each other running stream adds to [`DECODE_TIME_PER_TOKEN`].
+pub const DECODE_TIME_PER_STREAM: Duration = Duration::from_micros(500);
 
-/// Tokens that a completion asks for.
+/// Tokens requested by a completion.
 pub const COMPLETION_TOKENS: std::ops::Range<u64> = 8..25;
 
 /// Engines in each data centre.
@@ -54,15 +54,15 @@
         }
     }
 
-    /// Returns the time that a byte takes from one data centre to another.
-    pub fn one_way(self) -> Duration {
+    /// Returns the one-way network delay between data centres.
+    pub fn one_way_delay(self) -> Duration {
         match self {
             Self::Printers => Duration::from_micros(5_000),
             Self::Villagers => Duration::from_micros(3_500),
         }
     }
 
-    /// Returns the traffic's shape.
+    /// Returns the shape of the workload's prompts.
     pub fn shape(self) -> Shape {
         let level = |texts, words, skew| Level { texts, words, skew };
         match self {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Returns what the site consists of: eight daemons, 18 engines, three service endpoints.
+    /// Returns the site's configuration: eight daemons, 18 engines, three service endpoints.
     pub fn spec(self, seed: u64) -> SiteSpec {
         let (model, service, organisation) = match self {
             Self::Printers => ("diary-8b", "orders", "school"),
@@ -105,10 +105,10 @@
         }
     }
 
-    /// Returns the declaration under which the site runs with `policy`.
+    /// Returns the declaration with which the site runs `policy`.
     ///
-    /// Prefixes are placed by their first two levels, and the printers weigh warmth against wait
-    /// higher than the well dressers do.
+    /// Prompts are placed by their first two levels. The printers' site has a lower weight of the
+    /// queueing time than the villagers', and so prefers cached prefixes more.
     pub fn declaration(self, policy: PolicyKind) -> String {
         let level = self.shape().placement_blocks();
         let wait = match self {
@@ -121,36 +121,36 @@
         )
     }
 
-    /// Returns the completions a second that the engines can carry while prompts are warm.
+    /// Returns how many completions per second the engines can serve when all prompts are cached.
     ///
-    /// A completion holds one of [`MAX_RUNNING`] places of an engine while its tokens are decoded;
-    /// what it prefills is not counted, so that the figure is the same for every policy.
+    /// A completion occupies one of an engine's [`MAX_RUNNING`] slots while its tokens are decoded.
+    /// Prefill is not counted, so that the capacity is the same for every policy.
     pub fn capacity(self) -> f64 {
         let engines = ENGINES_PER_DATA_CENTRE * 3;
         let mean_tokens = (COMPLETION_TOKENS.start + COMPLETION_TOKENS.end - 1) / 2;
-        let token = DECODE_TOKEN + DECODE_SHARE * (MAX_RUNNING as u32 - 1);
-        let held = token.as_secs_f64() * mean_tokens as f64;
-        (engines * MAX_RUNNING) as f64 / held
+        let token = DECODE_TIME_PER_TOKEN + DECODE_TIME_PER_STREAM * (MAX_RUNNING as u32 - 1);
+        let slot_seconds = token.as_secs_f64() * mean_tokens as f64;
+        (engines * MAX_RUNNING) as f64 / slot_seconds
     }
 }
 
-/// Puts the time between data centres on every way from a daemon to an endpoint or a daemon.
-pub fn separate_data_centres(site: &Site, one_way: Duration) {
+/// Delays every connection from a daemon to an endpoint or daemon in another data centre.
+pub fn set_data_centre_delay(site: &Site, one_way: Duration) {
     for (daemon, data_centre) in site.daemons.iter().zip(&site.spec.daemons) {
         let source = daemon.spec().listen.ip();
         let engines = site.engines.iter().map(|node| &node.proxy).zip(&site.spec.engines);
         let services = site.services.iter().map(|node| &node.proxy).zip(&site.spec.services);
         let peers = site.peer_proxies.iter().zip(&site.spec.daemons);
-        for (proxy, other) in engines.chain(services).chain(peers) {
-            if data_centre != other {
+        for (proxy, target_data_centre) in engines.chain(services).chain(peers) {
+            if data_centre != target_data_centre {
                 proxy.set_for(source, Fault::delay(one_way));
             }
         }
     }
 }
 
-/// Puts the time to the own data centre's neighbours before the store, from wherever it is asked.
-pub fn place_kept_kv(site: &Site, one_way: Duration) {
+/// Delays every connection to the KV store by `one_way`, whatever its source.
+pub fn set_kv_store_delay(site: &Site, one_way: Duration) {
     if let Some(node) = &site.kept_kv {
         node.proxy.set(Fault::delay(one_way));
     }
@@ -158,9 +158,9 @@
 
 fn tune(cfg: &mut EngineConfig) {
     cfg.cache_blocks = CACHE_BLOCKS;
-    cfg.prefill_token = PREFILL_TOKEN;
-    cfg.decode_token = DECODE_TOKEN;
-    cfg.decode_share = DECODE_SHARE;
+    cfg.prefill_token = PREFILL_TIME_PER_TOKEN;
+    cfg.decode_token = DECODE_TIME_PER_TOKEN;
+    cfg.decode_share = DECODE_TIME_PER_STREAM;
     cfg.max_running = MAX_RUNNING;
 }
 
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -1,6 +1,7 @@
-//! `bench slopes`: how messages, processor time and memory grow with the size of a fleet.
+//! `bench slopes`: measures how messages, CPU time and memory grow with the size of a fleet.
 //!
-//! The cores run in memory on a virtual clock; streams and idle peers are real daemons.
+//! Most measurements run the protocol logic in memory on a virtual clock; those of streams and idle
+//! peers run real daemons.
 
 mod cache;
 mod claims;
@@ -23,28 +24,28 @@
 
 pub use self::fit::Slope;
 
-/// Measures every slope.
+/// Runs every measurement and returns the fitted slopes.
 ///
 /// # Errors
 ///
-/// Returns an error if a daemon doesn't come up, or the kernel or a disk refuses.
+/// Returns an error if a daemon doesn't start, or a system call or disk operation fails.
 pub fn run(program: &Program) -> eyre::Result<Vec<Slope>> {
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut slopes = Vec::new();
-    let mut take = |family: &str, measured: eyre::Result<Vec<Slope>>| -> eyre::Result<()> {
+    let mut collect = |family: &str, measured: eyre::Result<Vec<Slope>>| -> eyre::Result<()> {
         slopes.extend(measured?);
-        eprintln!("{:5.1} s: {family}", begun.elapsed().as_secs_f64());
+        eprintln!("{:5.1} s: {family}", started.elapsed().as_secs_f64());
         Ok(())
     };
-    take("memory", memory::slopes())?;
-    take("frames", Ok(frame::slopes()))?;
-    take("cached blocks", Ok(cache::slopes()))?;
-    take("routing", Ok(routing::slopes()))?;
-    take("organisations", organisations::slopes())?;
-    take("claims", claims::slopes())?;
-    take("peers and endpoints", gossip::slopes())?;
-    take("idle daemons", idle::slopes(program))?;
-    take("streams", streams::slopes(program))?;
+    collect("memory", memory::slopes())?;
+    collect("frames", Ok(frame::slopes()))?;
+    collect("cached blocks", Ok(cache::slopes()))?;
+    collect("routing", Ok(routing::slopes()))?;
+    collect("organisations", organisations::slopes())?;
+    collect("claims", claims::slopes())?;
+    collect("peers and endpoints", gossip::slopes())?;
+    collect("idle daemons", idle::slopes(program))?;
+    collect("streams", streams::slopes(program))?;
     Ok(slopes)
 }
 
@@ -63,23 +64,23 @@
     ]);
     for slope in slopes {
         let points: Vec<_> =
-            slope.points.iter().map(|[x, y]| format!("{x}: {}", short(*y))).collect();
+            slope.points.iter().map(|[x, y]| format!("{x}: {}", format_significant(*y))).collect();
         table.add_row([
             slope.name.to_owned(),
             slope.unit_x.to_owned(),
             slope.unit_y.to_owned(),
             points.join("\n"),
-            short(slope.intercept),
-            short(slope.slope),
-            short(slope.residual),
+            format_significant(slope.intercept),
+            format_significant(slope.slope),
+            format_significant(slope.residual),
             format!("{:.3}", slope.r2),
         ]);
     }
     table.to_string()
 }
 
-/// Writes a number with four significant digits.
-fn short(number: f64) -> String {
+/// Formats a number with four significant digits.
+fn format_significant(number: f64) -> String {
     if number == 0.0 {
         return "0".to_owned();
     }
--- a/crates/bench/src/stream.rs
+++ b/crates/bench/src/stream.rs
@@ -1,4 +1,4 @@
-//! A streamed answer that a caller reads piece by piece.
+//! A streamed response that a caller reads in steps.
 
 use std::{collections::VecDeque, net::SocketAddr, time::Duration};
 
@@ -16,24 +16,24 @@
 
 use crate::caller::{self, CompletionSpec};
 
-/// Longest event taken.
-const MAX_EVENT: ByteCount = ByteCount::new(1 << 20);
+/// Longest accepted event of a stream.
+const MAX_EVENT_BYTES: ByteCount = ByteCount::new(1 << 20);
 
-/// Time for the next event.
+/// Time limit for the next event.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A streamed answer that is being read.
+/// A streamed response that is being read.
 pub struct CompletionStream {
     body: Incoming,
     parser: Parser,
     events: VecDeque<Event>,
-    /// The tokens read.
+    /// The tokens read so far.
     pub tokens: Vec<String>,
-    /// The id of the last one.
+    /// The event id of the last token.
     pub last_id: Option<EventId>,
 }
 
-/// What a request for a stream got.
+/// Result of a request for a stream.
 pub enum OpenResult {
     /// A stream.
     Stream(Box<CompletionStream>),
@@ -44,48 +44,48 @@
 /// How a stream ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StreamEnd {
-    /// With its end mark.
+    /// With the end marker.
     Done,
     /// With an explicit failure.
     Failed(Problem),
 }
 
 impl CompletionStream {
-    /// Asks for a stream, or for the rest of one after an event.
+    /// Requests a stream, or resumes one after the event `resume`.
     ///
     /// # Errors
     ///
-    /// Returns an error if there is no answer.
+    /// Returns an error if there is no response.
     pub async fn open(
         router: SocketAddr,
-        ask: &CompletionSpec,
+        spec: &CompletionSpec,
         resume: Option<&EventId>,
     ) -> eyre::Result<OpenResult> {
-        let mut req = Request::post(ask.path())
+        let mut req = Request::post(spec.path())
             .header("host", router.to_string())
-            .header("authorization", format!("Bearer {}", ask.key));
+            .header("authorization", format!("Bearer {}", spec.key));
         if let Some(id) = resume {
             req = req.header("last-event-id", id.to_string());
         }
-        let req = req.body(Full::new(Bytes::from(ask.body(true).to_string())))?;
+        let req = req.body(Full::new(Bytes::from(spec.body(true).to_string())))?;
         let response = caller::send(router, req).await?;
         if !response.status().is_success() {
             return Ok(OpenResult::Failed(caller::read_problem(response).await?));
         }
         Ok(OpenResult::Stream(Box::new(Self {
             body: response.into_body(),
-            parser: Parser::new(MAX_EVENT),
+            parser: Parser::new(MAX_EVENT_BYTES),
             events: VecDeque::new(),
             tokens: Vec::new(),
             last_id: None,
         })))
     }
 
-    /// Reads until `count` tokens have come.
+    /// Reads until `count` tokens have arrived.
     ///
     /// # Errors
     ///
-    /// Returns an error if the stream ends before.
+    /// Returns an error if the stream ends earlier.
     pub async fn read_tokens(&mut self, count: usize) -> eyre::Result<()> {
         while self.tokens.len() < count {
             if let Some(end) = self.step().await? {
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the stream ends in silence or is malformed.
+    /// Returns an error if the stream ends without an end marker or a failure, or is malformed.
     pub async fn finish(&mut self) -> eyre::Result<StreamEnd> {
         loop {
             if let Some(end) = self.step().await? {
@@ -119,7 +119,7 @@
         let chunk = Chunk::parse(&event.data)?;
         if let Some(text) = chunk.text().filter(|text| !text.is_empty()) {
             self.tokens.push(text.to_owned());
-            let id = event.id.ok_or_else(|| eyre!("a token without an id"))?;
+            let id = event.id.ok_or_else(|| eyre!("an event with a token has no id"))?;
             self.last_id = Some(id.parse()?);
         }
         Ok(None)
@@ -132,7 +132,8 @@
                 return Ok(event);
             }
             let frame = self.body.frame().await;
-            let frame = frame.ok_or_else(|| eyre!("the stream ended in silence"))?;
+            let frame = frame
+                .ok_or_else(|| eyre!("the stream ended without an end marker or a failure"))?;
             let frame = frame.wrap_err("the stream was cut")?;
             let Ok(data) = frame.into_data() else { continue };
             self.parser.push(&data, &mut events)?;
@@ -146,11 +147,11 @@
     ///
     /// # Errors
     ///
-    /// Returns an error that shows the problem if there is none.
+    /// Returns an error with the problem if there is no stream.
     pub fn stream(self) -> eyre::Result<CompletionStream> {
         match self {
             Self::Stream(stream) => Ok(*stream),
-            Self::Failed(problem) => Err(eyre!("no stream: {problem:?}")),
+            Self::Failed(problem) => Err(eyre!("the request for a stream failed: {problem:?}")),
         }
     }
 
@@ -161,23 +162,28 @@
     /// Returns an error if there is a stream.
     pub fn problem(self) -> eyre::Result<Problem> {
         match self {
-            Self::Stream(_) => Err(eyre!("a stream in place of a problem")),
+            Self::Stream(_) => Err(eyre!("expected a problem, received a stream")),
             Self::Failed(problem) => Ok(problem),
         }
     }
 }
 
-/// Checks that a stream, read in one or more parts, is the whole answer: nothing twice, nothing
-/// missing.
+/// Checks that the parts of a stream together are the complete response, without missing or
+/// duplicate tokens.
 ///
 /// # Errors
 ///
 /// Returns an error that names the first difference.
-pub fn check_complete(ask: &CompletionSpec, parts: &[&CompletionStream]) -> eyre::Result<()> {
+pub fn check_complete(spec: &CompletionSpec, parts: &[&CompletionStream]) -> eyre::Result<()> {
     let tokens: Vec<_> = parts.iter().flat_map(|part| &part.tokens).collect();
-    let expected = ask.expected();
+    let expected = spec.expected();
     let differs = expected.iter().zip(&tokens).position(|(expected, token)| expected != *token);
-    ensure!(differs.is_none(), "token {differs:?} is another one");
-    ensure!(expected.len() == tokens.len(), "{} of {} tokens", tokens.len(), expected.len());
+    ensure!(differs.is_none(), "the token at index {differs:?} differs from the expected one");
+    ensure!(
+        expected.len() == tokens.len(),
+        "received {} of {} tokens",
+        tokens.len(),
+        expected.len()
+    );
     Ok(())
 }
--- a/crates/bench/src/usage.rs
+++ b/crates/bench/src/usage.rs
@@ -1,25 +1,25 @@
-//! What the kernel says of processes and threads.
+//! CPU time, memory and thread counts of processes, read from `/proc`.
 
 use std::{fs, time::Duration};
 
-/// Clock ticks a second that the kernel counts processor time in.
+/// Clock ticks per second in which the kernel counts CPU time.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// What the kernel says of a process.
+/// Resource usage of a process.
 pub(crate) struct Usage {
-    /// Processor time so far.
+    /// CPU time used so far.
     pub(crate) cpu: Duration,
     /// Resident memory, in MiB.
     pub(crate) mib: f64,
-    /// Threads.
+    /// Number of threads.
     pub(crate) threads: u64,
 }
 
-/// Reads what the kernel says of a process.
+/// Reads the resource usage of a process.
 ///
 /// # Errors
 ///
-/// Returns an error if there is no such process.
+/// Returns an error if there is no process with this id.
 pub(crate) fn usage(pid: u32) -> eyre::Result<Usage> {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat"))?;
     let fields: Vec<_> = stat
@@ -43,16 +43,16 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the kernel doesn't tell.
+/// Returns an error if `/proc` can't be read.
 pub(crate) fn resident_bytes() -> eyre::Result<f64> {
     Ok(usage(std::process::id())?.mib * 1024.0 * 1024.0)
 }
 
-/// Reads the processor time of the calling thread, exact to a scheduler tick.
+/// Reads the CPU time of the calling thread, accurate to a scheduler tick.
 ///
 /// # Errors
 ///
-/// Returns an error if the kernel doesn't tell.
+/// Returns an error if `/proc` can't be read.
 pub(crate) fn thread_cpu() -> eyre::Result<Duration> {
     let text = fs::read_to_string("/proc/thread-self/schedstat")?;
     let nanos = text.split_whitespace().next().unwrap_or_default().parse()?;
--- a/crates/bench/src/workload.rs
+++ b/crates/bench/src/workload.rs
@@ -1,4 +1,4 @@
-//! The traffic of a measured site, planned before the run, and the best hit rate it allows.
+//! The workload of a measured site, planned before the run, and an upper bound of its hit rate.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -14,81 +14,81 @@
 use crate::{
     caller::CompletionSpec,
     fake::BlockCache,
-    load::{Kind, Planned, pick_organisation},
+    load::{PlannedRequest, RequestKind, pick_organisation},
     model::{Generation, TOKEN_BYTES},
     site::organisation_key,
 };
 
-/// Bytes in a block of the engines' caches.
+/// Block size of the engines' caches.
 const BLOCK_BYTES: usize = 64;
 
-/// Share of requests that look a status up.
+/// Share of requests that look up an order's status.
 const LOOKUP_SHARE: f64 = 0.12;
 
-/// Share of requests that may run at most once.
+/// Share of requests that are orders, which may run at most once.
 const ORDER_SHARE: f64 = 0.03;
 
-/// One in so many texts of the second level is asked for by chat.
-const CHAT_EVERY: u64 = 4;
+/// One in this many texts of the second level is requested through the chat API.
+const CHAT_TEXT_INTERVAL: u64 = 4;
 
-/// The prompts' levels.
+/// Levels of text in the prompts.
 #[derive(Clone, Debug)]
 pub struct Shape {
-    /// Words of the text that all prompts of an organisation share.
+    /// Words in the text that all prompts of an organisation share.
     pub first: usize,
-    /// The texts below that one.
+    /// Texts of the second level.
     pub second: Level,
-    /// The texts below each of those.
+    /// Texts of the third level, below each one of the second.
     pub third: Level,
-    /// Tokens that a completion asks for.
+    /// Tokens requested by a completion.
     pub tokens: Range<u64>,
 }
 
-/// Texts of one level below one text of the level above.
+/// Texts at one level, below one text of the level above.
 #[derive(Clone, Copy, Debug)]
 pub struct Level {
-    /// How many there are.
+    /// Number of texts.
     pub texts: u64,
-    /// Words in each.
+    /// Words in each text.
     pub words: usize,
-    /// How unequal their use is: 1 for all alike.
+    /// Skew of their popularity; 1 is uniform.
     pub skew: i32,
 }
 
-/// Traffic to be planned.
+/// A workload to plan.
 #[derive(Clone, Debug)]
 pub struct Workload {
-    /// Where callers connect.
+    /// Addresses at which callers connect.
     pub routers: Vec<SocketAddr>,
-    /// The organisations that call; the first ones call most.
+    /// The calling organisations; the first ones call most.
     pub organisations: Vec<OrganisationId>,
-    /// The model asked.
+    /// The requested model.
     pub model: ModelId,
-    /// The plain service called.
+    /// The called plain service.
     pub service: ServiceId,
-    /// The prompts' levels.
+    /// Levels of text in the prompts.
     pub shape: Shape,
-    /// Completions a second.
+    /// Completions per second.
     pub rate: f64,
-    /// How long to send before the measurement begins.
+    /// Time before the measurement starts.
     pub warm_up: Duration,
-    /// How long to send, the warm-up included.
+    /// Duration of the workload, including the warm-up.
     pub span: Duration,
-    /// When other prefixes become hot, if they do.
+    /// When other prefixes become popular, if they do.
     pub shift: Option<Duration>,
-    /// Decides everything that is random.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
 impl Shape {
-    /// Returns how many blocks the first two levels fill.
+    /// Returns the number of cache blocks in the first two levels.
     pub fn placement_blocks(&self) -> usize {
         (self.first + self.second.words) * TOKEN_BYTES / BLOCK_BYTES
     }
 }
 
 impl Level {
-    /// Picks a text; the first ones are picked most, or the last ones once they `shifted`.
+    /// Picks a text; the first ones are the most popular, or the last ones if `shifted`.
     fn pick(self, rng: &mut Pcg64Mcg, shifted: bool) -> u64 {
         let uniform: f64 = rng.random();
         let picked = (uniform.powi(self.skew) * self.texts as f64) as u64;
@@ -97,8 +97,8 @@
 }
 
 impl Workload {
-    /// Plans all requests in the order of their sending.
-    pub fn plan(&self) -> Vec<Planned> {
+    /// Plans all requests, in the order in which they are sent.
+    pub fn plan(&self) -> Vec<PlannedRequest> {
         let mut rng = Pcg64Mcg::seed_from_u64(self.seed);
         let mut texts = Texts::default();
         let rate = self.rate / (1.0 - LOOKUP_SHARE - ORDER_SHARE);
@@ -121,24 +121,26 @@
         number: usize,
         texts: &mut Texts,
         rng: &mut Pcg64Mcg,
-    ) -> Planned {
+    ) -> PlannedRequest {
         let router = self.routers[rng.random_range(0..self.routers.len())];
         let organisation = pick_organisation(&self.organisations, rng).clone();
         let service = &self.service;
         let draw: f64 = rng.random();
         let kind = if draw < LOOKUP_SHARE {
-            Kind::Lookup { path: format!("/services/{service}/orders/{}", rng.random_range(0..50)) }
+            RequestKind::Lookup {
+                path: format!("/services/{service}/orders/{}", rng.random_range(0..50)),
+            }
         } else if draw < LOOKUP_SHARE + ORDER_SHARE {
             let path = format!("/services/{service}/orders");
-            Kind::Order { path, key: format!("order-{}-{number}", self.seed) }
+            RequestKind::Order { path, key: format!("order-{}-{number}", self.seed) }
         } else {
             let shifted = self.shift.is_some_and(|shift| shift <= due);
-            Kind::CompletionSpec(self.ask(&organisation, number, shifted, texts, rng))
+            RequestKind::Completion(self.completion(&organisation, number, shifted, texts, rng))
         };
-        Planned { due, router, organisation, kind, measured: self.warm_up <= due }
+        PlannedRequest { due, router, organisation, kind, measured: self.warm_up <= due }
     }
 
-    fn ask(
+    fn completion(
         &self,
         organisation: &OrganisationId,
         number: usize,
@@ -165,25 +167,25 @@
             model: self.model.to_string(),
             prompt,
             tokens: rng.random_range(tokens.clone()),
-            chat: second_text % CHAT_EVERY == CHAT_EVERY - 1,
+            chat: second_text % CHAT_TEXT_INTERVAL == CHAT_TEXT_INTERVAL - 1,
         }
     }
 }
 
-/// Returns the hit rate that `engines` engines with `cache_blocks` blocks each would reach if their
-/// caches were one and every request knew all of it.
+/// Returns the hit rate that `engines` engines with `cache_blocks` blocks each would reach with one
+/// shared cache.
 ///
-/// Each prompt, in the order of sending, looks its longest cached prefix up in one cache of
-/// `engines * cache_blocks` blocks, least recently used out first, and leaves its blocks there. No
-/// block is held twice and nothing waits, so engines with caches of their own stay below it. Only
-/// measured requests count, but those of the warm-up fill the cache.
-pub fn bound(planned: &[Planned], engines: usize, cache_blocks: usize) -> f64 {
+/// Each prompt, in sending order, looks up its longest cached prefix in one LRU cache of
+/// `engines * cache_blocks` blocks and then stores its blocks there. No block is held twice and no
+/// request waits, so engines with separate caches stay below this bound. Only measured requests
+/// count, but those of the warm-up fill the cache.
+pub fn max_hit_rate(planned: &[PlannedRequest], engines: usize, cache_blocks: usize) -> f64 {
     let mut cache = BlockCache::new(engines * cache_blocks);
     let mut computed = HashSet::new();
     let (mut prompt_tokens, mut cached_tokens) = (0, 0);
     for request in planned {
-        let Kind::CompletionSpec(ask) = &request.kind else { continue };
-        let text = ask.text();
+        let RequestKind::Completion(spec) = &request.kind else { continue };
+        let text = spec.text();
         let lookup = cache.take(request.organisation.as_str(), text.as_bytes(), &mut computed);
         if request.measured {
             prompt_tokens += lookup.prompt_tokens;
@@ -193,7 +195,7 @@
     cached_tokens as f64 / f64::max(prompt_tokens as f64, 1.0)
 }
 
-/// Texts already made.
+/// Cache of generated texts.
 #[derive(Default)]
 struct Texts(HashMap<String, String>);
 
