--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -43,7 +43,7 @@
     pub total_us: f64,
 }
 
-/// Measures routing decisions candidate_list `endpoints` endpoints.
+/// Measures routing decisions among `endpoints` endpoints.
 ///
 /// # Panics
 ///
@@ -76,7 +76,7 @@
         index.match_prefix(now, &chain, &mut matches);
         let looked_up = Instant::now();
         let rank = |level, id| chain.at_level(level).map_or(0, |home| prefix::rank(home, id));
-        let candidate_list: Vec<_> = (0..candidates)
+        let serving: Vec<_> = (0..candidates)
             .map(|e| Candidate {
                 rank: rank(PLACEMENT_LEVEL, &ids[e]),
                 longer_prefix_rank: rank(PLACEMENT_LEVEL + 4, &ids[e]),
@@ -89,7 +89,7 @@
             })
             .collect();
         let req = Request { prompt_tokens: TokenCount::new(PROMPT_BYTES as u64 / 4), homes: 2 };
-        std::hint::black_box(policy.choose(&req, &candidate_list, &mut rng));
+        std::hint::black_box(policy.choose(&req, &serving, &mut rng));
         let chosen = Instant::now();
         let steps = [hashed - started, looked_up - hashed, chosen - looked_up];
         totals.iter_mut().zip(steps).for_each(|(sum, step)| *sum += step);
--- a/crates/bench/src/gate.rs
+++ b/crates/bench/src/gate.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy before an endpoint that reports how server a call got and can hold its response.
+//! A TCP proxy before an endpoint that reports the progress of calls and can hold their responses.
 
 use std::{
     io::{self, Read as _, Write as _},
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -264,12 +264,12 @@
             }
         }
         Outcome::Failed(problem) => counts.count_failure(problem.verdict),
-        Outcome::Incomplete(why) => {
-            log::debug!("incomplete response: {why}");
+        Outcome::Incomplete(reason) => {
+            log::debug!("incomplete response: {reason}");
             counts.totals.incomplete += 1;
         }
-        Outcome::Mismatched(why) => {
-            log::debug!("response to another request: {why}");
+        Outcome::Mismatched(reason) => {
+            log::debug!("response to another request: {reason}");
             counts.totals.crossed += 1;
         }
     }
--- a/crates/bench/src/proxy.rs
+++ b/crates/bench/src/proxy.rs
@@ -29,7 +29,7 @@
 /// Most chunks in flight in one direction.
 const MAX_CHUNKS_IN_FLIGHT: usize = 256;
 
-/// FaultTable that a proxy injects into connections.
+/// Faults that a proxy injects into connections.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fault {
     /// Delay of every chunk, in each direction.
@@ -194,9 +194,9 @@
     server.set_nodelay(true)?;
     let (client_rx, client_tx) = client.into_split();
     let (server_rx, server_tx) = server.into_split();
-    let relay = Rc::new(Relay { source, faults: faults.clone() });
-    let requests = relay.clone().copy(client_rx, server_tx, Direction::Requests, seed);
-    let responses = relay.copy(server_rx, client_tx, Direction::Responses, !seed);
+    let context = Rc::new(RelayContext { source, faults: faults.clone() });
+    let requests = context.clone().copy(client_rx, server_tx, Direction::Requests, seed);
+    let responses = context.copy(server_rx, client_tx, Direction::Responses, !seed);
     tokio::select! {
         ends = async { tokio::join!(requests, responses) } => ends.0.and(ends.1),
         _ = faults.wait_for(|faults| faults.for_source(source).refuse) => Ok(()),
@@ -214,7 +214,7 @@
     Responses,
 }
 
-struct Relay {
+struct RelayContext {
     source: IpAddr,
     faults: watch::Receiver<FaultTable>,
 }
@@ -224,7 +224,7 @@
     bytes: Vec<u8>,
 }
 
-impl Relay {
+impl RelayContext {
     async fn copy(
         self: Rc<Self>,
         rx: OwnedReadHalf,
@@ -266,25 +266,25 @@
 }
 
 async fn write_chunks(
-    relay: Rc<Relay>,
+    context: Rc<RelayContext>,
     mut tx: OwnedWriteHalf,
     chunks: flume::Receiver<Chunk>,
     direction: Direction,
 ) -> io::Result<()> {
-    let mut faults = relay.faults.clone();
+    let mut faults = context.faults.clone();
     let mut written = 0;
     while let Ok(chunk) = chunks.recv_async().await {
         // Sleeping until a past instant still takes a timer tick.
         if Instant::now() < chunk.due {
             tokio::time::sleep_until(chunk.due).await;
         }
-        let is_open = |faults: &FaultTable| !is_held(&faults.for_source(relay.source), direction);
+        let is_open = |faults: &FaultTable| !is_held(&faults.for_source(context.source), direction);
         if faults.wait_for(is_open).await.is_err() {
             return Ok(());
         }
         written += chunk.bytes.len() as u64;
         tx.write_all(&chunk.bytes).await?;
-        let cut_after = relay.faults.borrow().for_source(relay.source).cut_after;
+        let cut_after = context.faults.borrow().for_source(context.source).cut_after;
         if direction == Direction::Responses && cut_after.is_some_and(|limit| limit <= written) {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
--- a/crates/bench/src/run.rs
+++ b/crates/bench/src/run.rs
@@ -113,7 +113,7 @@
         (sending.join().expect("the load doesn't panic"), sampler)
     });
     let mut summary = Summary::new(&counts, &site);
-    summary.set_engine_counts(&sampler.measured(&site));
+    summary.set_engine_counts(&sampler.counts_since_warm_up(&site));
     Ok(RunSummary {
         site: spec.site.to_string(),
         policy: spec.policy.to_string(),
@@ -121,7 +121,7 @@
         rate: workload.rate,
         bound_hit_rate,
         load_spread: load_spread(&site),
-        engine_requests: sampler.total(&site).requests,
+        engine_requests: sampler.total_counts(&site).requests,
         organisations: counts.organisations,
         hit_rates: sampler.hit_rates,
         summary,
@@ -129,7 +129,7 @@
 }
 
 impl RunSpec {
-    fn half_time(&self) -> Duration {
+    fn fault_time(&self) -> Duration {
         WARM_UP_TIME + self.span / 2
     }
 
@@ -143,7 +143,7 @@
             rate: self.site.capacity() * self.load,
             warm_up: WARM_UP_TIME,
             span: WARM_UP_TIME + self.span,
-            shift: (self.fault == Some(RunFault::Shift)).then_some(self.half_time()),
+            shift: (self.fault == Some(RunFault::Shift)).then_some(self.fault_time()),
             seed: self.seed,
         }
     }
@@ -168,14 +168,14 @@
         while !is_finished() {
             thread::sleep(POLL_INTERVAL);
             if sampler.warm_up.is_none() && WARM_UP_TIME <= started.elapsed() {
-                sampler.warm_up = Some(sampler.total(site));
+                sampler.warm_up = Some(sampler.total_counts(site));
             }
-            if !fault_injected && spec.half_time() <= started.elapsed() {
+            if !fault_injected && spec.fault_time() <= started.elapsed() {
                 fault_injected = true;
                 sampler.kill_engines(site);
             }
             if SAMPLE_INTERVAL * (sampler.hit_rates.len() as u32 + 1) <= started.elapsed() {
-                let total = sampler.total(site);
+                let total = sampler.total_counts(site);
                 let counts = total.minus(&last);
                 let rate = counts.cached_tokens as f64 / counts.prompt_tokens.max(1) as f64;
                 sampler.hit_rates.push(rate);
@@ -193,12 +193,12 @@
     }
 
     /// Returns the counts of all engines since the warm-up.
-    fn measured(&self, site: &Site) -> EngineCounts {
-        self.total(site).minus(&self.warm_up.unwrap_or_default())
+    fn counts_since_warm_up(&self, site: &Site) -> EngineCounts {
+        self.total_counts(site).minus(&self.warm_up.unwrap_or_default())
     }
 
     /// Returns the counts of all engines, killed ones included.
-    fn total(&self, site: &Site) -> EngineCounts {
+    fn total_counts(&self, site: &Site) -> EngineCounts {
         let counts = site.engines.iter().map(|node| node.engine.counts());
         counts.fold(self.killed, |sum, counts| sum.plus(&counts))
     }
