--- a/crates/bench/src/gate.rs
+++ b/crates/bench/src/gate.rs
@@ -23,7 +23,7 @@
 /// A TCP proxy before one target.
 pub struct Gate {
     address: SocketAddr,
-    gate_events: flume::Receiver<GateEvent>,
+    events: flume::Receiver<GateEvent>,
     responses: Arc<Latch>,
 }
 
@@ -55,7 +55,7 @@
     pub fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port is free");
         let address = listener.local_addr().expect("a bound listener has an address");
-        let (tx, gate_events) = flume::unbounded();
+        let (tx, events) = flume::unbounded();
         let responses = Arc::new(Latch::default());
         let latch = Arc::clone(&responses);
         std::thread::spawn(move || {
@@ -66,7 +66,7 @@
                 }
             }
         });
-        Self { address, gate_events, responses }
+        Self { address, events, responses }
     }
 
     /// Returns the address at which callers reach the target through the gate.
@@ -75,8 +75,8 @@
     }
 
     /// Returns the channel of events on the gate's connections.
-    pub fn gate_events(&self) -> &flume::Receiver<GateEvent> {
-        &self.gate_events
+    pub fn events(&self) -> &flume::Receiver<GateEvent> {
+        &self.events
     }
 
     /// Holds responses, or releases them.
--- a/crates/bench/tests/claims_faults.rs
+++ b/crates/bench/tests/claims_faults.rs
@@ -151,8 +151,8 @@
     }
 
     async fn wait_passage(&self, wanted: GateEvent) {
-        let gate_events = self.gate.gate_events();
-        let seen = async { while gate_events.recv_async().await != Ok(wanted) {} };
+        let events = self.gate.events();
+        let seen = async { while events.recv_async().await != Ok(wanted) {} };
         tokio::time::timeout(PATIENCE, seen).await.expect("the call gets that far");
     }
 
