--- a/crates/bench/src/declare.rs
+++ b/crates/bench/src/declare.rs
@@ -22,7 +22,7 @@
 /// # Errors
 ///
 /// Returns an error if the change isn't accepted and in force in time.
-pub fn declare(site: &Site, toml: &str) -> eyre::Result<Revision> {
+pub fn apply_declaration(site: &Site, toml: &str) -> eyre::Result<Revision> {
     let admin = site.daemons[0].spec().admin_listen;
     let mut revision = None;
     wait_until("the declaration is accepted", APPLY_TIMEOUT, || {
--- a/crates/bench/src/demo.rs
+++ b/crates/bench/src/demo.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 use crate::{
-    declare::declare,
+    declare::apply_declaration,
     load::{self, FakeCounts, Load},
     process::Program,
     report::Summary,
@@ -35,7 +35,7 @@
     };
     println!("starting 4 daemons, 6 engines, 2 plain services and a KV store");
     let site = Site::start(program, spec)?;
-    declare(&site, "[defaults]\nkv-transfer = \"both\"\n")?;
+    apply_declaration(&site, "[defaults]\nkv-transfer = \"both\"\n")?;
     let load = Load {
         routers: site.routers(),
         organisations: site.spec.organisations.clone(),
--- a/crates/bench/src/run.rs
+++ b/crates/bench/src/run.rs
@@ -14,7 +14,7 @@
 use serde::Serialize;
 
 use crate::{
-    declare::declare,
+    declare::apply_declaration,
     fake::EngineCounts,
     load::{self, FakeCounts},
     process::Program,
@@ -101,7 +101,7 @@
     sites::set_data_centre_delay(&site, spec.site.one_way_delay());
     sites::set_kv_store_delay(&site, spec.site.one_way_delay());
     let declaration = spec.site.declaration(spec.policy);
-    declare(&site, &format!("{declaration}kv-transfer = \"{}\"\n", spec.kv_transfer))?;
+    apply_declaration(&site, &format!("{declaration}kv-transfer = \"{}\"\n", spec.kv_transfer))?;
     let workload = spec.workload(&site);
     let planned = workload.plan();
     let cache_blocks = sites::CACHE_BLOCKS;
--- a/crates/bench/tests/endpoints.rs
+++ b/crates/bench/tests/endpoints.rs
@@ -6,7 +6,7 @@
 use bench::{
     Fault, Proxy,
     caller::{self, CompletionSpec, Outcome, block_on},
-    declare::declare,
+    declare::apply_declaration,
     partition,
     process::{Daemon, Program, wait_until},
     site::{FLEET_KEY, Site, SiteSpec, organisation_key},
@@ -283,7 +283,7 @@
 #[test]
 fn data_centre_cut_off_is_served_by_its_own_engines_and_comes_back() {
     let site = site();
-    declare(&site, "[defaults]\nfirst-token-timeout = '700ms'\n").unwrap();
+    apply_declaration(&site, "[defaults]\nfirst-token-timeout = '700ms'\n").unwrap();
     block_on(ask_all(&site, &[0, 1, 2]));
     partition::isolate_data_centre(&site, "c");
     block_on(ask_all(&site, &[0, 1, 2]));
--- a/crates/bench/tests/kv.rs
+++ b/crates/bench/tests/kv.rs
@@ -6,7 +6,7 @@
 use bench::{
     Fault, Proxy,
     caller::{self, CompletionSpec, Outcome},
-    declare::declare,
+    declare::apply_declaration,
     fake::{Engine, EngineConfig, EngineCounts, KeptKv, SharedTally, block_hashes},
     process::{Program, wait_until},
     site::{Site, SiteSpec, organisation_key},
@@ -163,7 +163,7 @@
         Program { path: PathBuf::from(env!("CARGO_BIN_EXE_bench")), args: vec!["daemon".into()] };
     let spec = SiteSpec { daemons: vec!["a"], voters: 1, ..spec };
     let site = Site::start(&program, spec).unwrap();
-    declare(&site, &format!("[defaults]\nkv-transfer = \"{kv_transfer}\"\n")).unwrap();
+    apply_declaration(&site, &format!("[defaults]\nkv-transfer = \"{kv_transfer}\"\n")).unwrap();
     site
 }
 
@@ -221,7 +221,7 @@
          scope = {{ endpoint = \"engine-{}\" }}\nset = {{ drain = true }}\n",
         first + 1
     );
-    declare(&site, &drain).unwrap();
+    apply_declaration(&site, &drain).unwrap();
     ask(&site, 0, 1);
     assert!(0 < site.engines[1 - first].engine.counts().fetched_tokens, "{:?}", counts(&site));
 }
--- a/crates/bench/tests/routing.rs
+++ b/crates/bench/tests/routing.rs
@@ -5,7 +5,7 @@
 use base::Incarnation;
 use bench::{
     caller::{self, CompletionSpec, Outcome},
-    declare::declare,
+    declare::apply_declaration,
     fake::EngineConfig,
     process::{Program, wait_until},
     site::{Site, SiteSpec, organisation_key},
@@ -84,7 +84,7 @@
     const OTHERS: usize = 6;
     let spec = SiteSpec { engines: vec!["a", "a"], tune: slow_engines, ..one_host() };
     let site = start(spec);
-    declare(&site, "[defaults]\nqueue-deadline = \"2s\"\n").unwrap();
+    apply_declaration(&site, "[defaults]\nqueue-deadline = \"2s\"\n").unwrap();
     block_on(async {
         let flood = (0..FLOOD).map(|i| ask_for(&site, 0, i, i)).collect::<Vec<_>>();
         let flood = join_all(flood.iter().map(|request| ask(&site, 0, request)));
@@ -105,7 +105,7 @@
     const FLOOD: usize = 120;
     let spec = SiteSpec { engines: vec!["a"], tune: slow_engines, ..one_host() };
     let site = start(spec);
-    declare(&site, "[defaults]\nqueue-deadline = \"200ms\"\n").unwrap();
+    apply_declaration(&site, "[defaults]\nqueue-deadline = \"200ms\"\n").unwrap();
     let answers = block_on(async {
         let flood = (0..FLOOD).map(|i| ask_for(&site, i % 8, i, i)).collect::<Vec<_>>();
         join_all(flood.iter().map(|request| answer_head(&site, request))).await
@@ -142,7 +142,7 @@
 #[test]
 fn organisation_over_its_concurrent_requests_is_refused_as_not_run() {
     let site = start(SiteSpec { tune: slow_engines, ..one_host() });
-    declare(&site, "[defaults]\nmax-concurrent-requests = 2\n").unwrap();
+    apply_declaration(&site, "[defaults]\nmax-concurrent-requests = 2\n").unwrap();
     let outcomes = block_on(async {
         let requests = (0..6).map(|i| ask_for(&site, 0, i, i)).collect::<Vec<_>>();
         join_all(requests.iter().map(|request| ask(&site, 0, request))).await
@@ -170,12 +170,12 @@
         });
     };
     for (scope, spared) in [("endpoint = \"engine-2\"", 1), ("data-centre = \"c\"", 2)] {
-        declare(&site, &drain(scope)).unwrap();
+        apply_declaration(&site, &drain(scope)).unwrap();
         let before = requests(&site);
         (0..4).for_each(|i| send(i * 10));
         assert!(!used_since(&site, &before).contains(&spared), "{scope}");
     }
-    declare(&site, &drain("endpoint = \"engine-1\"")).unwrap();
+    apply_declaration(&site, &drain("endpoint = \"engine-1\"")).unwrap();
     let before = requests(&site);
     let all = |i: usize| send(100 + i * 10);
     (0..8).for_each(all);
@@ -195,9 +195,9 @@
         used_since(&site, &before).len()
     };
     assert_eq!(engines_of(1), 1, "the warm one");
-    declare(&site, "[defaults]\nrouting-policy = \"round-robin\"\n").unwrap();
+    apply_declaration(&site, "[defaults]\nrouting-policy = \"round-robin\"\n").unwrap();
     assert_eq!(engines_of(1), 3, "each in turn");
-    declare(&site, "[defaults]\nrouting-policy = \"warm\"\n").unwrap();
+    apply_declaration(&site, "[defaults]\nrouting-policy = \"warm\"\n").unwrap();
     assert_eq!(engines_of(2), 1, "the one that the first request made warm");
 }
 
@@ -281,7 +281,7 @@
 #[test]
 fn late_status_lookup_is_asked_of_a_second_endpoint_and_a_claimed_call_is_not() {
     let site = start(one_host());
-    declare(&site, "[defaults]\nhedge-delay = \"100ms\"\n").unwrap();
+    apply_declaration(&site, "[defaults]\nhedge-delay = \"100ms\"\n").unwrap();
     let held = bench::Fault { hold_responses: true, ..bench::Fault::default() };
     site.services[0].proxy.set(held);
     let key = organisation_key(&site.spec.organisations[0]);
--- a/crates/bench/tests/streams.rs
+++ b/crates/bench/tests/streams.rs
@@ -6,7 +6,7 @@
 use bench::{
     Fault,
     caller::{self, CompletionSpec, Outcome, block_on},
-    declare::declare,
+    declare::apply_declaration,
     process::{Program, wait_until},
     site::{Site, SiteSpec, organisation_key},
     stream::{CompletionStream, StreamEnd, check_complete},
@@ -184,7 +184,7 @@
 #[test]
 fn slow_first_token_is_asked_of_another_engine() {
     let site = site(&["a"], 2);
-    declare(&site, "[defaults]\nfirst-token-timeout = '400ms'\n").unwrap();
+    apply_declaration(&site, "[defaults]\nfirst-token-timeout = '400ms'\n").unwrap();
     site.engines[0].proxy.set(Fault { hold_responses: true, ..Fault::default() });
     for number in 0..4 {
         let ask = CompletionSpec { prompt: format!("question {number}"), ..ask(&site, false) };
@@ -196,7 +196,7 @@
 #[test]
 fn request_timeout_ends_the_stream_with_its_verdict() {
     let site = site(&["a"], 1);
-    declare(&site, "[defaults]\nrequest-timeout = '300ms'\n").unwrap();
+    apply_declaration(&site, "[defaults]\nrequest-timeout = '300ms'\n").unwrap();
     let ask = CompletionSpec { tokens: 10_000, ..ask(&site, false) };
     block_on(async {
         let mut stream = open(&site, 0, &ask).await;
