--- a/crates/bench/src/demo.rs
+++ b/crates/bench/src/demo.rs
@@ -42,7 +42,7 @@
         model: site.spec.model.clone(),
         service: site.spec.service.clone(),
         rate: REQUESTS_PER_SECOND,
-        span: LOAD_DURATION,
+        duration: LOAD_DURATION,
         seed,
     };
     let fakes = FakeCounts { tally: site.tally.clone(), orders: site.orders.clone() };
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -44,7 +44,7 @@
     /// Requests per second.
     pub rate: f64,
     /// Duration of the load.
-    pub span: Duration,
+    pub duration: Duration,
     /// Seed of all random choices.
     pub seed: u64,
 }
@@ -142,7 +142,7 @@
     loop {
         let uniform: f64 = rng.random_range(f64::EPSILON..1.0);
         due += Duration::from_secs_f64(-uniform.ln() / load.rate);
-        if load.span <= due {
+        if load.duration <= due {
             return planned;
         }
         let number = planned.len() as u64 + 1;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -163,8 +163,8 @@
             print_summary(&summary, json)?;
         }
         Options::Run { site, policy, seed, load, seconds, kv_transfer, fault, json } => {
-            let span = Duration::from_secs(seconds);
-            let spec = RunSpec { site, policy, seed, load, span, kv_transfer, fault };
+            let duration = Duration::from_secs(seconds);
+            let spec = RunSpec { site, policy, seed, load, duration, kv_transfer, fault };
             print_summary(&run::run(&program, &spec)?, json)?;
         }
         Options::Decision { endpoints, seed, json } => {
@@ -172,10 +172,10 @@
         }
         Options::Compare { site, seeds, load, seconds, plot, json } => {
             let seeds: Vec<u64> = seeds.split(',').map(str::parse).collect::<Result<_, _>>()?;
-            let span = Duration::from_secs(seconds);
+            let duration = Duration::from_secs(seconds);
             let policy = PolicyKind::default();
             let kv_transfer = KvTransfer::Off;
-            let spec = RunSpec { site, policy, seed: 1, load, span, kv_transfer, fault: None };
+            let spec = RunSpec { site, policy, seed: 1, load, duration, kv_transfer, fault: None };
             let results = compare::run(&program, &spec, &seeds)?;
             println!("{}", compare::table(&results));
             if let Some(path) = plot {
--- a/crates/bench/src/run.rs
+++ b/crates/bench/src/run.rs
@@ -57,7 +57,7 @@
     /// Completions per second, as a share of the site's capacity.
     pub load: f64,
     /// Duration of the measurement, after the warm-up.
-    pub span: Duration,
+    pub duration: Duration,
     /// Where engines may fetch cached blocks from.
     pub kv_transfer: KvTransfer,
     /// The fault injected after half of that time.
@@ -130,7 +130,7 @@
 
 impl RunSpec {
     fn fault_time(&self) -> Duration {
-        WARM_UP_TIME + self.span / 2
+        WARM_UP_TIME + self.duration / 2
     }
 
     fn workload(&self, site: &Site) -> Workload {
@@ -142,7 +142,7 @@
             shape: self.site.shape(),
             rate: self.site.capacity() * self.load,
             warm_up: WARM_UP_TIME,
-            span: WARM_UP_TIME + self.span,
+            duration: WARM_UP_TIME + self.duration,
             shift: (self.fault == Some(RunFault::Shift)).then_some(self.fault_time()),
             seed: self.seed,
         }
--- a/crates/bench/src/workload.rs
+++ b/crates/bench/src/workload.rs
@@ -73,7 +73,7 @@
     /// Time before the measurement starts.
     pub warm_up: Duration,
     /// Duration of the workload, including the warm-up.
-    pub span: Duration,
+    pub duration: Duration,
     /// When other prefixes become popular, if they do.
     pub shift: Option<Duration>,
     /// Seed of all random choices.
@@ -107,7 +107,7 @@
         loop {
             let uniform: f64 = rng.random_range(f64::EPSILON..1.0);
             due += Duration::from_secs_f64(-uniform.ln() / rate);
-            if self.span <= due {
+            if self.duration <= due {
                 return planned;
             }
             let number = planned.len();
--- a/crates/bench/tests/whole_path.rs
+++ b/crates/bench/tests/whole_path.rs
@@ -22,7 +22,7 @@
         model: site.spec.model.clone(),
         service: site.spec.service.clone(),
         rate: 50.0,
-        span: Duration::from_secs(3),
+        duration: Duration::from_secs(3),
         seed: 1,
     };
     let observed = FakeCounts { tally: site.tally.clone(), orders: site.orders.clone() };
