--- a/crates/bench/src/balancer.rs
+++ b/crates/bench/src/balancer.rs
@@ -89,7 +89,7 @@
         let mut outcome = BalancedOutcome { first_token: None, refused: 0, cut: 0, failed: None };
         let mut parts: Vec<CompletionStream> = Vec::new();
         for _ in 0..MAX_ATTEMPTS {
-            let Some(host) = self.pick(started).await else { break };
+            let Some(host) = self.pick_host(started).await else { break };
             let last = parts.iter().rev().find_map(|part| part.last_id.as_ref());
             let mut stream = match CompletionStream::open(host.listen, spec, last).await {
                 Ok(OpenResult::Stream(stream)) => *stream,
@@ -125,7 +125,7 @@
         outcome
     }
 
-    async fn pick(&self, started: Instant) -> Option<&Host> {
+    async fn pick_host(&self, started: Instant) -> Option<&Host> {
         while started.elapsed() < MAX_READY_WAIT {
             let first = self.next.fetch_add(1, Ordering::Relaxed);
             let ready = (0..self.hosts.len()).map(|i| (first + i) % self.hosts.len());
--- a/crates/bench/src/declare.rs
+++ b/crates/bench/src/declare.rs
@@ -27,7 +27,7 @@
     let mut revision = None;
     wait_until("the declaration is accepted", APPLY_TIMEOUT, || {
         let before = revision_in_force(admin).unwrap_or_default();
-        let response = post(admin, toml, before);
+        let response = post_change(admin, toml, before);
         if let Err(e) = &response {
             log::info!("declaration change failed, retrying: {e}");
         }
@@ -43,7 +43,7 @@
     Ok(revision)
 }
 
-fn post(admin: SocketAddr, toml: &str, expected: Revision) -> eyre::Result<Revision> {
+fn post_change(admin: SocketAddr, toml: &str, expected: Revision) -> eyre::Result<Revision> {
     let change = ChangeRequest {
         id: format!("bench-{expected}").parse()?,
         expected,
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -146,11 +146,11 @@
             return planned;
         }
         let number = planned.len() as u64 + 1;
-        planned.push(plan(load, due, number, &mut rng));
+        planned.push(plan_request(load, due, number, &mut rng));
     }
 }
 
-fn plan(load: &Load, due: Duration, number: u64, rng: &mut Pcg64Mcg) -> PlannedRequest {
+fn plan_request(load: &Load, due: Duration, number: u64, rng: &mut Pcg64Mcg) -> PlannedRequest {
     let router = load.routers[rng.random_range(0..load.routers.len())];
     let organisation = pick_organisation(&load.organisations, rng).clone();
     let service = &load.service;
@@ -260,7 +260,7 @@
                 record(&mut counts.gap, gap);
             }
             if let Some(engine_time) = fakes.tally.lock().first_tokens.remove(&timing.request_id) {
-                record(&mut counts.added, timing.first_token.saturating_sub(engine_time));
+                record(&mut counts.added_ttft, timing.first_token.saturating_sub(engine_time));
             }
         }
         Outcome::Failed(problem) => counts.count_failure(problem.verdict),
--- a/crates/bench/src/quorum_bench.rs
+++ b/crates/bench/src/quorum_bench.rs
@@ -39,7 +39,7 @@
 const VOTER_COUNTS: [usize; 2] = [3, 5];
 
 /// Number of elections and of changes to measure.
-const SAMPLES: u64 = 5;
+const SAMPLE_COUNT: u64 = 5;
 
 /// Time limit of one response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -226,7 +226,7 @@
 
 async fn measure_changes(site: &Site) -> eyre::Result<Vec<f64>> {
     let mut millis = Vec::new();
-    for number in 0..SAMPLES {
+    for number in 0..SAMPLE_COUNT {
         let change = operator::change(&format!("change-{number}"), number, "");
         let started = Instant::now();
         let reply = operator::submit_change(&site.daemons, change).await?;
@@ -243,7 +243,7 @@
 
 async fn measure_elections(site: &mut Site) -> eyre::Result<Vec<f64>> {
     let mut millis = Vec::new();
-    for _ in 0..SAMPLES {
+    for _ in 0..SAMPLE_COUNT {
         let leader = operator::leader(&site.daemons).await?;
         site.daemons[leader].kill()?;
         let started = Instant::now();
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -46,7 +46,7 @@
     /// Time between tokens.
     pub gap: Histogram<u64>,
     /// Time to first token minus the engine's own time to first token.
-    pub added: Histogram<u64>,
+    pub added_ttft: Histogram<u64>,
 }
 
 /// Completions of one organisation.
@@ -65,7 +65,7 @@
             organisations: BTreeMap::new(),
             first_token: histogram(),
             gap: histogram(),
-            added: histogram(),
+            added_ttft: histogram(),
         }
     }
 }
@@ -147,8 +147,8 @@
             ttft_p95_ms: percentile_ms(&counts.first_token, 95.0),
             ttft_p99_ms: percentile_ms(&counts.first_token, 99.0),
             gap_p95_ms: percentile_ms(&counts.gap, 95.0),
-            added_p50_ms: percentile_ms(&counts.added, 50.0),
-            added_p99_ms: percentile_ms(&counts.added, 99.0),
+            added_p50_ms: percentile_ms(&counts.added_ttft, 50.0),
+            added_p99_ms: percentile_ms(&counts.added_ttft, 99.0),
         };
         summary.set_engine_counts(&engines);
         summary
--- a/crates/bench/src/restarts.rs
+++ b/crates/bench/src/restarts.rs
@@ -179,7 +179,7 @@
         let thread = {
             let (stop, counts) = (Arc::clone(&stop), Arc::clone(&counts));
             std::thread::spawn(move || {
-                block_on(send(&spec, &balancer, rate, seed, &stop, &counts));
+                block_on(send_load(&spec, &balancer, rate, seed, &stop, &counts));
             })
         };
         Self { stop, counts, thread }
@@ -223,7 +223,7 @@
         .fold([0, 0], |sum, counts| [sum[0] + counts.prompt_tokens, sum[1] + counts.cached_tokens])
 }
 
-async fn send(
+async fn send_load(
     spec: &SiteSpec,
     balancer: &Balancer,
     rate: f64,
@@ -242,7 +242,7 @@
         if stop.load(Ordering::Acquire) {
             break;
         }
-        let request = plan(spec, number, &mut rng);
+        let request = plan_completion(spec, number, &mut rng);
         let (balancer, counts) = (balancer.clone(), Arc::clone(counts));
         tasks.push(tokio::task::spawn_local(async move {
             let outcome = balancer.complete(&request).await;
@@ -254,7 +254,7 @@
     }
 }
 
-fn plan(spec: &SiteSpec, number: u64, rng: &mut Pcg64Mcg) -> CompletionSpec {
+fn plan_completion(spec: &SiteSpec, number: u64, rng: &mut Pcg64Mcg) -> CompletionSpec {
     let organisation = &spec.organisations[rng.random_range(0..spec.organisations.len())];
     let book = rng.random_range(0..2);
     let page = rng.random_range(0..6);
--- a/crates/bench/src/site.rs
+++ b/crates/bench/src/site.rs
@@ -170,7 +170,7 @@
             .daemons
             .iter()
             .enumerate()
-            .map(|(i, data_centre)| DaemonSpec::new(&host(i), data_centre))
+            .map(|(i, data_centre)| DaemonSpec::new(&host_id(i), data_centre))
             .collect();
         let peer_proxies: Vec<_> = specs
             .iter()
@@ -254,7 +254,8 @@
         node.proxy.set(Fault { refuse: true, ..Fault::default() });
         let proxy = Proxy::start(engine.address(), self.spec.seed.wrapping_add(i as u64) << 32);
         let id = engine_id(i);
-        let announced = Announced { incarnation, ..announced(id, self.spec.engines[i], &proxy) };
+        let announced =
+            Announced { incarnation, ..announced_endpoint(id, self.spec.engines[i], &proxy) };
         let routers = self.daemons.iter().map(|daemon| daemon.spec().listen).collect();
         let announcer = Announcer::engine(announced, engine.describer(), routers, FLEET_KEY);
         *node = EngineNode { engine, proxy, announcer };
@@ -274,7 +275,7 @@
         let id = engine_id(i);
         let engine = self.new_engine(i, Incarnation::new(1));
         let proxy = Proxy::start(engine.address(), self.spec.seed.wrapping_add(i as u64) << 32);
-        let announced = announced(id, data_centre, &proxy);
+        let announced = announced_endpoint(id, data_centre, &proxy);
         let announcer = Announcer::engine(announced, engine.describer(), self.routers(), FLEET_KEY);
         EngineNode { engine, proxy, announcer }
     }
@@ -283,7 +284,7 @@
         let id: EndpointId = format!("{STORE}-1").parse().expect("a valid id");
         let store = KeptKv::start(KV_STORE_BLOCKS);
         let proxy = Proxy::start(store.address(), self.spec.seed);
-        let announced = announced(id, data_centre, &proxy);
+        let announced = announced_endpoint(id, data_centre, &proxy);
         let service = STORE.parse().expect("a valid id");
         let announcer = Announcer::service(announced, service, self.routers(), FLEET_KEY);
         KvStoreNode { store, proxy, announcer }
@@ -293,7 +294,7 @@
         let id = format!("{}-{}", self.spec.service, i + 1).parse().expect("a valid id");
         let service = Service::start(SERVICE_TIME, self.orders.clone());
         let proxy = Proxy::start(service.address(), self.spec.seed);
-        let announced = announced(id, data_centre, &proxy);
+        let announced = announced_endpoint(id, data_centre, &proxy);
         let routers = self.routers();
         let announcer =
             Announcer::service(announced, self.spec.service.clone(), routers, FLEET_KEY);
@@ -305,7 +306,7 @@
     format!("engine-{}", i + 1).parse().expect("a valid id")
 }
 
-fn announced(id: EndpointId, data_centre: &str, proxy: &Proxy) -> Announced {
+fn announced_endpoint(id: EndpointId, data_centre: &str, proxy: &Proxy) -> Announced {
     Announced {
         id,
         incarnation: Incarnation::new(1),
@@ -314,7 +315,7 @@
     }
 }
 
-fn host(i: usize) -> String {
+fn host_id(i: usize) -> String {
     format!("host-{}", i + 1)
 }
 
@@ -334,8 +335,8 @@
     if spec.voters <= i {
         return daemon;
     }
-    daemon = daemon.flag("--data-dir", data.join(host(i)).display()).switch("--voter");
-    (0..spec.voters).fold(daemon, |daemon, founder| daemon.flag("--founder", host(founder)))
+    daemon = daemon.flag("--data-dir", data.join(host_id(i)).display()).switch("--voter");
+    (0..spec.voters).fold(daemon, |daemon, founder| daemon.flag("--founder", host_id(founder)))
 }
 
 fn with_flags(mut daemon: DaemonSpec, spec: &SiteSpec) -> DaemonSpec {
--- a/crates/bench/src/sites.rs
+++ b/crates/bench/src/sites.rs
@@ -9,7 +9,7 @@
     Fault,
     fake::EngineConfig,
     site::{Site, SiteSpec},
-    workload::{Level, Shape},
+    workload::{PromptLevel, PromptShape},
 };
 
 /// A site to measure.
@@ -63,16 +63,16 @@
     }
 
     /// Returns the shape of the workload's prompts.
-    pub fn shape(self) -> Shape {
-        let level = |texts, words, skew| Level { texts, words, skew };
+    pub fn shape(self) -> PromptShape {
+        let level = |texts, words, skew| PromptLevel { texts, words, skew };
         match self {
-            Self::Printers => Shape {
+            Self::Printers => PromptShape {
                 first: 1_600,
                 second: level(5, 960, 2),
                 third: level(16, 640, 3),
                 tokens: COMPLETION_TOKENS,
             },
-            Self::Villagers => Shape {
+            Self::Villagers => PromptShape {
                 first: 800,
                 second: level(8, 320, 2),
                 third: level(30, 160, 3),
--- a/crates/bench/src/stream.rs
+++ b/crates/bench/src/stream.rs
@@ -88,7 +88,7 @@
     /// Returns an error if the stream ends earlier.
     pub async fn read_tokens(&mut self, count: usize) -> eyre::Result<()> {
         while self.tokens.len() < count {
-            if let Some(end) = self.step().await? {
+            if let Some(end) = self.process_event().await? {
                 eyre::bail!("the stream ended after {} tokens: {end:?}", self.tokens.len());
             }
         }
@@ -102,13 +102,13 @@
     /// Returns an error if the stream ends without an end marker or a failure, or is malformed.
     pub async fn finish(&mut self) -> eyre::Result<StreamEnd> {
         loop {
-            if let Some(end) = self.step().await? {
+            if let Some(end) = self.process_event().await? {
                 return Ok(end);
             }
         }
     }
 
-    async fn step(&mut self) -> eyre::Result<Option<StreamEnd>> {
+    async fn process_event(&mut self) -> eyre::Result<Option<StreamEnd>> {
         let event = tokio::time::timeout(EVENT_TIMEOUT, self.next_event()).await??;
         if event.kind.as_deref() == Some("error") {
             return Ok(Some(StreamEnd::Failed(serde_json::from_str(&event.data)?)));
--- a/crates/bench/src/workload.rs
+++ b/crates/bench/src/workload.rs
@@ -33,20 +33,20 @@
 
 /// Levels of text in the prompts.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct PromptShape {
     /// Words in the text that all prompts of an organisation share.
     pub first: usize,
     /// Texts of the second level.
-    pub second: Level,
+    pub second: PromptLevel,
     /// Texts of the third level, below each one of the second.
-    pub third: Level,
+    pub third: PromptLevel,
     /// Tokens requested by a completion.
     pub tokens: Range<u64>,
 }
 
 /// Texts at one level, below one text of the level above.
 #[derive(Clone, Copy, Debug)]
-pub struct Level {
+pub struct PromptLevel {
     /// Number of texts.
     pub texts: u64,
     /// Words in each text.
@@ -67,7 +67,7 @@
     /// The called plain service.
     pub service: ServiceId,
     /// Levels of text in the prompts.
-    pub shape: Shape,
+    pub shape: PromptShape,
     /// Completions per second.
     pub rate: f64,
     /// Time before the measurement starts.
@@ -80,14 +80,14 @@
     pub seed: u64,
 }
 
-impl Shape {
+impl PromptShape {
     /// Returns the number of cache blocks in the first two levels.
     pub fn placement_blocks(&self) -> usize {
         (self.first + self.second.words) * TOKEN_BYTES / BLOCK_BYTES
     }
 }
 
-impl Level {
+impl PromptLevel {
     /// Picks a text; the first ones are the most popular, or the last ones if `shifted`.
     fn pick(self, rng: &mut Pcg64Mcg, shifted: bool) -> u64 {
         let uniform: f64 = rng.random();
@@ -100,7 +100,7 @@
     /// Plans all requests, in the order in which they are sent.
     pub fn plan(&self) -> Vec<PlannedRequest> {
         let mut rng = Pcg64Mcg::seed_from_u64(self.seed);
-        let mut texts = Texts::default();
+        let mut texts = TextCache::default();
         let rate = self.rate / (1.0 - LOOKUP_SHARE - ORDER_SHARE);
         let mut due = Duration::ZERO;
         let mut planned = Vec::new();
@@ -111,15 +111,15 @@
                 return planned;
             }
             let number = planned.len();
-            planned.push(self.request(due, number, &mut texts, &mut rng));
+            planned.push(self.plan_request(due, number, &mut texts, &mut rng));
         }
     }
 
-    fn request(
+    fn plan_request(
         &self,
         due: Duration,
         number: usize,
-        texts: &mut Texts,
+        texts: &mut TextCache,
         rng: &mut Pcg64Mcg,
     ) -> PlannedRequest {
         let router = self.routers[rng.random_range(0..self.routers.len())];
@@ -135,20 +135,26 @@
             RequestKind::Order { path, key: format!("order-{}-{number}", self.seed) }
         } else {
             let shifted = self.shift.is_some_and(|shift| shift <= due);
-            RequestKind::Completion(self.completion(&organisation, number, shifted, texts, rng))
+            RequestKind::Completion(self.plan_completion(
+                &organisation,
+                number,
+                shifted,
+                texts,
+                rng,
+            ))
         };
         PlannedRequest { due, router, organisation, kind, measured: self.warm_up <= due }
     }
 
-    fn completion(
+    fn plan_completion(
         &self,
         organisation: &OrganisationId,
         number: usize,
         shifted: bool,
-        texts: &mut Texts,
+        texts: &mut TextCache,
         rng: &mut Pcg64Mcg,
     ) -> CompletionSpec {
-        let Shape { first, second, third, tokens } = &self.shape;
+        let PromptShape { first, second, third, tokens } = &self.shape;
         let second_text = second.pick(rng, shifted);
         let third_text = third.pick(rng, shifted);
         let mut prompt = format!("organisation {organisation}\n");
@@ -197,9 +203,9 @@
 
 /// Cache of generated texts.
 #[derive(Default)]
-struct Texts(HashMap<String, String>);
+struct TextCache(HashMap<String, String>);
 
-impl Texts {
+impl TextCache {
     fn text(&mut self, seed: String, words: usize) -> &str {
         self.0
             .entry(seed)
