--- a/crates/bench/tests/claims_faults.rs
+++ b/crates/bench/tests/claims_faults.rs
@@ -6,7 +6,7 @@
 use bench::{
     Fault,
     caller::{self, CallOutcome},
-    gate::{Gate, Passage},
+    gate::{Gate, GateEvent},
     operator,
     process::{Program, wait_until},
     site::{Site, SiteSpec, organisation_key},
@@ -89,7 +89,7 @@
 
     fn heal(&self) {
         self.site.peer_proxies.iter().for_each(bench::Proxy::heal);
-        self.gate.hold_answers(false);
+        self.gate.hold_responses(false);
     }
 
     fn runs(&self) -> u64 {
@@ -150,9 +150,9 @@
         }
     }
 
-    async fn wait_gate_event(&self, wanted: Passage) {
-        let passages = self.gate.passages();
-        let seen = async { while passages.recv_async().await != Ok(wanted) {} };
+    async fn wait_gate_event(&self, wanted: GateEvent) {
+        let events = self.gate.events();
+        let seen = async { while events.recv_async().await != Ok(wanted) {} };
         tokio::time::timeout(WAIT_TIMEOUT, seen).await.expect("the call reaches the gate in time");
     }
 
@@ -164,17 +164,17 @@
                 self.inject_fault_from(self.sender, &held);
             }
             Step::Claimed => {
-                let held = Fault { hold_answers: true, ..Fault::default() };
+                let held = Fault { hold_responses: true, ..Fault::default() };
                 self.site.peer_proxies[self.leader].set_for(self.ip(self.sender), held);
             }
-            Step::Sent => self.gate.hold_answers(true),
+            Step::Sent => self.gate.hold_responses(true),
             Step::Answered => {}
         }
         let order = tokio::task::spawn_local(self.send_order(self.sender));
         match step {
-            Step::Connected => self.wait_gate_event(Passage::Connected).await,
+            Step::Connected => self.wait_gate_event(GateEvent::Connected).await,
             Step::Claimed => self.wait_claimed().await,
-            Step::Sent => self.wait_gate_event(Passage::Answered).await,
+            Step::Sent => self.wait_gate_event(GateEvent::ResponseReceived).await,
             Step::Answered => {
                 while !order.is_finished() {
                     tokio::task::yield_now().await;
@@ -258,7 +258,7 @@
         let first = fixture.resend_until(fixture.sender, answered).await;
         fixture.site.daemons[leader].thaw().unwrap();
         let read = LeaderRequest::ReadCall(fixture.call_key());
-        match operator::ask(&fixture.site.daemons[leader], &read).await.unwrap() {
+        match operator::send_request(&fixture.site.daemons[leader], &read).await.unwrap() {
             daemon::PeerResponse::Answered(wire::leader::LeaderResponse::Call(call)) => {
                 let state = call.map(|call| call.state);
                 assert!(matches!(state, Some(CallState::Finished(..))), "stale: {state:?}");
@@ -292,7 +292,7 @@
         let fixture = Fixture::start().await;
         let order = fixture.send_until(Step::Sent).await;
         fixture.isolate(fixture.sender);
-        fixture.gate.hold_answers(false);
+        fixture.gate.hold_responses(false);
         let first = order.await.unwrap();
         assert!(matches!(first, CallOutcome::Answered { .. }), "{first:?}");
         let elsewhere = fixture.send_checked_order(fixture.third_host()).await;
@@ -354,10 +354,10 @@
         let order = fixture.send_until(Step::Sent).await;
         let sender = fixture.sender;
         fixture.site.daemons[sender].terminate().unwrap();
-        fixture.gate.hold_answers(false);
+        fixture.gate.hold_responses(false);
         let first = order.await.unwrap();
         assert!(matches!(first, CallOutcome::Answered { .. }), "{first:?}");
-        let status = fixture.site.daemons[sender].wait_end(WAIT_TIMEOUT).unwrap();
+        let status = fixture.site.daemons[sender].wait_exit(WAIT_TIMEOUT).unwrap();
         assert_eq!(status.code(), Some(0));
         assert_eq!(fixture.send_checked_order(fixture.third_host()).await, first);
     });
--- a/crates/bench/tests/configuration.rs
+++ b/crates/bench/tests/configuration.rs
@@ -245,7 +245,8 @@
         let isolated_change = LeaderRequest::Command(Command::Change(isolated_change));
         let begun = Instant::now();
         while begun.elapsed() < Duration::from_secs(4) {
-            let response = operator::ask(&site.daemons[leader], &isolated_change).await.unwrap();
+            let response =
+                operator::send_request(&site.daemons[leader], &isolated_change).await.unwrap();
             assert!(!matches!(response, PeerResponse::Answered(_)), "{response:?}");
         }
         assert_eq!(change(&site, 1).await, ChangeReply::Changed(Revision::new(2)));
--- a/crates/bench/tests/endpoints.rs
+++ b/crates/bench/tests/endpoints.rs
@@ -5,12 +5,12 @@
 use base::{Incarnation, Sequence, Verdict};
 use bench::{
     Fault, Proxy,
-    caller::{self, Ask, Outcome, block_on},
-    declare::declare,
+    caller::{self, CompletionSpec, Outcome, block_on},
+    declare::apply_declaration,
     partition,
     process::{Daemon, Program, wait_until},
     site::{FLEET_KEY, Site, SiteSpec, organisation_key},
-    stream::{AnswerStream, StreamEnd, check_whole},
+    stream::{CompletionStream, StreamEnd, check_complete},
 };
 use wire::announcement::AnnouncementBody;
 
@@ -36,9 +36,9 @@
     Site::start(&Program::bench(env!("CARGO_BIN_EXE_bench")), spec).unwrap()
 }
 
-fn completion(site: &Site, number: usize) -> Ask {
+fn completion(site: &Site, number: usize) -> CompletionSpec {
     let organisation = &site.spec.organisations[number % site.spec.organisations.len()];
-    Ask {
+    CompletionSpec {
         key: organisation_key(organisation),
         model: site.spec.model.to_string(),
         prompt: format!("organisation {organisation}\nquestion {number}"),
@@ -54,18 +54,18 @@
     let sent = completions
         .iter()
         .enumerate()
-        .map(|(i, request)| caller::ask(listen[routers[i % routers.len()]], request));
+        .map(|(i, request)| caller::complete(listen[routers[i % routers.len()]], request));
     for outcome in futures_util::future::join_all(sent).await {
         assert!(matches!(outcome, Outcome::Answered(_)), "{outcome:?}");
     }
 }
 
-async fn open(site: &Site, router: usize, request: &Ask) -> AnswerStream {
-    AnswerStream::open(site.routers()[router], request, None).await.unwrap().stream().unwrap()
+async fn open(site: &Site, router: usize, request: &CompletionSpec) -> CompletionStream {
+    CompletionStream::open(site.routers()[router], request, None).await.unwrap().stream().unwrap()
 }
 
 /// Returns the index of the engine that generates the stream.
-fn engine_of(stream: &AnswerStream) -> usize {
+fn engine_of(stream: &CompletionStream) -> usize {
     let endpoint = &stream.last_id.as_ref().unwrap().endpoint;
     let number: usize = endpoint.as_str().rsplit('-').next().unwrap().parse().unwrap();
     number - 1
@@ -110,7 +110,7 @@
         fn $name() {
             let site = site();
             block_on(check_all_answered(&site, &[0, 1, 2]));
-            partition::cut_off_router(&site, $router);
+            partition::isolate_router(&site, $router);
             let left = Instant::now();
             site.engines[0].announcer.leave();
             // Delayed copies of its earlier announcements arrive in between.
@@ -124,7 +124,7 @@
             let completions: Vec<_> = (0..24).map(|number| completion(&site, number)).collect();
             for router in 0..site.daemons.len() {
                 let listen = site.routers()[router];
-                let sent = completions.iter().map(|request| caller::ask(listen, request));
+                let sent = completions.iter().map(|request| caller::complete(listen, request));
                 for outcome in block_on(futures_util::future::join_all(sent)) {
                     // The isolated router may know no other engine.
                     let is_served = matches!(outcome, Outcome::Answered(_));
@@ -134,7 +134,7 @@
             }
             partition::heal(&site);
             for daemon in &site.daemons {
-                site.wait_known_by(daemon, 2).unwrap();
+                site.wait_endpoint_count(daemon, 2).unwrap();
             }
             block_on(check_all_answered(&site, &[0, 1, 2]));
             assert_eq!(requests(&site, 0), before, "after the partition");
@@ -164,12 +164,16 @@
         site.restart_engine(engine, Incarnation::new(2));
         let end = stream.finish().await.unwrap();
         assert_eq!(end, StreamEnd::Done, "{}", site.daemons[0].log().unwrap());
-        check_whole(&request, &[&stream]).unwrap();
+        check_complete(&request, &[&stream]).unwrap();
         wait_until("the new incarnation is known", WAIT_TIMEOUT, || {
             let router = site.routers()[1];
             let resumed = block_on_thread(
                 move |request, id| async move {
-                    AnswerStream::open(router, &request, Some(&id)).await.unwrap().problem().ok()
+                    CompletionStream::open(router, &request, Some(&id))
+                        .await
+                        .unwrap()
+                        .problem()
+                        .ok()
                 },
                 request.clone(),
                 id.clone(),
@@ -182,7 +186,7 @@
         let before = requests(&site, engine);
         check_all_answered(&site, &[0, 1, 2]).await;
         assert!(before < requests(&site, engine), "the new incarnation gets no requests");
-        let old = AnswerStream::open(site.routers()[2], &request, Some(&id)).await.unwrap();
+        let old = CompletionStream::open(site.routers()[2], &request, Some(&id)).await.unwrap();
         assert_eq!(old.problem().unwrap().verdict, Some(Verdict::MayHaveRun));
     });
     assert_eq!(site.tally.lock().wrong_salts, 0);
@@ -211,7 +215,7 @@
                 let inject: fn(&Proxy) = $inject;
                 inject(&site.engines[engine_of(&stream)].proxy);
                 assert_eq!(stream.finish().await.unwrap(), StreamEnd::Done);
-                check_whole(&request, &[&stream]).unwrap();
+                check_complete(&request, &[&stream]).unwrap();
             });
         }
     )*};
@@ -229,7 +233,7 @@
     connection_delayed_mid_stream: |proxy| proxy.set(Fault::delay(Duration::from_millis(100)));
     connection_losing_packets_mid_stream: |proxy| proxy.set(Fault { loss: 0.2, ..Fault::default() });
     connection_half_open_mid_stream: |proxy| {
-        proxy.set(Fault { hold_answers: true, ..Fault::default() });
+        proxy.set(Fault { hold_responses: true, ..Fault::default() });
     };
 }
 
@@ -246,7 +250,7 @@
         }
         drop(site.engines.remove(killed));
         assert_eq!(stream.finish().await.unwrap(), StreamEnd::Done);
-        check_whole(&request, &[&stream]).unwrap();
+        check_complete(&request, &[&stream]).unwrap();
     });
 }
 
@@ -265,7 +269,7 @@
     // These wait in the frozen router's sockets and are read first when it is thawed.
     let waiting = std::thread::spawn(move || {
         block_on(futures_util::future::join_all(
-            completions.iter().map(|request| caller::ask(router, request)),
+            completions.iter().map(|request| caller::complete(router, request)),
         ))
     });
     std::thread::sleep(Duration::from_millis(200));
@@ -276,16 +280,16 @@
     block_on(check_all_answered(&site, &[0, 1, 2]));
     assert_eq!(requests(&site, 0), before);
     for daemon in &site.daemons {
-        site.wait_known_by(daemon, 2).unwrap();
+        site.wait_endpoint_count(daemon, 2).unwrap();
     }
 }
 
 #[test]
 fn isolated_data_centre_is_served_by_its_own_engines_and_recovers() {
     let site = site();
-    declare(&site, "[defaults]\nfirst-token-timeout = '700ms'\n").unwrap();
+    apply_declaration(&site, "[defaults]\nfirst-token-timeout = '700ms'\n").unwrap();
     block_on(check_all_answered(&site, &[0, 1, 2]));
-    partition::cut_off_data_centre(&site, "c");
+    partition::isolate_data_centre(&site, "c");
     block_on(check_all_answered(&site, &[0, 1, 2]));
     partition::heal(&site);
     site.wait_endpoints().unwrap();
--- a/crates/bench/tests/kv.rs
+++ b/crates/bench/tests/kv.rs
@@ -5,8 +5,8 @@
 use base::{Incarnation, Verdict};
 use bench::{
     Fault, Proxy,
-    caller::{self, Ask, Outcome},
-    declare::declare,
+    caller::{self, CompletionSpec, Outcome},
+    declare::apply_declaration,
     fake::{Engine, EngineConfig, EngineCounts, KvStore, SharedTally, block_hashes},
     process::{Program, wait_until},
     site::{Site, SiteSpec, organisation_key},
@@ -132,7 +132,7 @@
         ..TransferCase::default()
     } => 0;
     unresponsive_source_is_a_miss: TransferCase {
-        fault: Fault { hold_answers: true, ..Fault::default() },
+        fault: Fault { hold_responses: true, ..Fault::default() },
         ..TransferCase::default()
     } => 0;
 }
@@ -170,7 +170,7 @@
         Program { path: PathBuf::from(env!("CARGO_BIN_EXE_bench")), args: vec!["daemon".into()] };
     let spec = SiteSpec { daemons: vec!["a"], voters: 1, ..spec };
     let site = Site::start(&program, spec).unwrap();
-    declare(&site, &format!("[defaults]\nkv-transfer = \"{kv_transfer}\"\n")).unwrap();
+    apply_declaration(&site, &format!("[defaults]\nkv-transfer = \"{kv_transfer}\"\n")).unwrap();
     site
 }
 
@@ -178,14 +178,14 @@
 fn send_completion(site: &Site, page: usize, question: usize) {
     let organisation = &site.spec.organisations[0];
     let page = format!("house style: page {page} ").repeat(60);
-    let request = Ask {
+    let request = CompletionSpec {
         key: organisation_key(organisation),
         model: site.spec.model.to_string(),
         prompt: format!("organisation 0\n{page}\nquestion {question}"),
         tokens: 2,
         chat: false,
     };
-    let outcome = block_on(caller::ask(site.daemons[0].spec().listen, &request));
+    let outcome = block_on(caller::complete(site.daemons[0].spec().listen, &request));
     assert!(matches!(outcome, Outcome::Answered(_)), "{outcome:?}");
 }
 
@@ -228,7 +228,7 @@
          scope = {{ endpoint = \"engine-{}\" }}\nset = {{ drain = true }}\n",
         first + 1
     );
-    declare(&site, &drain).unwrap();
+    apply_declaration(&site, &drain).unwrap();
     send_completion(&site, 0, 1);
     assert!(0 < site.engines[1 - first].engine.counts().fetched_tokens, "{:?}", counts(&site));
 }
--- a/crates/bench/tests/operator/calls.rs
+++ b/crates/bench/tests/operator/calls.rs
@@ -28,7 +28,7 @@
 /// Sends an order that runs, and cuts its connection before the response.
 fn send_order_in_doubt(site: &Site) {
     let set = |fault: Fault| site.services.iter().for_each(|node| node.proxy.set(fault.clone()));
-    set(Fault { hold_answers: true, ..Fault::default() });
+    set(Fault { hold_responses: true, ..Fault::default() });
     let outcome = std::thread::scope(|scope| {
         let ordering = scope.spawn(|| send_order(site));
         let runs = || site.orders.runs(KEY) == 1;
--- a/crates/bench/tests/operator/changes.rs
+++ b/crates/bench/tests/operator/changes.rs
@@ -152,7 +152,7 @@
 fn change_whose_response_is_lost_is_resent_and_applied_once() {
     let site = site();
     let proxy = Proxy::start(admin(&site, 0), 1);
-    proxy.set(Fault { hold_answers: true, ..Fault::default() });
+    proxy.set(Fault { hold_responses: true, ..Fault::default() });
     let set = ["defaults", "set", "wait-weight", "2.5", "--yes", "--reason", "waits are long"];
     let args = [&set[..], &["--timeout", "1s", "--json"]].concat();
     let routers = [proxy.address(), admin(&site, 1)];
--- a/crates/bench/tests/peers.rs
+++ b/crates/bench/tests/peers.rs
@@ -70,6 +70,6 @@
     fleet_router.wait_ready(Duration::from_secs(10)).unwrap();
 
     let expected = site.engines.len() + site.services.len();
-    site.wait_known_by(&fleet_router, expected).unwrap();
-    assert_eq!(site.known_by(&foreign_router), Some(0));
+    site.wait_endpoint_count(&fleet_router, expected).unwrap();
+    assert_eq!(site.ready_endpoint_count(&foreign_router), Some(0));
 }
--- a/crates/bench/tests/quorum_disks.rs
+++ b/crates/bench/tests/quorum_disks.rs
@@ -87,7 +87,7 @@
     let begun = Instant::now();
     while begun.elapsed() < NO_QUORUM_TIME {
         for daemon in &site.daemons {
-            let response = operator::ask(daemon, &request).await;
+            let response = operator::send_request(daemon, &request).await;
             assert!(!matches!(response, Ok(PeerResponse::Answered(_))), "{response:?}");
         }
     }
@@ -107,12 +107,12 @@
         _ => false,
     };
     let deadline = Instant::now() + WAIT_TIMEOUT;
-    while !is_voter(&operator::ask_leader(&site.daemons, &remove).await.unwrap().1, None) {
+    while !is_voter(&operator::send_to_leader(&site.daemons, &remove).await.unwrap().1, None) {
         assert!(Instant::now() < deadline, "the voter is not removed in time");
     }
     let fresh = folder(site.daemons[host].spec().admin_listen).unwrap();
     let add = LeaderRequest::AddVoter { host: id.clone(), folder: fresh };
-    while !is_voter(&operator::ask_leader(&site.daemons, &add).await.unwrap().1, Some(fresh)) {
+    while !is_voter(&operator::send_to_leader(&site.daemons, &add).await.unwrap().1, Some(fresh)) {
         assert!(Instant::now() < deadline, "the voter is not added in time");
     }
 }
@@ -196,7 +196,7 @@
     }
     assert!(0 < damaged);
     site.daemons[1].start_again().unwrap();
-    let status = site.daemons[1].wait_end(WAIT_TIMEOUT).unwrap();
+    let status = site.daemons[1].wait_exit(WAIT_TIMEOUT).unwrap();
     assert_eq!(status.code(), Some(1));
     block_on(async { change(&site, 1).await });
 }
--- a/crates/bench/tests/restarts.rs
+++ b/crates/bench/tests/restarts.rs
@@ -26,7 +26,7 @@
     let load = RunningLoad::start(&site, REQUESTS_PER_SECOND, 1);
     for daemon in &mut site.daemons {
         daemon.terminate().unwrap();
-        assert_eq!(daemon.wait_end(WAIT_TIMEOUT).unwrap().code(), Some(0));
+        assert_eq!(daemon.wait_exit(WAIT_TIMEOUT).unwrap().code(), Some(0));
         daemon.start_again().unwrap();
         daemon.wait_ready(WAIT_TIMEOUT).unwrap();
     }
--- a/crates/bench/tests/routing.rs
+++ b/crates/bench/tests/routing.rs
@@ -4,8 +4,8 @@
 
 use base::Incarnation;
 use bench::{
-    caller::{self, Ask, Outcome},
-    declare::declare,
+    caller::{self, CompletionSpec, Outcome},
+    declare::apply_declaration,
     fake::EngineConfig,
     process::{Program, wait_until},
     site::{Site, SiteSpec, organisation_key},
@@ -34,10 +34,15 @@
 }
 
 /// Returns an organisation's request; requests with the same `page` share a long prefix.
-fn completion_for(site: &Site, organisation: usize, page: usize, question: usize) -> Ask {
+fn completion_for(
+    site: &Site,
+    organisation: usize,
+    page: usize,
+    question: usize,
+) -> CompletionSpec {
     let organisation = &site.spec.organisations[organisation];
     let page = format!("{STYLE}page {page} ").repeat(60);
-    Ask {
+    CompletionSpec {
         key: organisation_key(organisation),
         model: site.spec.model.to_string(),
         prompt: format!("organisation {organisation}\n{page}\nquestion {question}"),
@@ -46,8 +51,8 @@
     }
 }
 
-async fn send(site: &Site, host: usize, request: &Ask) -> Outcome {
-    caller::ask(site.daemons[host].spec().listen, request).await
+async fn send(site: &Site, host: usize, request: &CompletionSpec) -> Outcome {
+    caller::complete(site.daemons[host].spec().listen, request).await
 }
 
 fn is_answered(outcome: &Outcome) -> bool {
@@ -84,7 +89,7 @@
     const OTHERS: usize = 6;
     let spec = SiteSpec { engines: vec!["a", "a"], tune: slow_engines, ..one_host() };
     let site = start(spec);
-    declare(&site, "[defaults]\nqueue-deadline = \"2s\"\n").unwrap();
+    apply_declaration(&site, "[defaults]\nqueue-deadline = \"2s\"\n").unwrap();
     block_on(async {
         let flood = (0..FLOOD).map(|i| completion_for(&site, 0, i, i)).collect::<Vec<_>>();
         let flood = join_all(flood.iter().map(|request| send(&site, 0, request)));
@@ -105,7 +110,7 @@
     const FLOOD: usize = 120;
     let spec = SiteSpec { engines: vec!["a"], tune: slow_engines, ..one_host() };
     let site = start(spec);
-    declare(&site, "[defaults]\nqueue-deadline = \"200ms\"\n").unwrap();
+    apply_declaration(&site, "[defaults]\nqueue-deadline = \"200ms\"\n").unwrap();
     let responses = block_on(async {
         let flood = (0..FLOOD).map(|i| completion_for(&site, i % 8, i, i)).collect::<Vec<_>>();
         join_all(flood.iter().map(|request| read_response(&site, request))).await
@@ -122,7 +127,10 @@
 }
 
 /// Returns a response's status, `Retry-After` and problem, after reading its body.
-async fn read_response(site: &Site, request: &Ask) -> (u16, Option<String>, Option<Problem>) {
+async fn read_response(
+    site: &Site,
+    request: &CompletionSpec,
+) -> (u16, Option<String>, Option<Problem>) {
     use http_body_util::BodyExt as _;
     let router = site.daemons[0].spec().listen;
     let body = serde_json::json!({
@@ -145,7 +153,7 @@
 #[test]
 fn organisation_over_its_concurrency_limit_is_refused_as_not_run() {
     let site = start(SiteSpec { tune: slow_engines, ..one_host() });
-    declare(&site, "[defaults]\nmax-concurrent-requests = 2\n").unwrap();
+    apply_declaration(&site, "[defaults]\nmax-concurrent-requests = 2\n").unwrap();
     let outcomes = block_on(async {
         let requests = (0..6).map(|i| completion_for(&site, 0, i, i)).collect::<Vec<_>>();
         join_all(requests.iter().map(|request| send(&site, 0, request))).await
@@ -173,12 +181,12 @@
         });
     };
     for (scope, drained) in [("endpoint = \"engine-2\"", 1), ("data-centre = \"c\"", 2)] {
-        declare(&site, &drain(scope)).unwrap();
+        apply_declaration(&site, &drain(scope)).unwrap();
         let before = requests(&site);
         (0..4).for_each(|i| send(i * 10));
         assert!(!used_since(&site, &before).contains(&drained), "{scope}");
     }
-    declare(&site, &drain("endpoint = \"engine-1\"")).unwrap();
+    apply_declaration(&site, &drain("endpoint = \"engine-1\"")).unwrap();
     let before = requests(&site);
     let all = |i: usize| send(100 + i * 10);
     (0..8).for_each(all);
@@ -204,9 +212,9 @@
         used_since(&site, &before).len()
     };
     assert_eq!(engines_of(1), 1, "the engine with the cached prefix");
-    declare(&site, "[defaults]\nrouting-policy = \"round-robin\"\n").unwrap();
+    apply_declaration(&site, "[defaults]\nrouting-policy = \"round-robin\"\n").unwrap();
     assert_eq!(engines_of(1), 3, "each engine in turn");
-    declare(&site, "[defaults]\nrouting-policy = \"warm\"\n").unwrap();
+    apply_declaration(&site, "[defaults]\nrouting-policy = \"warm\"\n").unwrap();
     assert_eq!(engines_of(2), 1, "the engine that cached the first request's prefix");
 }
 
@@ -234,7 +242,7 @@
 }
 
 /// Returns the number of a prompt's tokens that the router expects in each engine's cache.
-fn warm_tokens(site: &Site, request: &Ask) -> Vec<u64> {
+fn warm_tokens(site: &Site, request: &CompletionSpec) -> Vec<u64> {
     let url =
         format!("http://{}{}", site.daemons[0].spec().admin_listen, wire::operator::EXPLAIN_PATH);
     let body = serde_json::json!({
@@ -292,8 +300,8 @@
 #[test]
 fn late_status_lookup_is_hedged_at_a_second_endpoint_and_a_claimed_call_is_not() {
     let site = start(one_host());
-    declare(&site, "[defaults]\nhedge-delay = \"100ms\"\n").unwrap();
-    let held = bench::Fault { hold_answers: true, ..bench::Fault::default() };
+    apply_declaration(&site, "[defaults]\nhedge-delay = \"100ms\"\n").unwrap();
+    let held = bench::Fault { hold_responses: true, ..bench::Fault::default() };
     site.services[0].proxy.set(held);
     let key = organisation_key(&site.spec.organisations[0]);
     let router = site.daemons[0].spec().listen;
--- a/crates/bench/tests/shutdown.rs
+++ b/crates/bench/tests/shutdown.rs
@@ -7,10 +7,10 @@
 };
 
 use bench::{
-    caller::{Ask, block_on},
+    caller::{CompletionSpec, block_on},
     process::{Program, wait_until},
     site::{Site, SiteSpec, organisation_key},
-    stream::{AnswerStream, StreamEnd, check_whole},
+    stream::{CompletionStream, StreamEnd, check_complete},
 };
 
 const WAIT_TIMEOUT: Duration = Duration::from_secs(5);
@@ -27,9 +27,9 @@
     Site::start(&Program::bench(env!("CARGO_BIN_EXE_bench")), spec).unwrap()
 }
 
-fn completion(site: &Site, tokens: u64) -> Ask {
+fn completion(site: &Site, tokens: u64) -> CompletionSpec {
     let organisation = &site.spec.organisations[0];
-    Ask {
+    CompletionSpec {
         key: organisation_key(organisation),
         model: site.spec.model.to_string(),
         prompt: format!("organisation {organisation}\nwho keeps the key"),
@@ -38,8 +38,8 @@
     }
 }
 
-async fn open(site: &Site, request: &Ask) -> AnswerStream {
-    AnswerStream::open(site.routers()[0], request, None).await.unwrap().stream().unwrap()
+async fn open(site: &Site, request: &CompletionSpec) -> CompletionStream {
+    CompletionStream::open(site.routers()[0], request, None).await.unwrap().stream().unwrap()
 }
 
 fn readiness(site: &Site) -> u16 {
@@ -96,10 +96,10 @@
             .unwrap();
         for stream in [&mut before, &mut during] {
             assert_eq!(stream.finish().await.unwrap(), StreamEnd::Done);
-            check_whole(&request, &[stream]).unwrap();
+            check_complete(&request, &[stream]).unwrap();
         }
     });
-    assert_eq!(site.daemons[0].wait_end(WAIT_TIMEOUT).unwrap().code(), Some(0));
+    assert_eq!(site.daemons[0].wait_exit(WAIT_TIMEOUT).unwrap().code(), Some(0));
 }
 
 #[test]
@@ -130,7 +130,7 @@
         let response = reader.join().unwrap();
         assert!(response.starts_with("HTTP/1.1 200"), "{response:?}");
     }
-    assert_eq!(site.daemons[0].wait_end(WAIT_TIMEOUT).unwrap().code(), Some(0));
+    assert_eq!(site.daemons[0].wait_exit(WAIT_TIMEOUT).unwrap().code(), Some(0));
 }
 
 #[test]
@@ -146,7 +146,7 @@
     let response = idle.list_models(&key);
     assert!(response.starts_with("HTTP/1.1 200"), "{response:?}");
     assert!(response.to_lowercase().contains("connection: close"), "{response}");
-    assert_eq!(site.daemons[0].wait_end(WAIT_TIMEOUT).unwrap().code(), Some(0));
+    assert_eq!(site.daemons[0].wait_exit(WAIT_TIMEOUT).unwrap().code(), Some(0));
 }
 
 #[test]
@@ -161,7 +161,7 @@
         site.daemons[0].terminate().unwrap();
         assert!(stream.finish().await.is_err());
     });
-    assert_eq!(site.daemons[0].wait_end(WAIT_TIMEOUT).unwrap().code(), Some(3));
+    assert_eq!(site.daemons[0].wait_exit(WAIT_TIMEOUT).unwrap().code(), Some(3));
     let log = site.daemons[0].log().unwrap();
     assert!(log.contains("request cut") && log.contains("/v1/completions"), "{log}");
 }
--- a/crates/bench/tests/streams.rs
+++ b/crates/bench/tests/streams.rs
@@ -5,11 +5,11 @@
 use base::{Incarnation, Verdict};
 use bench::{
     Fault,
-    caller::{self, Ask, Outcome, block_on},
-    declare::declare,
+    caller::{self, CompletionSpec, Outcome, block_on},
+    declare::apply_declaration,
     process::{Program, wait_until},
     site::{Site, SiteSpec, organisation_key},
-    stream::{AnswerStream, StreamEnd, check_whole},
+    stream::{CompletionStream, StreamEnd, check_complete},
 };
 use bytes::Bytes;
 use http_body_util::Full;
@@ -39,9 +39,9 @@
     Site::start(&Program::bench(env!("CARGO_BIN_EXE_bench")), spec).unwrap()
 }
 
-fn completion(site: &Site, chat: bool) -> Ask {
+fn completion(site: &Site, chat: bool) -> CompletionSpec {
     let organisation = &site.spec.organisations[0];
-    Ask {
+    CompletionSpec {
         key: organisation_key(organisation),
         model: site.spec.model.to_string(),
         prompt: format!("organisation {organisation}\nwho keeps the key"),
@@ -51,29 +51,33 @@
 }
 
 /// Opens a stream and reads its first tokens.
-async fn open_and_read(site: &Site, request: &Ask) -> AnswerStream {
+async fn open_and_read(site: &Site, request: &CompletionSpec) -> CompletionStream {
     let mut stream = open(site, 0, request).await;
     stream.read_tokens(5).await.unwrap();
     stream
 }
 
 /// Resumes a stream at the second host.
-async fn resume_elsewhere(site: &Site, request: &Ask, first: &AnswerStream) -> AnswerStream {
+async fn resume_elsewhere(
+    site: &Site,
+    request: &CompletionSpec,
+    first: &CompletionStream,
+) -> CompletionStream {
     let id = first.last_id.clone().unwrap();
-    let second = AnswerStream::open(site.routers()[1], request, Some(&id)).await.unwrap();
+    let second = CompletionStream::open(site.routers()[1], request, Some(&id)).await.unwrap();
     second.stream().unwrap()
 }
 
-async fn check_finishes(request: &Ask, mut stream: AnswerStream) {
+async fn check_finishes(request: &CompletionSpec, mut stream: CompletionStream) {
     assert_eq!(stream.finish().await.unwrap(), StreamEnd::Done);
-    check_whole(request, &[&stream]).unwrap();
+    check_complete(request, &[&stream]).unwrap();
 }
 
-async fn open(site: &Site, host: usize, request: &Ask) -> AnswerStream {
-    AnswerStream::open(site.routers()[host], request, None).await.unwrap().stream().unwrap()
+async fn open(site: &Site, host: usize, request: &CompletionSpec) -> CompletionStream {
+    CompletionStream::open(site.routers()[host], request, None).await.unwrap().stream().unwrap()
 }
 
-async fn complete_response(site: &Site, request: &Ask, choices: u64) -> Value {
+async fn complete_response(site: &Site, request: &CompletionSpec, choices: u64) -> Value {
     let router = site.routers()[0];
     let mut body = request.body(false);
     body["n"] = choices.into();
@@ -86,7 +90,7 @@
 }
 
 /// Returns the index of the engine that generates the stream.
-fn engine_of(site: &Site, stream: &AnswerStream) -> usize {
+fn engine_of(site: &Site, stream: &CompletionStream) -> usize {
     let id: &EventId = stream.last_id.as_ref().unwrap();
     let is_match = |id: &EventId, i: usize| id.endpoint.as_str() == format!("engine-{}", i + 1);
     (0..site.engines.len()).find(|&i| is_match(id, i)).unwrap()
@@ -104,7 +108,7 @@
             let site = site(&["a"], 1);
             site.engines[0].proxy.set(Fault { cut_after: Some(CUT_AFTER_BYTES), ..Fault::default() });
             let request = completion(&site, $chat);
-            let outcome = block_on(caller::ask(site.routers()[0], &request));
+            let outcome = block_on(caller::complete(site.routers()[0], &request));
             assert!(matches!(outcome, Outcome::Answered(_)), "{outcome:?}");
             let counts = site.engines[0].engine.counts();
             assert_eq!((counts.requests, counts.generated), (1, TOKENS), "{counts:?}");
@@ -180,11 +184,12 @@
 #[test]
 fn completion_with_a_slow_first_token_is_retried_on_another_engine() {
     let site = site(&["a"], 2);
-    declare(&site, "[defaults]\nfirst-token-timeout = '400ms'\n").unwrap();
-    site.engines[0].proxy.set(Fault { hold_answers: true, ..Fault::default() });
+    apply_declaration(&site, "[defaults]\nfirst-token-timeout = '400ms'\n").unwrap();
+    site.engines[0].proxy.set(Fault { hold_responses: true, ..Fault::default() });
     for number in 0..4 {
-        let request = Ask { prompt: format!("question {number}"), ..completion(&site, false) };
-        let outcome = block_on(caller::ask(site.routers()[0], &request));
+        let request =
+            CompletionSpec { prompt: format!("question {number}"), ..completion(&site, false) };
+        let outcome = block_on(caller::complete(site.routers()[0], &request));
         assert!(matches!(outcome, Outcome::Answered(_)), "{outcome:?}");
     }
 }
@@ -192,8 +197,8 @@
 #[test]
 fn request_timeout_ends_the_stream_with_its_verdict() {
     let site = site(&["a"], 1);
-    declare(&site, "[defaults]\nrequest-timeout = '300ms'\n").unwrap();
-    let request = Ask { tokens: 10_000, ..completion(&site, false) };
+    apply_declaration(&site, "[defaults]\nrequest-timeout = '300ms'\n").unwrap();
+    let request = CompletionSpec { tokens: 10_000, ..completion(&site, false) };
     block_on(async {
         let mut stream = open(&site, 0, &request).await;
         let StreamEnd::Failed(problem) = stream.finish().await.unwrap() else { panic!("done") };
@@ -223,7 +228,7 @@
         let first = open_and_read(&site, &request).await;
         let mut second = resume_elsewhere(&site, &request, &first).await;
         assert_eq!(second.finish().await.unwrap(), StreamEnd::Done);
-        check_whole(&request, &[&first, &second]).unwrap();
+        check_complete(&request, &[&first, &second]).unwrap();
     });
     let counts = total(&site, |counts| counts.requests);
     assert_eq!((counts, total(&site, |counts| counts.generated)), (1, TOKENS));
@@ -240,7 +245,7 @@
         let engine = engine_of(&site, &second);
         drop(site.engines.remove(engine));
         assert_eq!(second.finish().await.unwrap(), StreamEnd::Done);
-        check_whole(&request, &[&first, &second]).unwrap();
+        check_complete(&request, &[&first, &second]).unwrap();
     });
 }
 
@@ -255,7 +260,7 @@
         drop(stream);
         drop(site.engines.remove(engine));
         site.wait_endpoints().unwrap();
-        let again = AnswerStream::open(site.routers()[1], &request, Some(&id)).await.unwrap();
+        let again = CompletionStream::open(site.routers()[1], &request, Some(&id)).await.unwrap();
         let problem = again.problem().unwrap();
         assert_eq!((problem.status, problem.verdict), (410, Some(Verdict::MayHaveRun)));
     });
@@ -269,11 +274,14 @@
         let stream = open_and_read(&site, &request).await;
         let id = stream.last_id.clone().unwrap();
         let router = site.routers()[0];
-        let other = Ask { key: organisation_key(&site.spec.organisations[1]), ..request.clone() };
-        let refused = AnswerStream::open(router, &other, Some(&id)).await.unwrap();
+        let other = CompletionSpec {
+            key: organisation_key(&site.spec.organisations[1]),
+            ..request.clone()
+        };
+        let refused = CompletionStream::open(router, &other, Some(&id)).await.unwrap();
         assert_eq!(refused.problem().unwrap().status, 410);
-        let other = Ask { prompt: "another prompt".into(), ..request.clone() };
-        let refused = AnswerStream::open(router, &other, Some(&id)).await.unwrap();
+        let other = CompletionSpec { prompt: "another prompt".into(), ..request.clone() };
+        let refused = CompletionStream::open(router, &other, Some(&id)).await.unwrap();
         assert_eq!(refused.problem().unwrap().status, 409);
         check_finishes(&request, stream).await;
     });
@@ -282,7 +290,7 @@
 #[test]
 fn caller_disconnect_cancels_the_engines_work() {
     let site = site(&["a"], 1);
-    let request = Ask { tokens: 100_000, ..completion(&site, false) };
+    let request = CompletionSpec { tokens: 100_000, ..completion(&site, false) };
     drop(block_on(open_and_read(&site, &request)));
     let engine = &site.engines[0].engine;
     wait_until("the work is cancelled", WAIT_TIMEOUT, || engine.counts().cancelled == 1).unwrap();
@@ -298,7 +306,7 @@
         ..SiteSpec::small()
     });
     for chat in [false, true] {
-        let outcome = block_on(caller::ask(site.routers()[0], &completion(&site, chat)));
+        let outcome = block_on(caller::complete(site.routers()[0], &completion(&site, chat)));
         assert!(matches!(outcome, Outcome::Answered(_)), "{outcome:?}");
     }
     assert_eq!(metric(&site, "crossed_answers_dropped"), 2 * TOKENS);
@@ -321,7 +329,7 @@
         tune: |cfg| (cfg.decode_token, cfg.decode_share) = (Duration::ZERO, Duration::ZERO),
         ..SiteSpec::small()
     });
-    let endless = Ask { tokens: 10_000_000, ..completion(&site, false) };
+    let endless = CompletionSpec { tokens: 10_000_000, ..completion(&site, false) };
     let engine = &site.engines[0].engine;
     let before = resident_kb(site.daemons[0].pid());
     block_on(async {
@@ -333,7 +341,7 @@
             std::mem::replace(&mut last, generated) == generated && 0 < generated
         })
         .unwrap();
-        let outcome = caller::ask(site.routers()[0], &completion(&site, false)).await;
+        let outcome = caller::complete(site.routers()[0], &completion(&site, false)).await;
         assert!(matches!(outcome, Outcome::Answered(_)), "{outcome:?}");
     });
     let growth = resident_kb(site.daemons[0].pid()).saturating_sub(before);
