--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -54,5 +54,5 @@
     ticket::{Action, Arrival, Decision, Priority, Refusal, RefusalReason, Ticket},
     transfer::{Source, TransferSettings, choose_source},
     warm::{Warm, WarmSettings},
-    warm_v1::{WarmV1, Weights},
+    warm_v1::{WarmV1, WarmV1Weights},
 };
--- a/crates/route/src/warm_v1.rs
+++ b/crates/route/src/warm_v1.rs
@@ -4,7 +4,7 @@
 
 /// Weights of the components of the score of [`WarmV1`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Weights {
+pub struct WarmV1Weights {
     /// Cost of a token that must be prefilled, relative to a queued token.
     pub recompute: f64,
     /// Cost of a token already queued for prefill.
@@ -13,7 +13,7 @@
     pub request_tokens: f64,
 }
 
-impl Default for Weights {
+impl Default for WarmV1Weights {
     fn default() -> Self {
         Self { recompute: 1.0, wait: 1.0, request_tokens: 32.0 }
     }
@@ -22,12 +22,12 @@
 /// Weighs the tokens to recompute against the queue; ties go to the prefix's home.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WarmV1 {
-    weights: Weights,
+    weights: WarmV1Weights,
 }
 
 impl WarmV1 {
     /// Creates the policy.
-    pub fn new(weights: Weights) -> Self {
+    pub fn new(weights: WarmV1Weights) -> Self {
         Self { weights }
     }
 
