--- a/crates/route/src/headroom.rs
+++ b/crates/route/src/headroom.rs
@@ -11,17 +11,17 @@
     /// Rate at which it prefills prompts.
     pub prefill_rate: TokenRate,
     /// Time to the first token of a prompt that is cached completely.
-    pub first_token: Duration,
+    pub cached_ttft: Duration,
     /// Number of concurrent streams at which each becomes too slow.
-    pub streams: u32,
+    pub max_streams: u32,
 }
 
 impl Default for EngineSpeed {
     fn default() -> Self {
         Self {
             prefill_rate: TokenRate::new(28_000),
-            first_token: Duration::from_millis(80),
-            streams: 32,
+            cached_ttft: Duration::from_millis(80),
+            max_streams: 32,
         }
     }
 }
@@ -89,13 +89,13 @@
         let speed = Self::default();
         match slots {
             0 => speed,
-            slots => Self { streams: slots.min(speed.streams), ..speed },
+            slots => Self { max_streams: slots.min(speed.max_streams), ..speed },
         }
     }
 
     /// Returns the expected time to first token of a prompt with `cold` tokens to prefill.
-    pub fn first_token(&self, load: InFlightLoad, cold: TokenCount) -> Duration {
-        self.first_token + self.prefill_time(load.prefill_tokens) + self.prefill_time(cold)
+    pub fn expected_ttft(&self, load: InFlightLoad, cold: TokenCount) -> Duration {
+        self.cached_ttft + self.prefill_time(load.prefill_tokens) + self.prefill_time(cold)
     }
 
     /// Returns whether the engine has headroom for a request whose first token is due within
@@ -104,10 +104,10 @@
     /// Under overload, a request that would be late is of little use to its caller and delays those
     /// queued behind it, so the caller should retry once there is headroom.
     pub fn headroom(&self, load: InFlightLoad, cold: TokenCount, target: Duration) -> Headroom {
-        let expected = self.first_token(load, cold);
-        let alone = self.first_token(InFlightLoad::default(), cold);
-        if self.streams <= load.requests {
-            return Headroom::After(expected.max(self.first_token));
+        let expected = self.expected_ttft(load, cold);
+        let alone = self.expected_ttft(InFlightLoad::default(), cold);
+        if self.max_streams <= load.requests {
+            return Headroom::After(expected.max(self.cached_ttft));
         }
         // A prompt that misses the target even alone may go to an engine with nothing else to
         // prefill.
--- a/crates/route/tests/headroom.rs
+++ b/crates/route/tests/headroom.rs
@@ -34,7 +34,7 @@
     else {
         panic!("too much prefill for headroom")
     };
-    let left = speed.first_token(load(5, 30_000), TokenCount::new(800)) - TARGET_TTFT;
+    let left = speed.expected_ttft(load(5, 30_000), TokenCount::new(800)) - TARGET_TTFT;
     assert_eq!(wait, left);
 }
 
