--- a/crates/daemon/src/edge/router.rs
+++ b/crates/daemon/src/edge/router.rs
@@ -249,7 +249,7 @@
         if let Some(slot) = target.slot() {
             self.prefixes.record_sent(now, slot, &chain);
         }
-        self.engine_outliers.sent(now, id);
+        self.engine_outliers.record_sent(now, id);
         let cold = req.prompt_tokens.as_u64().saturating_sub(warm.as_u64());
         Ok(ChosenEngine {
             was_idle: target.in_flight() == 0,
@@ -327,7 +327,7 @@
         let req = Request::default();
         let chosen = self.service_policy.choose(&req, &candidates, &mut self.rng);
         let eligible = available[chosen.ok_or(NoEndpoint::Unavailable)?];
-        self.service_outliers.sent(now, eligible.id);
+        self.service_outliers.record_sent(now, eligible.id);
         Ok((eligible.id.clone(), InFlight::begin(eligible.target, TokenCount::ZERO)))
     }
 
--- a/crates/route/src/outlier.rs
+++ b/crates/route/src/outlier.rs
@@ -146,7 +146,7 @@
     ///
     /// The next probe is due when the outcome of this one is recorded, or after the duration of the
     /// first ejection if it never is.
-    pub fn sent(&mut self, now: MonotonicTime, endpoint: &EndpointId) {
+    pub fn record_sent(&mut self, now: MonotonicTime, endpoint: &EndpointId) {
         let probe_timeout = self.settings.initial_ejection_time;
         let Some(tracked) = self.endpoints.get_mut(endpoint) else { return };
         if let State::Ejected(ejection) = &mut tracked.state
--- a/crates/route/tests/outliers.rs
+++ b/crates/route/tests/outliers.rs
@@ -77,7 +77,7 @@
     let mut changes = Vec::new();
     for _ in 0..3 {
         assert_eq!(outliers.ejection_state(at(1_000), &id(0)), EjectionState::ProbeDue);
-        outliers.sent(at(1_000), &id(0));
+        outliers.record_sent(at(1_000), &id(0));
         assert_eq!(outliers.ejection_state(at(1_000), &id(0)), EjectionState::Ejected);
         changes.extend(outliers.record(at(1_000), &id(0), FAST));
     }
@@ -92,7 +92,7 @@
 fn failed_probe_doubles_the_ejection() {
     let mut outliers = tracker(4);
     record(&mut outliers, 0, &[Outcome::Failed; 5]);
-    outliers.sent(at(1_000), &id(0));
+    outliers.record_sent(at(1_000), &id(0));
     outliers.record(at(1_000), &id(0), Outcome::Failed);
     assert_eq!(outliers.ejection_state(at(2_999), &id(0)), EjectionState::Ejected);
     assert_eq!(outliers.ejection_state(at(3_000), &id(0)), EjectionState::ProbeDue);
@@ -110,7 +110,7 @@
 fn lost_probe_is_followed_by_another() {
     let mut outliers = tracker(4);
     record(&mut outliers, 0, &[Outcome::Failed; 5]);
-    outliers.sent(at(1_000), &id(0));
+    outliers.record_sent(at(1_000), &id(0));
     assert_eq!(outliers.ejection_state(at(2_000), &id(0)), EjectionState::ProbeDue);
 }
 
@@ -159,7 +159,7 @@
             let endpoint = id(usize::from(n % 6));
             match op % 8 {
                 0 => outliers.join(at(now), endpoint),
-                1 => outliers.sent(at(now), &endpoint),
+                1 => outliers.record_sent(at(now), &endpoint),
                 2 => { outliers.record(at(now), &endpoint, FAST); }
                 _ => { outliers.record(at(now), &endpoint, Outcome::Failed); }
             }
