--- a/crates/prefix/src/index.rs
+++ b/crates/prefix/src/index.rs
@@ -105,8 +105,8 @@
 
     /// Records that the endpoint holds exactly the first `cached` blocks of `chain`.
     pub fn record_cached(&mut self, now: MonotonicTime, slot: Slot, chain: &Chain, cached: usize) {
-        let (held, missing) = chain.blocks().split_at(cached.min(chain.blocks().len()));
-        self.insert_blocks(now, slot, held);
+        let (present, missing) = chain.blocks().split_at(cached.min(chain.blocks().len()));
+        self.insert_blocks(now, slot, present);
         self.remove_blocks(slot, missing);
     }
 
@@ -245,7 +245,7 @@
         self.blocks.resize(slots, 0);
     }
 
-    /// Counts the block at `depth` if all blocks before it are held.
+    /// Counts the block at `depth` if the endpoint holds all blocks before it.
     fn extend(&mut self, slot: u16, depth: u32) -> bool {
         let blocks = &mut self.blocks[usize::from(slot)];
         let extends = *blocks == depth;
--- a/crates/prefix/src/shared.rs
+++ b/crates/prefix/src/shared.rs
@@ -52,7 +52,7 @@
         self.entries.drain(..excess);
     }
 
-    /// Returns the prompts from entry number `first` on that routers other than `host` sent.
+    /// Returns the prompts that routers other than `host` sent, from entry number `first` on.
     pub fn since<'a>(
         &'a self,
         first: u64,
--- a/crates/prefix/tests/regression/dead_incarnation.rs
+++ b/crates/prefix/tests/regression/dead_incarnation.rs
@@ -1,3 +1,5 @@
+//! A late response of an earlier incarnation updated the index entries of the endpoint's current one.
+
 use base::{Incarnation, MonotonicTime};
 use prefix::{BlockBytes, Chain, IndexSettings, PrefixMatches, Salt, WarmIndex};
 
--- a/crates/route/examples/decision_cost.rs
+++ b/crates/route/examples/decision_cost.rs
@@ -30,10 +30,10 @@
     for (name, serving) in [("one of 7 models", ENDPOINTS / MODELS), ("every model", ENDPOINTS)] {
         let times = decision_times(serving);
         println!("{serving} candidates (endpoints serve {name})");
-        print_times("walk over the index", times.iter().map(|times| times.lookup));
+        print_times("prefix lookup", times.iter().map(|times| times.lookup));
         print_times("ranks", times.iter().map(|times| times.rank));
         print_times("choice", times.iter().map(|times| times.choose));
-        print_times("all", times.iter().map(|times| times.lookup + times.rank + times.choose));
+        print_times("total", times.iter().map(|times| times.lookup + times.rank + times.choose));
     }
     println!("one stored block of a cache event: mean {:?}", event_time());
 }
--- a/crates/route/src/admission.rs
+++ b/crates/route/src/admission.rs
@@ -73,7 +73,7 @@
 const LATE_REFUSAL_FACTOR: f64 = 1.5;
 
 impl Admission {
-    /// Creates an admission without any requests.
+    /// Creates an admission queue without any requests.
     pub fn new(settings: AdmissionSettings) -> Self {
         Self {
             settings,
@@ -117,10 +117,10 @@
     /// Ends a running request, and starts waiting requests that now fit.
     pub fn release(&mut self, now: MonotonicTime, ticket: Ticket) -> Vec<Action> {
         let Some(running) = self.running.remove(&ticket) else { return Vec::new() };
-        let held = now.saturating_since(running.since);
-        let average = self.hold_time.unwrap_or(held);
+        let hold_time = now.saturating_since(running.since);
+        let average = self.hold_time.unwrap_or(hold_time);
         let divisor = HOLD_TIME_WEIGHT_DIVISOR;
-        self.hold_time = Some((average * (divisor - 1) + held) / divisor);
+        self.hold_time = Some((average * (divisor - 1) + hold_time) / divisor);
         let actions = self.start_waiting(now);
         if self.running.is_empty() && self.waiting.is_empty() {
             self.fair_queue.reset();
--- a/crates/route/src/capacity.rs
+++ b/crates/route/src/capacity.rs
@@ -96,7 +96,7 @@
         self.requests()
     }
 
-    /// Returns the estimate.
+    /// Returns the estimated number of requests that can be in flight.
     pub fn requests(&self) -> u32 {
         self.estimate as u32
     }
--- a/crates/route/src/outlier.rs
+++ b/crates/route/src/outlier.rs
@@ -104,8 +104,8 @@
 struct Ejection {
     next_probe: MonotonicTime,
     probing: bool,
-    /// Consecutive successful probes.
-    succeeded: u32,
+    /// Successful probes since the last failed one.
+    successful_probes: u32,
 }
 
 /// Weight of one response in the moving average of the typical time to first token.
@@ -123,13 +123,13 @@
         let tracked =
             TrackedEndpoint { window, state: State::Ready, ejections: 0, restored_at: now };
         let old = self.endpoints.insert(endpoint, tracked);
-        self.forget_ejection(old);
+        self.uncount_ejection(old);
     }
 
     /// Stops tracking `endpoint`.
     pub fn leave(&mut self, endpoint: &EndpointId) {
         let old = self.endpoints.remove(endpoint);
-        self.forget_ejection(old);
+        self.uncount_ejection(old);
     }
 
     /// Returns whether `endpoint` may receive requests; an endpoint that is not tracked may.
@@ -169,7 +169,7 @@
         let settings = self.settings;
         let tracked = self.endpoints.get_mut(endpoint)?;
         let change = match tracked.state {
-            State::Ready => tracked.count(now, is_bad, may_eject, &settings),
+            State::Ready => tracked.record_outcome(now, is_bad, may_eject, &settings),
             State::Ejected(ejection) => tracked.record_probe(now, is_bad, ejection, &settings),
         };
         match (tracked.state, change) {
@@ -200,7 +200,8 @@
         self.settings.min_slow_ttft <= ttft && typical + self.settings.slow_factor.ln() <= log
     }
 
-    fn forget_ejection(&mut self, old: Option<TrackedEndpoint>) {
+    /// Updates the number of ejected endpoints after `old` was removed.
+    fn uncount_ejection(&mut self, old: Option<TrackedEndpoint>) {
         if old.is_some_and(|tracked| matches!(tracked.state, State::Ejected(_))) {
             self.ejected -= 1;
         }
@@ -208,7 +209,7 @@
 }
 
 impl TrackedEndpoint {
-    fn count(
+    fn record_outcome(
         &mut self,
         now: MonotonicTime,
         is_bad: bool,
@@ -242,9 +243,10 @@
             self.eject(now, settings);
             return None;
         }
-        let succeeded = ejection.succeeded + 1;
-        if succeeded < settings.probes_to_restore {
-            self.state = State::Ejected(Ejection { next_probe: now, probing: false, succeeded });
+        let successful_probes = ejection.successful_probes + 1;
+        if successful_probes < settings.probes_to_restore {
+            self.state =
+                State::Ejected(Ejection { next_probe: now, probing: false, successful_probes });
             return None;
         }
         self.state = State::Ready;
@@ -256,7 +258,7 @@
     fn eject(&mut self, now: MonotonicTime, settings: &OutlierSettings) -> MonotonicTime {
         let next_probe = now + self.ejection_time(settings);
         self.ejections += 1;
-        self.state = State::Ejected(Ejection { next_probe, probing: false, succeeded: 0 });
+        self.state = State::Ejected(Ejection { next_probe, probing: false, successful_probes: 0 });
         next_probe
     }
 
--- a/crates/route/src/ticket.rs
+++ b/crates/route/src/ticket.rs
@@ -12,7 +12,7 @@
     }
 }
 
-/// A request's priority within its organisation; the lower one goes first, as in engines.
+/// A request's priority within its organisation; lower values go first, as in engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Priority(i32);
 
@@ -54,7 +54,7 @@
     pub priority: Priority,
     /// The latest time at which it may start.
     pub deadline: MonotonicTime,
-    /// The work that is charged: tokens to prefill and to generate.
+    /// The charged cost: tokens to prefill and to generate.
     pub cost: TokenCount,
 }
 
--- a/crates/route/src/transfer.rs
+++ b/crates/route/src/transfer.rs
@@ -38,10 +38,10 @@
 }
 
 impl TransferSettings {
-    /// Returns the time, in seconds, that an engine with `held` blocks saves by fetching from
-    /// `source`; `None` if it saves less than the margin.
-    pub fn saving(&self, held: usize, source: &Source) -> Option<f64> {
-        let missing = source.blocks.saturating_sub(held) as f64;
+    /// Returns the time, in seconds, that an engine saves by fetching from `source` if it has cached
+    /// the first `cached_blocks`; `None` if it saves less than the margin.
+    pub fn saving(&self, cached_blocks: usize, source: &Source) -> Option<f64> {
+        let missing = source.blocks.saturating_sub(cached_blocks) as f64;
         let fetch = source.round_trip.as_secs_f64() + missing * self.block_time.as_secs_f64();
         let rate = (self.prefill_rate.as_u64() as f64).max(1.0);
         let compute = missing * self.block_tokens as f64 / rate;
@@ -50,8 +50,8 @@
     }
 }
 
-/// Returns the index of the source that saves an engine with `held` blocks the most time, `None`
-/// if computing the rest of the prompt is cheaper.
+/// Returns the index of the source that saves the most time for an engine that has cached the first
+/// `cached_blocks` of the prompt, `None` if computing the rest is cheaper.
 ///
 /// # Examples
 ///
@@ -62,8 +62,12 @@
 /// assert_eq!(choose_source(&TransferSettings::default(), 20, &[near]), Some(0));
 /// assert_eq!(choose_source(&TransferSettings::default(), 100, &[near]), None);
 /// ```
-pub fn choose_source(cfg: &TransferSettings, held: usize, sources: &[Source]) -> Option<usize> {
+pub fn choose_source(
+    cfg: &TransferSettings,
+    cached_blocks: usize,
+    sources: &[Source],
+) -> Option<usize> {
     let savings = sources.iter().enumerate();
-    let savings = savings.filter_map(|(i, source)| Some((i, cfg.saving(held, source)?)));
+    let savings = savings.filter_map(|(i, source)| Some((i, cfg.saving(cached_blocks, source)?)));
     savings.max_by(|(_, a), (_, b)| a.total_cmp(b)).map(|(i, _)| i)
 }
--- a/crates/route/src/warm.rs
+++ b/crates/route/src/warm.rs
@@ -284,19 +284,19 @@
 #[derive(Clone, Copy, Debug)]
 struct Homes {
     ranks: [u64; MAX_HOMES + NEXT_RANKS],
-    homes: usize,
+    home_count: usize,
     /// The highest longer-prefix rank of a home.
     max_longer_prefix_rank: u64,
 }
 
 impl Homes {
     fn new(homes: u32) -> Self {
-        let homes = (homes as usize).clamp(1, MAX_HOMES);
-        Self { ranks: [0; MAX_HOMES + NEXT_RANKS], homes, max_longer_prefix_rank: 0 }
+        let home_count = (homes as usize).clamp(1, MAX_HOMES);
+        Self { ranks: [0; MAX_HOMES + NEXT_RANKS], home_count, max_longer_prefix_rank: 0 }
     }
 
     fn add(&mut self, rank: u64) {
-        let last = self.homes + NEXT_RANKS - 1;
+        let last = self.home_count + NEXT_RANKS - 1;
         if rank <= self.ranks[last] {
             return;
         }
@@ -306,7 +306,7 @@
     }
 
     fn contains_rank(&self, rank: u64) -> bool {
-        self.ranks[self.homes - 1] <= rank
+        self.ranks[self.home_count - 1] <= rank
     }
 
     /// Returns how far a candidate is from the first home by rank: 0 for the first home, 1 for
@@ -320,7 +320,7 @@
                 step
             };
         }
-        let next = &self.ranks[self.homes..self.homes + NEXT_RANKS];
+        let next = &self.ranks[self.home_count..self.home_count + NEXT_RANKS];
         let higher = next.iter().filter(|&&higher| candidate.rank < higher).count();
         (higher + 1) as f64 * step
     }
--- a/crates/route/tests/outliers.rs
+++ b/crates/route/tests/outliers.rs
@@ -14,7 +14,7 @@
     MonotonicTime::from_millis(millis)
 }
 
-fn tracker(endpoints: usize) -> OutlierDetector {
+fn detector(endpoints: usize) -> OutlierDetector {
     let mut outliers = OutlierDetector::new(OutlierSettings {
         max_ejected_share: 0.5,
         initial_ejection_time: Duration::from_secs(1),
@@ -45,7 +45,7 @@
     ($($name:ident: $outcomes:expr => $state:ident,)*) => {$(
         #[test]
         fn $name() {
-            let mut outliers = tracker(4);
+            let mut outliers = detector(4);
             record(&mut outliers, 10, &$outcomes);
             assert_eq!(outliers.ejection_state(at(20), &id(0)), EjectionState::$state);
             assert_eq!(outliers.ejection_state(at(20), &id(1)), EjectionState::Ready);
@@ -63,7 +63,7 @@
 
 #[test]
 fn old_failures_leave_the_window() {
-    let mut outliers = tracker(4);
+    let mut outliers = detector(4);
     record(&mut outliers, 0, &[Outcome::Failed; 4]);
     record(&mut outliers, 11_000, &[Outcome::Failed; 4]);
     assert_eq!(outliers.ejected(), 0);
@@ -71,7 +71,7 @@
 
 #[test]
 fn successful_probes_restore_an_endpoint() {
-    let mut outliers = tracker(4);
+    let mut outliers = detector(4);
     record(&mut outliers, 0, &[Outcome::Failed; 5]);
     assert_eq!(outliers.ejection_state(at(999), &id(0)), EjectionState::Ejected);
     let mut changes = Vec::new();
@@ -90,7 +90,7 @@
 
 #[test]
 fn failed_probe_doubles_the_ejection() {
-    let mut outliers = tracker(4);
+    let mut outliers = detector(4);
     record(&mut outliers, 0, &[Outcome::Failed; 5]);
     outliers.record_sent(at(1_000), &id(0));
     outliers.record(at(1_000), &id(0), Outcome::Failed);
@@ -100,7 +100,7 @@
 
 #[test]
 fn outcome_of_an_earlier_request_is_not_a_probe() {
-    let mut outliers = tracker(4);
+    let mut outliers = detector(4);
     record(&mut outliers, 0, &[Outcome::Failed; 5]);
     (0..5).for_each(|_| assert_eq!(outliers.record(at(1), &id(0), FAST), None));
     assert_eq!(outliers.ejection_state(at(2), &id(0)), EjectionState::Ejected);
@@ -108,7 +108,7 @@
 
 #[test]
 fn lost_probe_is_followed_by_another() {
-    let mut outliers = tracker(4);
+    let mut outliers = detector(4);
     record(&mut outliers, 0, &[Outcome::Failed; 5]);
     outliers.record_sent(at(1_000), &id(0));
     assert_eq!(outliers.ejection_state(at(2_000), &id(0)), EjectionState::ProbeDue);
@@ -116,7 +116,7 @@
 
 #[test]
 fn new_incarnation_clears_the_ejection() {
-    let mut outliers = tracker(4);
+    let mut outliers = detector(4);
     record(&mut outliers, 0, &[Outcome::Failed; 5]);
     outliers.join(at(1), id(0));
     assert_eq!(
@@ -129,7 +129,7 @@
     ($($name:ident: $endpoints:expr => $ejected:expr,)*) => {$(
         #[test]
         fn $name() {
-            let mut outliers = tracker($endpoints);
+            let mut outliers = detector($endpoints);
             for n in (0..$endpoints).cycle().take(20 * $endpoints) {
                 outliers.record(at(1), &id(n), Outcome::Failed);
             }
@@ -152,7 +152,7 @@
 
     #[test]
     fn ejections_stay_within_the_maximum_share(steps in proptest::collection::vec(any::<(u8, u8, u16)>(), 0..400)) {
-        let mut outliers = tracker(6);
+        let mut outliers = detector(6);
         let mut now = 0;
         for (op, n, pause) in steps {
             now += u64::from(pause % 300);
--- a/crates/route/tests/policies.rs
+++ b/crates/route/tests/policies.rs
@@ -177,7 +177,7 @@
     let fair = ROUTERS * REQUESTS / ENGINES;
     assert!(
         sent_to_stale <= fair * 2,
-        "{sent_to_stale} of {} at the stale one",
+        "{sent_to_stale} of {} requests sent to the engine with the stale report",
         ROUTERS * REQUESTS
     );
 }
--- a/crates/route/tests/regression/outgrown_queue.rs
+++ b/crates/route/tests/regression/outgrown_queue.rs
@@ -1,3 +1,6 @@
+//! Requests that waited when another organisation joined were refused only at their deadlines, although
+//! the smaller share of capacity made them late already.
+
 use base::{MonotonicTime, TokenCount};
 use route::{
     Action, Admission, AdmissionSettings, Arrival, Decision, Priority, Refusal, RefusalReason,
--- a/crates/route/tests/transfer.rs
+++ b/crates/route/tests/transfer.rs
@@ -18,10 +18,10 @@
 }
 
 macro_rules! choices {
-    ($($name:ident: $held:expr, $sources:expr => $chosen:expr;)*) => {$(
+    ($($name:ident: $cached_blocks:expr, $sources:expr => $chosen:expr;)*) => {$(
         #[test]
         fn $name() {
-            assert_eq!(choose_source(&CFG, $held, &$sources), $chosen);
+            assert_eq!(choose_source(&CFG, $cached_blocks, &$sources), $chosen);
         }
     )*};
 }
