--- a/crates/daemon/src/gateway/body.rs
+++ b/crates/daemon/src/gateway/body.rs
@@ -30,7 +30,7 @@
     _active: ActiveRequest,
 }
 
-/// The error that ends a truncated response: the caller's connection closes without its end.
+/// The error of a truncated response; the caller's connection closes before the response is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Truncated;
 
--- a/crates/daemon/src/gateway/control.rs
+++ b/crates/daemon/src/gateway/control.rs
@@ -34,7 +34,7 @@
     let (head, body) = req.into_parts();
     let response = match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => match gateway.dialect.control_request(&head, &body.to_bytes()) {
-            Ok(call) => execute(&gateway, call).await,
+            Ok(request) => execute(&gateway, request).await,
             Err(ControlRequestError::Unknown) => ControlResponse::Unknown,
             Err(ControlRequestError::Malformed(e)) => ControlResponse::Malformed(e.to_string()),
         },
@@ -55,8 +55,8 @@
     }
 }
 
-async fn execute<D: Dialect>(gateway: &Rc<Gateway<D>>, call: ControlRequest) -> ControlResponse {
-    match call {
+async fn execute<D: Dialect>(gateway: &Rc<Gateway<D>>, request: ControlRequest) -> ControlResponse {
+    match request {
         ControlRequest::Announce(announcement) => announce(gateway, *announcement),
         ControlRequest::Leave { endpoint, incarnation } => {
             match leaving_announcement(gateway, &endpoint, incarnation) {
@@ -68,13 +68,13 @@
         ControlRequest::Publish(publication) => {
             let number = publication.number;
             let response = submit(gateway, Command::Publish(publication)).await;
-            log::info!(number:%, answer:? = response; "configuration submitted");
+            log::info!(number:%, response:?; "configuration submitted");
             response
         }
-        ControlRequest::NameWeights(named) => {
-            let (model, version) = (named.model.clone(), named.version);
-            let response = submit(gateway, Command::NameWeights(named)).await;
-            log::info!(model:%, version, answer:? = response; "weights submitted");
+        ControlRequest::NameWeights(desired) => {
+            let (model, version) = (desired.model.clone(), desired.version);
+            let response = submit(gateway, Command::NameWeights(desired)).await;
+            log::info!(model:%, version, response:?; "desired weights submitted");
             response
         }
         ControlRequest::ReadConfiguration => read_configuration(gateway).await,
@@ -100,8 +100,9 @@
     incarnation: Option<base::Incarnation>,
 ) -> Option<Announcement> {
     let roster = gateway.latest.load()?;
-    let known = roster.endpoints.iter().find(|known| known.announcement.endpoint == *endpoint)?;
-    let mut announcement = Announcement::clone(&known.announcement);
+    let record =
+        roster.endpoints.iter().find(|record| record.announcement.endpoint == *endpoint)?;
+    let mut announcement = Announcement::clone(&record.announcement);
     if incarnation.is_some_and(|leaving| leaving != announcement.incarnation) {
         return None;
     }
--- a/crates/daemon/src/gateway/dialect.rs
+++ b/crates/daemon/src/gateway/dialect.rs
@@ -121,7 +121,7 @@
     pub model: ModelId,
     /// The prompt's parts, the last of which is specific to the request.
     pub parts: Vec<Part>,
-    /// Most tokens that the model generates.
+    /// Maximum number of tokens that the model generates.
     pub output_tokens: TokenCount,
 }
 
@@ -186,7 +186,7 @@
     Publish(Publication),
     /// Reads the active configuration.
     ReadConfiguration,
-    /// Names the weights that a model should serve.
+    /// Sets the weights that a model should serve.
     NameWeights(NamedWeights),
 }
 
@@ -218,7 +218,7 @@
     TooLarge,
 }
 
-/// An engine's state, as it reports it.
+/// An engine's reported state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineReport {
     /// The version of each model's weights.
--- a/crates/daemon/src/gateway/exchange.rs
+++ b/crates/daemon/src/gateway/exchange.rs
@@ -18,7 +18,7 @@
 
 use super::{
     AttemptHead, CallerRequest, Dialect, EngineHead, Gateway, ResponseHead,
-    follow::{ActiveConfiguration, NO_NAMED_WEIGHTS},
+    follow::{ActiveConfiguration, NO_DESIRED_WEIGHTS},
     placement::{self, NoTarget, PromptRequirements, Requirements, Transfers},
     targets::{InFlight, Target},
 };
@@ -112,7 +112,7 @@
 pub(super) struct SendRecord {
     pub at: MonotonicTime,
     pub weights: u32,
-    /// Time since newer weights were named, as far as this host knows.
+    /// Time since newer weights were desired, as far as this host knows.
     pub outdated: Duration,
 }
 
@@ -139,7 +139,7 @@
         loop {
             let target = self.choose_or_wait().await?;
             match self.attempt(&target, resume_after).await {
-                Ok(opened) => return Ok(opened),
+                Ok(started) => return Ok(started),
                 Err(error) => self.handle_attempt_error(&target, error)?,
             }
         }
@@ -308,17 +308,17 @@
         f64::from(u32::from_le_bytes(bytes)) / (f64::from(u32::MAX) + 1.0)
     }
 
-    /// Returns the prompt's requirements by the versions named now, not those at the arrival.
+    /// Returns the prompt's requirements by the versions desired now, not those at the arrival.
     fn prompt_requirements<'a>(
         &'a self,
         newest: &'a Option<Rc<ActiveConfiguration>>,
     ) -> Option<PromptRequirements<'a>> {
         let prompt = self.caller_request.prompt.as_ref()?;
-        let named = newest.as_ref().and_then(|active| active.weights.get(&prompt.model));
+        let desired = newest.as_ref().and_then(|active| active.weights.get(&prompt.model));
         Some(PromptRequirements {
             model: &prompt.model,
             chain: self.chain.as_ref()?,
-            weights: named.unwrap_or(&NO_NAMED_WEIGHTS),
+            weights: desired.unwrap_or(&NO_DESIRED_WEIGHTS),
             max_outdated: self.gateway.cfg.max_outdated_at_send(),
         })
     }
--- a/crates/daemon/src/gateway/follow.rs
+++ b/crates/daemon/src/gateway/follow.rs
@@ -17,13 +17,14 @@
 /// Longest wait for the leader's response to a poll before the leader counts as lost.
 const FOLLOW_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long the leader may hold a poll of a host that places callers' requests by its loads.
-const CALLERS_POLL_HOLD: Duration = Duration::from_millis(150);
+/// Longest wait of the leader before it responds to a host that serves callers; such a host needs
+/// recent loads to place their requests.
+const CALLERS_MAX_POLL_WAIT: Duration = Duration::from_millis(150);
 
-/// How long the leader may hold the poll of any other host.
-const IDLE_POLL_HOLD: Duration = Duration::from_millis(300);
+/// Longest wait of the leader before it responds to any other host.
+const IDLE_MAX_POLL_WAIT: Duration = Duration::from_millis(300);
 
-/// Time from which a response counts as late: the longest hold plus a round trip.
+/// Time from which a response counts as late: the longest poll wait plus a round trip.
 const LATE_RESPONSE_THRESHOLD: Duration = Duration::from_millis(700);
 
 /// Pause after a failed poll.
@@ -38,8 +39,8 @@
     pub confirmed: MonotonicTime,
 }
 
-/// History of a model for which no version was named.
-pub(super) static NO_NAMED_WEIGHTS: WeightsHistory = WeightsHistory::new();
+/// History of a model without desired weights.
+pub(super) static NO_DESIRED_WEIGHTS: WeightsHistory = WeightsHistory::new();
 
 impl ActiveConfiguration {
     /// Returns the time since the last confirmation that nothing newer was published.
@@ -48,7 +49,7 @@
     }
 }
 
-/// Polls the leader for what is published until the thread ends.
+/// Polls the leader for published changes until the thread ends.
 pub(super) async fn run<D: Dialect>(gateway: Rc<Gateway<D>>) {
     let (mut version, mut next_sent) = (ViewVersion::default(), 0);
     let mut is_leader_lost = false;
@@ -63,9 +64,9 @@
             from: gateway.host.clone(),
             seen: FollowCursor { number, version, next_sent },
             max_wait: if gateway.cfg.callers.is_some() {
-                CALLERS_POLL_HOLD
+                CALLERS_MAX_POLL_WAIT
             } else {
-                IDLE_POLL_HOLD
+                IDLE_MAX_POLL_WAIT
             },
             loads: loads.clone(),
             sent: reported.clone(),
@@ -83,7 +84,7 @@
                 gateway.apply_view(sent, &view);
             }
             Ok(other) => {
-                log::warn!(answer:? = other; "unexpected response from leader");
+                log::warn!(response:? = other; "unexpected response from leader");
                 tokio::time::sleep(RETRY_BACKOFF).await;
             }
             Err(why) => {
@@ -97,7 +98,7 @@
     }
 }
 
-/// Logs a response that took longer than polls are held.
+/// Logs a response that took longer than a poll may wait.
 fn log_late_response(took: Duration) {
     if LATE_RESPONSE_THRESHOLD <= took {
         log::info!(took_ms = took.as_millis() as u64; "leader poll response late");
@@ -105,7 +106,7 @@
 }
 
 impl<D: Dialect> Gateway<D> {
-    /// Applies the response to a poll sent at `sent`; the configuration never goes back.
+    /// Applies the response to a poll sent at `sent`; an older configuration is rejected.
     fn apply_view(&self, sent: MonotonicTime, view: &PublishedView) {
         let current = self.active_configuration();
         let current_number = current.as_ref().map(|current| current.number);
@@ -124,7 +125,7 @@
             (_, Some(current)) => Arc::clone(&current.table),
             (_, None) => return,
         };
-        let weights = self.merge_named_weights(view);
+        let weights = self.merge_desired_weights(view);
         let active_configuration =
             ActiveConfiguration { number: view.number, table, weights, confirmed: sent };
         self.active_configuration.replace(Some(Rc::new(active_configuration)));
@@ -133,8 +134,9 @@
     /// Returns the incarnations of endpoints that announced to this host that they leave.
     fn leaving_endpoints(&self) -> Vec<IncarnationKey> {
         let Some(roster) = self.latest.load() else { return Vec::new() };
-        let leaving = roster.endpoints.iter().filter(|known| known.state == EndpointState::Leaving);
-        leaving.map(|known| IncarnationKey::of(&known.announcement)).collect()
+        let leaving =
+            roster.endpoints.iter().filter(|record| record.state == EndpointState::Leaving);
+        leaving.map(|record| IncarnationKey::of(&record.announcement)).collect()
     }
 
     fn read_table(&self, number: ConfigurationNumber, content: &[u8]) -> Option<Arc<Table>> {
@@ -157,24 +159,24 @@
         Some(Arc::new(table))
     }
 
-    /// Returns the weights named so far, and reports their ages to the replica.
+    /// Returns the models' desired weights, and reports their ages to the replica.
     ///
     /// Ages count from now rather than from the poll: a leader that receives its own ages back must
     /// not raise them.
-    fn merge_named_weights(&self, view: &PublishedView) -> BTreeMap<ModelId, WeightsHistory> {
+    fn merge_desired_weights(&self, view: &PublishedView) -> BTreeMap<ModelId, WeightsHistory> {
         let now = self.clock.now();
         let mut weights =
             self.active_configuration().map(|current| current.weights.clone()).unwrap_or_default();
         for received in &view.weights {
-            let known = weights.entry(received.model.clone()).or_default();
-            if known.version() < received.version {
+            let history = weights.entry(received.model.clone()).or_default();
+            if history.version() < received.version {
                 log::info!(model:% = received.model, version = received.version,
-                    age_ms = received.age.as_millis() as u64; "weights named");
+                    age_ms = received.age.as_millis() as u64; "desired weights changed");
             }
-            known.note(now, received.version, received.age);
+            history.note(now, received.version, received.age);
         }
         if let Some(replica) = &self.replica {
-            // Ages lost to a full channel come again with the next view.
+            // Ages that a full channel drops are sent again with the next view.
             let ages = weights.iter().flat_map(|(model, history)| history.ages(model, now));
             let _ = replica.try_send(ReplicaInput::WeightAges { at: now, ages: ages.collect() });
         }
--- a/crates/daemon/src/gateway/forward.rs
+++ b/crates/daemon/src/gateway/forward.rs
@@ -249,12 +249,12 @@
 }
 
 async fn fetch<D: Dialect>(exchange: &mut Exchange<D>) -> Result<BufferedResponse, FetchError> {
-    let opened = exchange.open(None).await.map_err(FetchError::Failed)?;
-    collect(opened).await
+    let started = exchange.open(None).await.map_err(FetchError::Failed)?;
+    collect(started).await
 }
 
-async fn collect(opened: StartedResponse) -> Result<BufferedResponse, FetchError> {
-    let StartedResponse { response, in_flight, .. } = opened;
+async fn collect(started: StartedResponse) -> Result<BufferedResponse, FetchError> {
+    let StartedResponse { response, in_flight, .. } = started;
     let (head, body) = response.into_parts();
     match Limited::new(body, MAX_RESPONSE_BYTES).collect().await {
         Ok(body) => Ok(BufferedResponse { head, body: body.to_bytes() }),
@@ -273,15 +273,15 @@
 ) -> Result<Response<Body>, Failure> {
     let deadline = exchange.deadline;
     let opening = tokio::time::timeout_at(deadline, exchange.open(None)).await;
-    let opened = opening.unwrap_or_else(|_| Err(timed_out(&exchange)))?;
-    if opened.response.status() != StatusCode::OK {
-        let collected = tokio::time::timeout_at(deadline, collect(opened)).await;
+    let started = opening.unwrap_or_else(|_| Err(timed_out(&exchange)))?;
+    if started.response.status() != StatusCode::OK {
+        let collected = tokio::time::timeout_at(deadline, collect(started)).await;
         let response = collected.unwrap_or_else(|_| Err(FetchError::Failed(timed_out(&exchange))));
         let response = response.map_err(FetchError::into_failure)?;
         log_completed(&exchange, response.head.status);
         return Ok(response.into_response());
     }
-    Ok(relay::start(exchange, opened, active))
+    Ok(relay::start(exchange, started, active))
 }
 
 pub(super) fn log_completed<D: Dialect>(exchange: &Exchange<D>, status: StatusCode) {
--- a/crates/daemon/src/gateway/headers.rs
+++ b/crates/daemon/src/gateway/headers.rs
@@ -9,7 +9,7 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// RequestStage-by-hop fields, and those that frame one message.
+/// Hop-by-hop fields, and those that frame one message.
 const HOP_BY_HOP: [HeaderName; 10] = [
     CONNECTION,
     KEEP_ALIVE,
@@ -31,7 +31,7 @@
         .filter_map(|value| value.to_str().ok())
         .flat_map(|names| names.split(','))
         .filter_map(|name| name.trim().parse().ok())
-        // A caller must not have the field dropped that routes the request.
+        // `Host` routes the request, so a caller must not have it removed.
         .filter(|name| *name != HOST)
         .collect();
     let mut kept = headers.clone();
--- a/crates/daemon/src/gateway/listen.rs
+++ b/crates/daemon/src/gateway/listen.rs
@@ -29,7 +29,7 @@
 struct ControlClients<D: Dialect>(Rc<Gateway<D>>);
 
 /// Serves the load balancer's readiness checks.
-struct LoadBalancer<D: Dialect> {
+struct ReadinessChecks<D: Dialect> {
     gateway: Rc<Gateway<D>>,
     connections: Cell<u64>,
 }
@@ -73,7 +73,7 @@
     }
 }
 
-impl<D: Dialect> Serve for LoadBalancer<D> {
+impl<D: Dialect> Serve for ReadinessChecks<D> {
     type Body = Body;
 
     fn bounds(&self) -> ConnectionBounds {
@@ -105,16 +105,16 @@
 pub(super) async fn run<D: Dialect>(
     gateway: Rc<Gateway<D>>,
     listeners: GatewayListeners,
-    orders: flume::Receiver<ServerCommand>,
+    commands: flume::Receiver<ServerCommand>,
 ) -> ServerExit {
     let (drain_tx, drain_rx) = watch::channel(false);
     let GatewayListeners { callers, readiness, control } = listeners;
     start(Callers(Rc::clone(&gateway)), callers, &drain_rx);
     start(ControlClients(Rc::clone(&gateway)), control, &drain_rx);
-    let balancer = LoadBalancer { gateway: Rc::clone(&gateway), connections: Cell::new(0) };
-    start(balancer, readiness, &drain_rx);
+    let checks = ReadinessChecks { gateway: Rc::clone(&gateway), connections: Cell::new(0) };
+    start(checks, readiness, &drain_rx);
     let limit = gateway.cfg.drain_limit(gateway.drain_notice);
-    serve::until_ended(&*gateway, &orders, &drain_tx, Some(limit)).await;
+    serve::until_ended(&*gateway, &commands, &drain_tx, Some(limit)).await;
     ServerExit { cut: gateway.active_requests.get() }
 }
 
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -107,7 +107,7 @@
     pub control: Option<TcpListener>,
 }
 
-/// The host that the gateway runs on, and its addresses.
+/// The host that the gateway runs on, with its source address and drain notice.
 pub(crate) struct Identity {
     /// This host.
     pub host: HostId,
@@ -312,7 +312,7 @@
     organisation.name.parse().ok()
 }
 
-/// Returns how engines are scored: each stream slows down the others on its engine.
+/// Returns the parameters of engine scores; each stream slows down the others on its engine.
 fn warm_settings() -> WarmSettings {
     WarmSettings {
         prefill_rate: EngineSpeed::default().prefill_rate,
--- a/crates/daemon/src/gateway/placement.rs
+++ b/crates/daemon/src/gateway/placement.rs
@@ -18,10 +18,10 @@
 /// Additional cost of each byte that a request sends to another data centre, as time.
 const REMOTE_COST_PER_BYTE: Duration = Duration::from_nanos(500);
 
-/// Cost of older weights once newer ones were named [`OUTDATED_WEIGHTS_AGE`] ago, as time.
+/// Cost of weights that have been outdated for [`OUTDATED_WEIGHTS_AGE`], as time.
 const OUTDATED_WEIGHTS_COST: Duration = Duration::from_millis(150);
 
-/// Time after the naming of new weights from which responses made on older ones are worth less.
+/// Time since newer weights were desired from which responses made on older ones are worth less.
 const OUTDATED_WEIGHTS_AGE: Duration = Duration::from_millis(1_200);
 
 /// Length from which a prompt counts as long: more than engines prefill in one step.
@@ -71,7 +71,7 @@
 pub(super) struct PromptRequirements<'a> {
     pub model: &'a base::ModelId,
     pub chain: &'a PartChain,
-    /// The versions of the weights that were named.
+    /// The history of the model's desired weights.
     pub weights: &'a WeightsHistory,
     /// Time from which an outdated version may not serve.
     pub max_outdated: Duration,
@@ -269,10 +269,10 @@
         let shared = prompt.chain.shared_tokens().as_u64();
         let mut most: Vec<(u32, u64)> = Vec::new();
         for target in targets.of_service(requirements.service) {
-            let held = target.warm_tokens(prompt.chain).as_u64().min(shared);
+            let cached = target.warm_tokens(prompt.chain).as_u64().min(shared);
             match most.iter_mut().find(|(version, _)| *version == target.version()) {
-                Some((_, tokens)) => *tokens = held.max(*tokens),
-                None => most.push((target.version(), held)),
+                Some((_, tokens)) => *tokens = cached.max(*tokens),
+                None => most.push((target.version(), cached)),
             }
         }
         Self(most)
@@ -280,9 +280,9 @@
 
     /// Returns the cached tokens of an engine, plus a share of those that it can fetch.
     fn effective_tokens(&self, version: u32, warm: TokenCount) -> TokenCount {
-        let held =
-            self.0.iter().find(|(held, _)| *held == version).map_or(0, |(_, tokens)| *tokens);
-        let fetched = held.saturating_sub(warm.as_u64()) as f64 * FETCH_SAVING_RATIO;
+        let most =
+            self.0.iter().find(|(other, _)| *other == version).map_or(0, |(_, tokens)| *tokens);
+        let fetched = most.saturating_sub(warm.as_u64()) as f64 * FETCH_SAVING_RATIO;
         TokenCount::new(warm.as_u64() + fetched as u64)
     }
 }
@@ -306,19 +306,19 @@
     now: MonotonicTime,
 ) -> Transfers {
     let shared = chain.shared_tokens().as_u64();
-    let held = target.warm_tokens(chain).as_u64().min(shared);
+    let cached = target.warm_tokens(chain).as_u64().min(shared);
     let stored = targets.store_of(chain).map(|store| {
         (store.address, store.warm_tokens(target.version(), chain).as_u64().min(shared))
     });
     let is_long = MIN_LONG_PROMPT_TOKENS.as_u64() <= shared;
     let save_to = stored.filter(|(_, tokens)| is_long && *tokens < shared).map(|(store, _)| store);
-    if shared < held + MIN_FETCHED_TOKENS {
+    if shared < cached + MIN_FETCHED_TOKENS {
         return Transfers { fetch_from: None, save_to };
     }
     let engine = source_among_engines(targets, target, chain, now);
     let engine_tokens = engine.map_or(0, |(_, tokens)| tokens);
     let fetch_from = match stored {
-        Some((store, tokens)) if engine_tokens < tokens && held < tokens => Some(store),
+        Some((store, tokens)) if engine_tokens < tokens && cached < tokens => Some(store),
         _ => engine.map(|(address, _)| address),
     };
     Transfers { fetch_from, save_to }
@@ -341,9 +341,9 @@
             && other.model == target.model
             && !other.is_avoided(now)
     });
-    let held = |other: &Target| other.warm_tokens(chain).as_u64().min(shared);
-    let source = others.max_by_key(|other| (held(other), rank(hash, &other.endpoint)))?;
-    Some((source.address, held(source)))
+    let cached = |other: &Target| other.warm_tokens(chain).as_u64().min(shared);
+    let source = others.max_by_key(|other| (cached(other), rank(hash, &other.endpoint)))?;
+    Some((source.address, cached(source)))
 }
 
 fn least_loaded<'a, R: Rng>(
--- a/crates/daemon/src/gateway/relay.rs
+++ b/crates/daemon/src/gateway/relay.rs
@@ -36,7 +36,8 @@
     CallerDisconnected,
     /// The stream broke off, or no event arrived in time.
     Interrupted(String),
-    /// The engine is about to load weights and the retry is spent, so the stream migrates.
+    /// The engine is about to load weights; the stream migrates, and its retry was spent from the
+    /// budget.
     Migrate,
     /// The request's deadline has passed.
     TimedOut,
@@ -76,13 +77,13 @@
 
 fn log_complete<D: Dialect>(
     exchange: &Exchange<D>,
-    opened: &StartedResponse,
+    started: &StartedResponse,
     timing: &StreamTiming,
 ) {
     let took = exchange.finish();
     log::info!(request:% = exchange.caller_request.id, route = &*exchange.route.name,
-        endpoint:% = opened.in_flight.target().endpoint, attempts = exchange.attempts(),
-        weights = opened.sent.weights, outdated_ms = millis(opened.sent.outdated),
+        endpoint:% = started.in_flight.target().endpoint, attempts = exchange.attempts(),
+        weights = started.sent.weights, outdated_ms = millis(started.sent.outdated),
         first_ms = millis(timing.first.unwrap_or_default()), gap_ms = millis(timing.longest_gap),
         took_ms = millis(took); "stream completed");
 }
@@ -90,17 +91,17 @@
 /// Logs that an engine started a request after the staleness bound of its weights.
 fn log_outdated_start<D: Dialect>(
     exchange: &Exchange<D>,
-    opened: &StartedResponse,
+    started: &StartedResponse,
     now: MonotonicTime,
 ) {
-    let outdated = exchange.outdated_for(opened.sent.weights, now);
+    let outdated = exchange.outdated_for(started.sent.weights, now);
     if outdated < exchange.gateway.cfg.max_weights_staleness {
         return;
     }
     log::warn!(request:% = exchange.caller_request.id,
-        endpoint:% = opened.in_flight.target().endpoint, weights = opened.sent.weights,
-        sent_outdated_ms = millis(opened.sent.outdated),
-        waited_ms = millis(now.saturating_since(opened.sent.at)), outdated_ms = millis(outdated);
+        endpoint:% = started.in_flight.target().endpoint, weights = started.sent.weights,
+        sent_outdated_ms = millis(started.sent.outdated),
+        waited_ms = millis(now.saturating_since(started.sent.at)), outdated_ms = millis(outdated);
         "stream started on outdated weights");
 }
 
@@ -111,12 +112,12 @@
 /// Starts to relay a stream to the caller, with the header fields of its first endpoint.
 pub(super) fn start<D: Dialect>(
     exchange: Exchange<D>,
-    opened: StartedResponse,
+    started: StartedResponse,
     active: ActiveRequest,
 ) -> Response<Body> {
     let (tx, rx) = flume::bounded(CHUNK_BUFFER_LEN);
-    let headers = headers::end_to_end(opened.response.headers());
-    let task = AbortOnDrop(tokio::task::spawn_local(relay_events(exchange, opened, tx)));
+    let headers = headers::end_to_end(started.response.headers());
+    let task = AbortOnDrop(tokio::task::spawn_local(relay_events(exchange, started, tx)));
     let mut response = Response::new(Body::relayed(rx, task, active));
     *response.headers_mut() = headers;
     response
@@ -125,16 +126,16 @@
 /// Relays events until the stream's end; a resumable stream that breaks off resumes elsewhere.
 async fn relay_events<D: Dialect>(
     mut exchange: Exchange<D>,
-    opened: StartedResponse,
+    started: StartedResponse,
     tx: flume::Sender<Result<Bytes, Truncated>>,
 ) {
     let mut last_id: Option<String> = None;
     let mut timing = StreamTiming::new(exchange.arrived);
-    let mut segment = Segment::new(&exchange, opened);
+    let mut segment = Segment::new(&exchange, started);
     loop {
         let end = relay_segment(&exchange, &mut segment, &tx, &mut last_id, &mut timing).await;
         let why = match end {
-            SegmentEnd::Complete => return log_complete(&exchange, &segment.opened, &timing),
+            SegmentEnd::Complete => return log_complete(&exchange, &segment.started, &timing),
             SegmentEnd::CallerDisconnected => {
                 log::info!(request:% = exchange.caller_request.id; "caller disconnected");
                 return;
@@ -145,7 +146,7 @@
             }
             SegmentEnd::TimedOut => "the request's deadline passed".to_owned(),
             SegmentEnd::Interrupted(why) => {
-                let endpoint = segment.opened.in_flight.target().endpoint.clone();
+                let endpoint = segment.started.in_flight.target().endpoint.clone();
                 log::info!(request:% = exchange.caller_request.id, endpoint:%, why;
                     "stream interrupted");
                 // Closes the endpoint's connection before the stream resumes elsewhere.
@@ -170,8 +171,8 @@
 
 /// An endpoint's segment of a stream.
 struct Segment {
-    opened: StartedResponse,
-    cutter: EventSplitter,
+    started: StartedResponse,
+    splitter: EventSplitter,
     /// Whether its first event has arrived.
     is_started: bool,
     /// Whether it may migrate before it has ended.
@@ -179,9 +180,14 @@
 }
 
 impl Segment {
-    fn new<D: Dialect>(exchange: &Exchange<D>, opened: StartedResponse) -> Self {
+    fn new<D: Dialect>(exchange: &Exchange<D>, started: StartedResponse) -> Self {
         let may_migrate = exchange.route.retry_policy.may_repeat();
-        Self { opened, cutter: EventSplitter::new(MAX_EVENT_BYTES), is_started: false, may_migrate }
+        Self {
+            started,
+            splitter: EventSplitter::new(MAX_EVENT_BYTES),
+            is_started: false,
+            may_migrate,
+        }
     }
 }
 
@@ -192,7 +198,7 @@
     last_id: Option<&str>,
 ) {
     segment.may_migrate = false;
-    let from = segment.opened.in_flight.target().endpoint.clone();
+    let from = segment.started.in_flight.target().endpoint.clone();
     let resuming =
         tokio::time::timeout(MIGRATION_TIMEOUT, open_continuation(exchange, last_id)).await;
     let outcome = match resuming {
@@ -204,7 +210,7 @@
         Ok(Err(why)) => why,
         Err(_) => "no other engine started in time".to_owned(),
     };
-    let to = &segment.opened.in_flight.target().endpoint;
+    let to = &segment.started.in_flight.target().endpoint;
     log::info!(request:% = exchange.caller_request.id, from:%, to:%, outcome;
         "stream migration from loading engine");
 }
@@ -225,12 +231,12 @@
     last_id: Option<&str>,
 ) -> Result<StartedResponse, String> {
     let opening = tokio::time::timeout_at(exchange.deadline, exchange.open(last_id)).await;
-    let opened = opening.map_err(|_| "no endpoint resumed in time".to_owned())?;
-    let opened = opened.map_err(|failure| failure.detail)?;
-    match opened.response.status() {
+    let started = opening.map_err(|_| "no endpoint resumed in time".to_owned())?;
+    let started = started.map_err(|failure| failure.detail)?;
+    match started.response.status() {
         StatusCode::OK => {
             exchange.recorder.resume();
-            Ok(opened)
+            Ok(started)
         }
         status => Err(format!("the next endpoint responded with {status}")),
     }
@@ -244,21 +250,21 @@
     timing: &mut StreamTiming,
 ) -> SegmentEnd {
     let resumable = exchange.route.retry_policy.may_repeat();
-    let Segment { opened, cutter, is_started, may_migrate } = segment;
+    let Segment { started, splitter, is_started, may_migrate } = segment;
     loop {
         let event_deadline =
             if resumable { Instant::now() + EVENT_TIMEOUT } else { exchange.deadline };
         let until = event_deadline.min(exchange.deadline);
-        let body = opened.response.body_mut();
+        let body = started.response.body_mut();
         let unreachable = exchange::wait_until_unreachable(
             &exchange.gateway,
-            opened.in_flight.target(),
+            started.in_flight.target(),
             resumable,
         );
         let framed = tokio::select! {
             biased;
             framed = tokio::time::timeout_at(until, body.frame()) => framed,
-            () = exchange::wait_until_paused(opened.in_flight.target()),
+            () = exchange::wait_until_paused(started.in_flight.target()),
                 if *may_migrate && last_id.is_some() =>
             {
                 if exchange.try_migrate() {
@@ -267,7 +273,7 @@
                 *may_migrate = false;
                 continue;
             }
-            () = exchange.wait_until_start_overdue(opened.sent.weights), if !*is_started => {
+            () = exchange.wait_until_start_overdue(started.sent.weights), if !*is_started => {
                 return SegmentEnd::Interrupted(exchange::NOT_STARTED_IN_TIME.to_owned());
             }
             () = unreachable => {
@@ -277,7 +283,7 @@
         let frame = match framed {
             Err(_) if exchange.deadline <= Instant::now() => return SegmentEnd::TimedOut,
             Err(_) => return SegmentEnd::Interrupted("no event in time".to_owned()),
-            Ok(None) if cutter.is_within_event() => {
+            Ok(None) if splitter.is_within_event() => {
                 return SegmentEnd::Interrupted("the stream ended within an event".to_owned());
             }
             Ok(None) => return SegmentEnd::Complete,
@@ -285,23 +291,23 @@
             Ok(Some(Ok(frame))) => frame,
         };
         let Ok(data) = frame.into_data() else { continue };
-        let cut = match cutter.push(&data) {
-            Ok(cut) => cut,
+        let split = match splitter.push(&data) {
+            Ok(split) => split,
             Err(e) => return SegmentEnd::Interrupted(e.to_string()),
         };
-        if cut.events == 0 {
+        if split.events == 0 {
             continue;
         }
         let now = exchange.gateway.clock.now();
-        opened.in_flight.prefilled();
+        started.in_flight.prefilled();
         if !std::mem::replace(is_started, true) {
-            log_outdated_start(exchange, opened, now);
+            log_outdated_start(exchange, started, now);
         }
         timing.event(now, &exchange.recorder);
-        if let Some(id) = cut.last_id {
+        if let Some(id) = split.last_id {
             *last_id = Some(id);
         }
-        if tx.send_async(Ok(Bytes::from(cut.bytes))).await.is_err() {
+        if tx.send_async(Ok(Bytes::from(split.bytes))).await.is_err() {
             return SegmentEnd::CallerDisconnected;
         }
     }
--- a/crates/daemon/src/gateway/settings.rs
+++ b/crates/daemon/src/gateway/settings.rs
@@ -5,8 +5,8 @@
 /// Time by which a host stops relying on its key lease before the lease ends.
 const KEY_LEASE_MARGIN: Duration = Duration::from_millis(250);
 
-/// Time before the staleness bound from which engines with outdated weights get no requests, which
-/// would often wait there beyond the bound.
+/// Time before the staleness bound from which engines with outdated weights get no requests, because
+/// requests queued there would often start after the bound.
 const OUTDATED_WEIGHTS_MARGIN: Duration = Duration::from_millis(3_000);
 
 /// Time that it takes to cancel a request at an engine that has not started it.
--- a/crates/daemon/src/gateway/targets.rs
+++ b/crates/daemon/src/gateway/targets.rs
@@ -1,4 +1,4 @@
-//! The endpoints that may get requests, with their load and what this host estimates them to cache.
+//! The endpoints that may get requests, with their load and a model of their caches.
 
 use std::{
     cell::{Cell, RefCell},
@@ -50,7 +50,7 @@
     /// Whether it loads weights or is about to.
     paused: Cell<bool>,
     work: Work,
-    memory: RefCell<PartCacheModel>,
+    cache: RefCell<PartCacheModel>,
     /// Timestamp of the latest announcement.
     last_announced_at: Cell<MonotonicTime>,
     /// Age of the latest announcement from which the endpoint is avoided.
@@ -59,7 +59,7 @@
     unreachable_since: Cell<Option<MonotonicTime>>,
     /// Until when the endpoint is avoided because its state here is known to be wrong.
     suspended_until: Cell<MonotonicTime>,
-    /// Load that other routers have placed on it.
+    /// Load that other routers have placed on the endpoint.
     other_load: Cell<SentLoad>,
 }
 
@@ -68,29 +68,31 @@
     pub address: SocketAddr,
     /// Its address as text, which rendezvous hashing ranks it by.
     name: String,
-    memory: RefCell<HashMap<u32, PartCacheModel>>,
+    /// Saved prompt parts by version of the weights.
+    saved_parts: RefCell<HashMap<u32, PartCacheModel>>,
     kv_tokens: TokenCount,
 }
 
 impl Store {
     fn new(store: &KvStore) -> Self {
         let (address, kv_tokens) = (store.address, store.kv_tokens);
-        Self { address, name: address.to_string(), memory: RefCell::default(), kv_tokens }
+        Self { address, name: address.to_string(), saved_parts: RefCell::default(), kv_tokens }
     }
 
     /// Returns the length of a prompt's prefix that it holds for a version of the weights.
     pub(super) fn warm_tokens(&self, weights: u32, chain: &PartChain) -> TokenCount {
-        let memory = self.memory.borrow();
-        memory.get(&weights).map_or(TokenCount::ZERO, |memory| memory.warm_tokens(chain))
+        let saved_parts = self.saved_parts.borrow();
+        saved_parts.get(&weights).map_or(TokenCount::ZERO, |parts| parts.warm_tokens(chain))
     }
 
     /// Records that a prompt is saved to it.
     pub(super) fn record_saved(&self, now: MonotonicTime, weights: u32, chain: &PartChain) {
-        let mut memory = self.memory.borrow_mut();
+        let mut saved_parts = self.saved_parts.borrow_mut();
         // Parts saved for older weights are never fetched again.
-        memory.retain(|version, _| weights <= *version + 1);
-        let memory = memory.entry(weights).or_insert_with(|| PartCacheModel::new(self.kv_tokens));
-        memory.record(now, chain);
+        saved_parts.retain(|version, _| weights <= *version + 1);
+        let parts =
+            saved_parts.entry(weights).or_insert_with(|| PartCacheModel::new(self.kv_tokens));
+        parts.record(now, chain);
     }
 }
 
@@ -108,8 +110,8 @@
 }
 
 impl Target {
-    fn new(known: &EndpointRecord, service: ServiceId, kv_tokens: TokenCount) -> Self {
-        let (announcement, written) = (known.announcement.as_ref(), known.written);
+    fn new(record: &EndpointRecord, service: ServiceId, kv_tokens: TokenCount) -> Self {
+        let (announcement, written) = (record.announcement.as_ref(), record.written);
         let model = served_model(announcement);
         Self {
             endpoint: announcement.endpoint.clone(),
@@ -122,7 +124,7 @@
             model: model.map(|(model, _)| model),
             paused: Cell::new(false),
             work: Work::default(),
-            memory: RefCell::new(PartCacheModel::new(cache_tokens(kv_tokens))),
+            cache: RefCell::new(PartCacheModel::new(cache_tokens(kv_tokens))),
             last_announced_at: Cell::new(written),
             stale_after: Cell::default(),
             unreachable_since: Cell::new(None),
@@ -140,7 +142,7 @@
     pub(super) fn update_version(&self, version: u32) {
         if self.version.get() < version {
             self.version.set(version);
-            self.memory.borrow_mut().clear();
+            self.cache.borrow_mut().clear();
         }
     }
 
@@ -157,12 +159,12 @@
     }
 
     pub(super) fn warm_tokens(&self, chain: &PartChain) -> TokenCount {
-        self.memory.borrow().warm_tokens(chain)
+        self.cache.borrow().warm_tokens(chain)
     }
 
-    /// Records that it prefills a prompt.
+    /// Records that the endpoint prefills a prompt.
     pub(super) fn record_prompt(&self, now: MonotonicTime, chain: &PartChain) {
-        self.memory.borrow_mut().record(now, chain);
+        self.cache.borrow_mut().record(now, chain);
     }
 
     /// Returns the load that all routers have placed on it.
@@ -194,17 +196,17 @@
         !is_announced_since && now.saturating_since(since) < MAX_UNREACHABLE_AVOIDANCE
     }
 
-    /// Marks it unreachable until its next announcement.
+    /// Marks the endpoint unreachable until its next announcement.
     pub(super) fn mark_unreachable(&self, now: MonotonicTime) {
         self.unreachable_since.set(Some(now));
     }
 
-    /// Avoids it briefly, as its state here is known to be wrong.
+    /// Avoids the endpoint briefly, as its state here is known to be wrong.
     pub(super) fn suspend(&self, now: MonotonicTime) {
         self.suspended_until.set(now + SUSPENSION_PERIOD);
     }
 
-    /// Marks it reachable.
+    /// Marks the endpoint reachable.
     pub(super) fn mark_reachable(&self) {
         self.unreachable_since.set(None);
     }
@@ -220,7 +222,7 @@
     loads_at: MonotonicTime,
     stores: Vec<Store>,
     /// Incarnations of endpoints that announced to any host that they leave.
-    leavers: LeavingSet,
+    leaving_set: LeavingSet,
 }
 
 /// Changes of the set of endpoints.
@@ -234,29 +236,29 @@
     /// Applies a newer roster.
     pub(super) fn update(&mut self, roster: &Roster) -> TargetChanges {
         let mut usable = usable(&roster.endpoints);
-        usable.retain(|id, known| !self.leavers.contains(id, known.announcement.incarnation));
+        usable.retain(|id, record| !self.leaving_set.contains(id, record.announcement.incarnation));
         let mut changes = TargetChanges::default();
         self.by_id.retain(|id, target| {
             let stays = usable
                 .get(id)
-                .is_some_and(|known| known.announcement.incarnation == target.incarnation);
+                .is_some_and(|record| record.announcement.incarnation == target.incarnation);
             if !stays {
                 changes.left.push(id.clone());
             }
             stays
         });
-        for (id, known) in usable {
-            let announcement = known.announcement.as_ref();
+        for (id, record) in usable {
+            let announcement = record.announcement.as_ref();
             let version = served_model(announcement).map_or(0, |(_, version)| version);
             if let Some(target) = self.by_id.get(id) {
                 target.update_version(version);
-                target.last_announced_at.set(known.written);
+                target.last_announced_at.set(record.written);
                 target.stale_after.set(roster.stale_after);
                 continue;
             }
             let Some(service) = service(announcement) else { continue };
             let kv_tokens = self.kv_tokens.get(service).copied().unwrap_or(DEFAULT_KV_TOKENS);
-            let target = Target::new(known, service.clone(), kv_tokens);
+            let target = Target::new(record, service.clone(), kv_tokens);
             target.stale_after.set(roster.stale_after);
             self.by_id.insert(id.clone(), Rc::new(target));
             changes.joined.push(id.clone());
@@ -278,7 +280,7 @@
         self.set_engine_updates(&view.engines);
     }
 
-    /// Replaces what is known of engines beyond their announcements.
+    /// Replaces the updates on engines that are newer than their announcements.
     fn set_engine_updates(&mut self, updates: &[EngineNews]) {
         self.engine_updates =
             updates.iter().map(|update| (update.endpoint.clone(), update.clone())).collect();
@@ -336,9 +338,9 @@
     ///
     /// A new leader may know of none yet, so those known here stay removed.
     fn remove_leaving(&mut self, now: MonotonicTime, leaving: &[IncarnationKey]) {
-        self.leavers.record_leaving(now, leaving);
+        self.leaving_set.record_leaving(now, leaving);
         self.by_id.retain(|id, target| {
-            let leaves = self.leavers.contains(id, target.incarnation);
+            let leaves = self.leaving_set.contains(id, target.incarnation);
             if leaves {
                 log::info!(endpoint:% = id; "endpoint removed, leave reported by another host");
             }
@@ -347,10 +349,10 @@
     }
 
     /// Sets the stores of cached prompts.
-    pub(super) fn set_stores(&mut self, named: &[KvStore]) {
-        self.stores.retain(|held| named.iter().any(|store| store.address == held.address));
-        for store in named {
-            if !self.stores.iter().any(|held| held.address == store.address) {
+    pub(super) fn set_stores(&mut self, configured: &[KvStore]) {
+        self.stores.retain(|known| configured.iter().any(|store| store.address == known.address));
+        for store in configured {
+            if !self.stores.iter().any(|known| known.address == store.address) {
                 self.stores.push(Store::new(store));
             }
         }
@@ -403,27 +405,27 @@
 /// Of two endpoints at one address, only the one with the higher incarnation can still run there.
 fn usable(endpoints: &[EndpointRecord]) -> BTreeMap<&EndpointId, &EndpointRecord> {
     let mut newest_at: HashMap<SocketAddr, &Announcement> = HashMap::new();
-    for known in endpoints.iter().filter(|known| is_running(known)) {
-        let announcement = known.announcement.as_ref();
+    for record in endpoints.iter().filter(|record| is_running(record)) {
+        let announcement = record.announcement.as_ref();
         let newest = newest_at.entry(announcement.address).or_insert(announcement);
         if newest.incarnation < announcement.incarnation {
             *newest = announcement;
         }
     }
-    let ready = endpoints.iter().filter(|known| known.state == EndpointState::Ready);
+    let ready = endpoints.iter().filter(|record| record.state == EndpointState::Ready);
     ready
-        .filter(|known| {
-            let announcement = &known.announcement;
+        .filter(|record| {
+            let announcement = &record.announcement;
             newest_at
                 .get(&announcement.address)
                 .is_some_and(|newest| newest.endpoint == announcement.endpoint)
         })
-        .map(|known| (&known.announcement.endpoint, known))
+        .map(|record| (&record.announcement.endpoint, record))
         .collect()
 }
 
-fn is_running(known: &EndpointRecord) -> bool {
-    matches!(known.state, EndpointState::Ready | EndpointState::Leaving)
+fn is_running(record: &EndpointRecord) -> bool {
+    matches!(record.state, EndpointState::Ready | EndpointState::Leaving)
 }
 
 fn service(announcement: &Announcement) -> Option<&ServiceId> {
--- a/crates/daemon/src/gateway/weights.rs
+++ b/crates/daemon/src/gateway/weights.rs
@@ -1,4 +1,4 @@
-//! The leader's rollout of named weights: orders to engines to load them.
+//! The leader's rollout of desired weights: orders to engines to load them.
 
 use std::{collections::HashMap, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -51,9 +51,9 @@
     next_polls: HashMap<EndpointId, MonotonicTime>,
     responses: flume::Receiver<EngineResponse>,
     response_tx: flume::Sender<EngineResponse>,
-    /// The updates of engines that the replica got last.
+    /// The updates of engines that were last sent to the replica.
     published_updates: Option<Vec<EngineNews>>,
-    /// Since when engines lack the named weights, if any do.
+    /// Since when engines lack the desired weights, if any do.
     behind_since: Option<MonotonicTime>,
     /// When the progress was last logged.
     last_logged: MonotonicTime,
@@ -62,7 +62,7 @@
 /// The outcome of a request to an engine.
 enum EngineResponse {
     Ordered(LoadOrder, OrderOutcome),
-    Reported { order: EndpointId, incarnation: Incarnation, report: EngineReport },
+    Reported { endpoint: EndpointId, incarnation: Incarnation, report: EngineReport },
 }
 
 impl ActiveRollout {
@@ -87,15 +87,15 @@
 /// Runs the rollout while this host leads, until the thread ends.
 pub(super) async fn run<D: Dialect>(gateway: Rc<Gateway<D>>) {
     let mut active: Option<ActiveRollout> = None;
-    let mut tenure = Tenure::new(gateway.cfg.first_order_delay());
+    let mut order_gate = Tenure::new(gateway.cfg.first_order_delay());
     loop {
         tokio::time::sleep(POLL_INTERVAL).await;
         let now = gateway.clock.now();
         let Some(view) = gateway.replica_state.load() else { continue };
-        let mandate = tenure.judge(now, leadership(&view, now));
-        sync_term(&gateway, &mut active, tenure.term());
-        if let Some(active) = active.as_mut().filter(|_| mandate != Mandate::None) {
-            advance(&gateway, active, &view, mandate, now);
+        let permission = order_gate.judge(now, leadership(&view, now));
+        sync_term(&gateway, &mut active, order_gate.term());
+        if let Some(active) = active.as_mut().filter(|_| permission != Mandate::None) {
+            advance(&gateway, active, &view, permission, now);
         }
     }
 }
@@ -131,15 +131,15 @@
     gateway: &Rc<Gateway<D>>,
     active: &mut ActiveRollout,
     view: &ReplicaView,
-    mandate: Mandate,
+    permission: Mandate,
     now: MonotonicTime,
 ) {
     while let Ok(outcome) = active.responses.try_recv() {
         match outcome {
             EngineResponse::Ordered(order, outcome) => active.rollout.ordered(now, &order, outcome),
-            EngineResponse::Reported { order, incarnation, report } => {
+            EngineResponse::Reported { endpoint, incarnation, report } => {
                 for weights in &report.weights {
-                    active.rollout.reported(&order, incarnation, weights.version);
+                    active.rollout.reported(&endpoint, incarnation, weights.version);
                 }
             }
         }
@@ -153,7 +153,7 @@
         active.rollout.reported(&target.endpoint, target.incarnation, target.version());
     }
     active.rollout.set_loads(|endpoint| load_of(&view.loads, endpoint));
-    match mandate {
+    match permission {
         Mandate::Orders => {
             for order in active.rollout.orders(now) {
                 issue_order(gateway, active, &roster, order);
@@ -195,17 +195,17 @@
 
 /// Returns the engines that accept requests.
 fn engines(roster: &Roster) -> Vec<EngineView> {
-    let known = roster.endpoints.iter().filter(|known| known.state == EndpointState::Ready);
-    known
-        .filter_map(|known| {
-            let (model, version) = targets::served_model(&known.announcement)?;
+    let ready = roster.endpoints.iter().filter(|record| record.state == EndpointState::Ready);
+    ready
+        .filter_map(|record| {
+            let (model, version) = targets::served_model(&record.announcement)?;
             Some(EngineView {
-                endpoint: known.announcement.endpoint.clone(),
-                incarnation: known.announcement.incarnation,
+                endpoint: record.announcement.endpoint.clone(),
+                incarnation: record.announcement.incarnation,
                 model,
                 version,
-                heard: known.written,
-                is_silent: roster.stale_after <= roster.at.saturating_since(known.written),
+                heard: record.written,
+                is_silent: roster.stale_after <= roster.at.saturating_since(record.written),
             })
         })
         .collect()
@@ -244,10 +244,9 @@
 }
 
 fn has_weights(state: &EngineReport, order: &LoadOrder) -> bool {
-    state
-        .weights
-        .iter()
-        .any(|held| held.model == order.weights.model && order.weights.version <= held.version)
+    state.weights.iter().any(|loaded| {
+        loaded.model == order.weights.model && order.weights.version <= loaded.version
+    })
 }
 
 async fn send_order<D: Dialect>(
@@ -295,7 +294,7 @@
         tokio::task::spawn_local(async move {
             if let Some(report) = query_report(&gateway, address).await {
                 let _ = response_tx.try_send(EngineResponse::Reported {
-                    order: id,
+                    endpoint: id,
                     incarnation,
                     report,
                 });
@@ -305,8 +304,9 @@
 }
 
 fn address(roster: &Roster, endpoint: &EndpointId) -> Option<SocketAddr> {
-    let known = roster.endpoints.iter().find(|known| known.announcement.endpoint == *endpoint)?;
-    Some(known.announcement.address)
+    let record =
+        roster.endpoints.iter().find(|record| record.announcement.endpoint == *endpoint)?;
+    Some(record.announcement.address)
 }
 
 async fn query_report<D: Dialect>(
