--- a/crates/daemon/src/edge/claims.rs
+++ b/crates/daemon/src/edge/claims.rs
@@ -116,7 +116,7 @@
             owner: edge.owner.clone(),
             at: UnixMillis::default(),
         };
-        match command(edge, Command::Claim(claim), timeout).await? {
+        match submit_command(edge, Command::Claim(claim), timeout).await? {
             Reply::Claim(reply) => Ok(reply),
             _ => Err(LeaderRequestError::Unknown),
         }
@@ -175,7 +175,7 @@
                 at: UnixMillis::default(),
             };
             let edge = Rc::clone(&self.edge);
-            tokio::task::spawn_local(submit_until_accepted(edge, Command::Release(release)));
+            tokio::task::spawn_local(submit_until_committed(edge, Command::Release(release)));
         }
     }
 }
@@ -206,7 +206,7 @@
             outcome,
             at: UnixMillis::default(),
         };
-        tokio::task::spawn_local(submit_until_accepted(
+        tokio::task::spawn_local(submit_until_committed(
             Rc::clone(&self.edge),
             Command::Finish(finish),
         ))
@@ -226,23 +226,23 @@
     let before = edge.owner.incarnation.as_u64().saturating_sub(1);
     let owner = Owner { host: edge.owner.host.clone(), incarnation: Incarnation::new(before) };
     let gone = OwnerGone { owner, at: UnixMillis::default() };
-    while command(&edge, Command::OwnerGone(gone.clone()), REPORT_TIMEOUT).await.is_err() {}
+    while submit_command(&edge, Command::OwnerGone(gone.clone()), REPORT_TIMEOUT).await.is_err() {}
 }
 
-/// Submits a command to the ledger until it is committed.
+/// Submits a command to the ledger repeatedly until it is committed.
 ///
-/// A drain waits for it for up to [`REPORT_TIMEOUT`].
-async fn submit_until_accepted(edge: Rc<Edge>, report: Command) {
+/// A drain waits for the commit for up to [`REPORT_TIMEOUT`].
+async fn submit_until_committed(edge: Rc<Edge>, command: Command) {
     let active = edge.begin_report();
-    if command(&edge, report.clone(), REPORT_TIMEOUT).await.is_ok() {
+    if submit_command(&edge, command.clone(), REPORT_TIMEOUT).await.is_ok() {
         return;
     }
     drop(active);
-    log::warn!("report not yet committed to the ledger, retrying: {report:?}");
-    while command(&edge, report.clone(), REPORT_TIMEOUT).await.is_err() {}
+    log::warn!("ledger report not committed, retrying: {command:?}");
+    while submit_command(&edge, command.clone(), REPORT_TIMEOUT).await.is_err() {}
 }
 
-async fn command(
+async fn submit_command(
     edge: &Edge,
     command: Command,
     timeout: Duration,
@@ -274,14 +274,14 @@
         ClaimReply::Ran => {
             Err(already_ran("an operator settled the call as run; its response is not known"))
         }
-        ClaimReply::MayHaveRun { reason: why, .. } => {
-            let why = match why {
+        ClaimReply::MayHaveRun { reason, .. } => {
+            let detail = match reason {
                 MayHaveRunReason::OutcomeLost => {
                     "the endpoint was lost after the call had been sent"
                 }
                 MayHaveRunReason::OwnerGone => "the host that sent the call has ended",
             };
-            Err(Failure::bad_gateway(why, Verdict::MayHaveRun))
+            Err(Failure::bad_gateway(detail, Verdict::MayHaveRun))
         }
         ClaimReply::NotRun => {
             Err(Failure::conflict("an operator settled the key as not run; use a new key"))
--- a/crates/daemon/src/edge/prefix_tracker.rs
+++ b/crates/daemon/src/edge/prefix_tracker.rs
@@ -15,6 +15,8 @@
 const HOT_RATE_WINDOW: Duration = Duration::from_secs(5);
 
 /// Tracks which prefixes engines are expected to have cached, and how often each is requested.
+///
+/// A prefix has one or more homes: the engines that rendezvous hashing assigns to it.
 pub(super) struct PrefixTracker {
     index: WarmIndex,
     hot: HotPrefixes,
@@ -41,7 +43,7 @@
         self.routers = routers.max(1) as f64;
     }
 
-    /// Sets how many requests per second for one prefix a home takes.
+    /// Sets how many requests per second for one prefix each of its homes serves.
     pub(super) fn set_rate_per_home(&mut self, rate: f64) {
         self.replication.rate_per_home = rate;
     }
--- a/crates/daemon/src/edge/round_trips.rs
+++ b/crates/daemon/src/edge/round_trips.rs
@@ -2,7 +2,7 @@
 
 use base::DataCentreId;
 
-/// Divisor of a slower sample's excess, by which the estimate rises.
+/// A slower sample raises the estimate by its excess divided by this.
 const RISE_DIVISOR: u32 = 64;
 
 /// Samples after which an estimate is used: after one slow sample alone, a data centre would get no
--- a/crates/daemon/src/edge/router.rs
+++ b/crates/daemon/src/edge/router.rs
@@ -78,6 +78,7 @@
     /// Blocks of the chain that the engine was expected to have cached.
     expected_blocks: usize,
     sent_at: MonotonicTime,
+    /// Whether it had no other request of this router, so that its latency is a prefill time.
     was_idle: bool,
     time_to_first_token: Cell<Option<Duration>>,
 }
@@ -246,7 +247,7 @@
         if let Some(slot) = self.kv_store_slot(requirements) {
             self.prefixes.record_sent(now, slot, &chain);
         }
-        if let Some(slot) = target.slot() {
+        if let Some(slot) = target.prefix_slot() {
             self.prefixes.record_sent(now, slot, &chain);
         }
         self.engine_outliers.sent(now, id);
@@ -368,7 +369,7 @@
     }
 
     fn matched_blocks(&self, target: &Target) -> usize {
-        target.slot().map_or(0, |slot| self.prefixes.matched_blocks(slot))
+        target.prefix_slot().map_or(0, |slot| self.prefixes.matched_blocks(slot))
     }
 
     fn candidate(
--- a/crates/daemon/src/edge/router/explain.rs
+++ b/crates/daemon/src/edge/router/explain.rs
@@ -26,7 +26,7 @@
             if let Some(home) = identity.chain.at_level(requirements.preferences.placement_level) {
                 homes = self.prefixes.home_count(now, home).max(homes);
             }
-            let warm = target.slot().map_or(0, |slot| self.prefixes.matched_blocks(slot));
+            let warm = target.prefix_slot().map_or(0, |slot| self.prefixes.matched_blocks(slot));
             eligible.push((id, target));
             candidates.push(self.candidate(now, requirements, (id, target), &identity, warm));
         }
@@ -41,7 +41,7 @@
                 home: candidate.rank == home,
                 warm_tokens: candidate.warm_tokens,
                 cost: estimate.total(),
-                parts: parts(&estimate),
+                parts: score_parts(&estimate),
             })
             .collect();
         candidates.sort_by(|a, b| a.cost.total_cmp(&b.cost));
@@ -54,7 +54,7 @@
     }
 }
 
-fn parts(estimate: &TtftEstimate) -> Vec<ScorePart> {
+fn score_parts(estimate: &TtftEstimate) -> Vec<ScorePart> {
     let part = |name: &str, cost| ScorePart { name: name.into(), cost };
     vec![
         part("compute", estimate.compute),
--- a/crates/daemon/src/edge/router/feedback.rs
+++ b/crates/daemon/src/edge/router/feedback.rs
@@ -47,7 +47,7 @@
         cached: TokenCount,
     ) {
         let cached_blocks = (cached.as_u64() / BLOCK_TOKENS) as usize;
-        if let Some(slot) = chosen.in_flight.target().slot() {
+        if let Some(slot) = chosen.in_flight.target().prefix_slot() {
             self.prefixes.record_response(
                 now,
                 slot,
@@ -68,7 +68,7 @@
     pub(in crate::edge) fn record_failure(&mut self, now: MonotonicTime, chosen: &ChosenEngine) {
         let change = self.engine_outliers.record(now, &chosen.endpoint, Outcome::Failed);
         log_ejection_change(&chosen.endpoint, change);
-        if let Some(slot) = chosen.in_flight.target().slot() {
+        if let Some(slot) = chosen.in_flight.target().prefix_slot() {
             self.prefixes.record_failure(now, slot, &chosen.chain, 0);
         }
     }
--- a/crates/daemon/src/edge/router/transfer.rs
+++ b/crates/daemon/src/edge/router/transfer.rs
@@ -69,7 +69,7 @@
         if !requirements.preferences.kv_transfer.fetches_from_store() {
             return None;
         }
-        self.kv_store().and_then(|(_, target)| target.slot())
+        self.kv_store().and_then(|(_, target)| target.prefix_slot())
     }
 
     fn kv_store(&self) -> Option<(&EndpointId, &Rc<Target>)> {
@@ -98,7 +98,7 @@
         let round_trip =
             self.round_trips.beyond_local(&local).max(self.round_trips.beyond_local(&remote));
         let round_trip = if local == remote { Default::default() } else { round_trip };
-        let blocks = target.slot().map_or(0, |slot| self.prefixes.matched_blocks(slot));
+        let blocks = target.prefix_slot().map_or(0, |slot| self.prefixes.matched_blocks(slot));
         Source { blocks, round_trip: round_trip * FETCH_ROUND_TRIPS }
     }
 }
--- a/crates/daemon/src/edge/services.rs
+++ b/crates/daemon/src/edge/services.rs
@@ -27,7 +27,7 @@
     upstream,
 };
 
-/// Path prefix of plain services.
+/// Path prefix of plain services, which are those other than completions.
 pub(super) const PATH_PREFIX: &str = "/services/";
 
 /// Headers of a call that are forwarded to the service, besides those on its content.
@@ -36,6 +36,7 @@
 /// Most endpoints to which a non-idempotent call tries to connect.
 const MAX_CONNECT_ATTEMPTS: usize = 3;
 
+/// `Retry-After` when no endpoint of a service is available.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A call to a plain service.
@@ -103,8 +104,8 @@
             None => send_once(&edge, &call).await,
         }
     };
-    let timeout = tokio::time::timeout(settings.request_timeout.as_duration(), sending).await;
-    let response = timeout.unwrap_or_else(|_| {
+    let result = tokio::time::timeout(settings.request_timeout.as_duration(), sending).await;
+    let response = result.unwrap_or_else(|_| {
         Err(Failure::timed_out("the service did not respond in time", Verdict::MayHaveRun))
     });
     record_outcome(&edge, &call, &response);
--- a/crates/daemon/src/edge/targets.rs
+++ b/crates/daemon/src/edge/targets.rs
@@ -17,11 +17,12 @@
 pub(super) struct Target {
     announcement: RefCell<Arc<Announcement>>,
     announced_at: Cell<MonotonicTime>,
-    slot: Option<Slot>,
+    /// Slot of its cached prefixes in the index, if they are tracked.
+    prefix_slot: Option<Slot>,
     drained: Cell<bool>,
     /// Most requests that it ran at once while others waited.
     slots: Cell<u32>,
-    work: InFlightCounts,
+    in_flight_counts: InFlightCounts,
     pool: ConnectionPool,
 }
 
@@ -30,21 +31,21 @@
 
 impl CountsInFlight for Target {
     fn in_flight_counts(&self) -> &InFlightCounts {
-        &self.work
+        &self.in_flight_counts
     }
 }
 
 impl Target {
-    /// Creates the state of an endpoint whose cached prefixes are tracked under `slot`.
-    pub(super) fn new(source: IpAddr, record: &EndpointRecord, slot: Option<Slot>) -> Self {
+    /// Creates the state of an endpoint whose cached prefixes are tracked under `prefix_slot`.
+    pub(super) fn new(source: IpAddr, record: &EndpointRecord, prefix_slot: Option<Slot>) -> Self {
         let pool = ConnectionPool::new(source, record.announcement.address);
         Self {
             announcement: RefCell::new(Arc::clone(&record.announcement)),
             announced_at: Cell::new(record.written),
-            slot,
+            prefix_slot,
             drained: Cell::new(false),
             slots: Cell::new(saturated_slots(&record.announcement)),
-            work: InFlightCounts::default(),
+            in_flight_counts: InFlightCounts::default(),
             pool,
         }
     }
@@ -61,17 +62,17 @@
         &self.pool
     }
 
-    pub(super) fn slot(&self) -> Option<Slot> {
-        self.slot
+    pub(super) fn prefix_slot(&self) -> Option<Slot> {
+        self.prefix_slot
     }
 
     pub(super) fn in_flight(&self) -> u32 {
-        self.work.requests()
+        self.in_flight_counts.requests()
     }
 
     /// Returns the tokens that this router sent and that still wait for prefill.
     pub(super) fn prefill_tokens(&self) -> TokenCount {
-        self.work.prefill_tokens()
+        self.in_flight_counts.prefill_tokens()
     }
 
     /// Returns the load that the endpoint reported last, and the report's age at `now`.
