--- a/crates/daemon/src/admin/calls.rs
+++ b/crates/daemon/src/admin/calls.rs
@@ -89,8 +89,8 @@
 
 fn to_wire(key: CallKey, call: fleet::Call) -> Call {
     let late_status = call.conflict.map(|conflict| conflict.status);
-    let wire_call = |state, verdict, held: Option<GrantedClaim>| {
-        let owner = held.as_ref().map(|held| held.owner.clone());
+    let wire_call = |state, verdict, claim: Option<GrantedClaim>| {
+        let owner = claim.as_ref().map(|claim| claim.owner.clone());
         Call {
             organisation: key.organisation.clone(),
             key: key.key.clone(),
@@ -98,21 +98,23 @@
             verdict,
             owner: owner.as_ref().map(|owner| owner.host.clone()),
             owner_incarnation: owner.map(|owner| owner.incarnation),
-            claimed_at: held.map(|held| held.claimed_at),
+            claimed_at: claim.map(|claim| claim.claimed_at),
             status: None,
             resolution: None,
             late_status,
         }
     };
     match call.state {
-        State::Claimed(held) => wire_call(CallState::Open, Verdict::MayHaveRun, Some(held)),
-        State::Finished(held, response) => {
+        State::Claimed(claim) => wire_call(CallState::Open, Verdict::MayHaveRun, Some(claim)),
+        State::Finished(claim, response) => {
             let status = Some(response.status);
-            Call { status, ..wire_call(CallState::Answered, Verdict::Ran, Some(held)) }
+            Call { status, ..wire_call(CallState::Answered, Verdict::Ran, Some(claim)) }
+        }
+        State::MayHaveRun(claim, _) => {
+            wire_call(CallState::Failed, Verdict::MayHaveRun, Some(claim))
         }
-        State::MayHaveRun(held, _) => wire_call(CallState::Failed, Verdict::MayHaveRun, Some(held)),
         State::Released => wire_call(CallState::Released, Verdict::NotRun, None),
-        State::Resolved(held, resolved) => {
+        State::Resolved(claim, resolved) => {
             let verdict = match resolved.resolution {
                 fleet::Resolution::Ran => Verdict::Ran,
                 fleet::Resolution::NotRun => Verdict::NotRun,
@@ -122,7 +124,7 @@
                 reason: resolved.reason,
                 at: resolved.at,
             });
-            Call { resolution, ..wire_call(CallState::Resolved, verdict, Some(held)) }
+            Call { resolution, ..wire_call(CallState::Resolved, verdict, Some(claim)) }
         }
     }
 }
--- a/crates/daemon/src/admin/declaration.rs
+++ b/crates/daemon/src/admin/declaration.rs
@@ -60,7 +60,7 @@
     let LeaderResponse::Reply(Reply::Change(reply)) = response else {
         return Err(ApiError::unknown());
     };
-    let response = to_answer(api, &id, reply)?;
+    let response = to_change_result(api, &id, reply)?;
     if let ChangeResult::Applied { revision } = response {
         log::info!(change:% = id, author:%, revision:%; "configuration changed");
         wait_in_force(api, revision);
@@ -78,7 +78,11 @@
     Ok(History { changes: records.into_iter().map(entry).collect() })
 }
 
-fn to_answer(api: &AdminApi, id: &ChangeId, reply: ChangeReply) -> Result<ChangeResult, ApiError> {
+fn to_change_result(
+    api: &AdminApi,
+    id: &ChangeId,
+    reply: ChangeReply,
+) -> Result<ChangeResult, ApiError> {
     Ok(match reply {
         ChangeReply::Changed(revision) => ChangeResult::Applied { revision },
         ChangeReply::Conflict { winner: Some(winner), .. } => {
--- a/crates/daemon/src/admin/status.rs
+++ b/crates/daemon/src/admin/status.rs
@@ -117,7 +117,7 @@
     }
 }
 
-/// Returns the quorum's status on a host without a vote, which knows the leader from gossip.
+/// Returns the quorum's status on a non-voter, with the leader as received by gossip.
 fn observer_status(roster: Option<&Roster>) -> QuorumStatus {
     let mut peers = roster.iter().flat_map(|roster| &roster.peers);
     let leader = peers.find_map(|peer| peer.update.leader.clone());
--- a/crates/daemon/src/leader_client.rs
+++ b/crates/daemon/src/leader_client.rs
@@ -51,12 +51,12 @@
         timeout: Duration,
     ) -> Result<LeaderResponse, LeaderRequestError> {
         let bytes = request.to_bytes();
-        let worst = Cell::new(LeaderRequestError::NotAccepted);
+        let timeout_error = Cell::new(LeaderRequestError::NotAccepted);
         let attempts = async {
             loop {
                 for host in self.directory.leader_candidates() {
                     // A request whose attempt is cancelled by the timeout may be carried out.
-                    let previous = worst.replace(LeaderRequestError::Unknown);
+                    let previous = timeout_error.replace(LeaderRequestError::Unknown);
                     match self.attempt(&host, bytes.clone()).await {
                         SubmitOutcome::Reply(response) => {
                             self.directory.record_response(&host);
@@ -65,7 +65,7 @@
                                 .map_err(|_| LeaderRequestError::Unknown);
                         }
                         SubmitOutcome::NotWritten { leader } => {
-                            worst.set(previous);
+                            timeout_error.set(previous);
                             self.directory.record_response(&host);
                             if let Some(leader) = leader.filter(|leader| *leader != host) {
                                 self.directory.confirm_leader(&leader);
@@ -80,7 +80,7 @@
         };
         match tokio::time::timeout(timeout, attempts).await {
             Ok(response) => response,
-            Err(_) => Err(worst.get()),
+            Err(_) => Err(timeout_error.get()),
         }
     }
 
--- a/crates/daemon/src/peers/client.rs
+++ b/crates/daemon/src/peers/client.rs
@@ -74,8 +74,8 @@
             return Ok(PeerResponse::Unknown);
         };
         Ok(match submitted {
-            SubmitOutcome::Reply(answer) => {
-                PeerResponse::Answered(LeaderResponse::from_bytes(&answer)?)
+            SubmitOutcome::Reply(response) => {
+                PeerResponse::Answered(LeaderResponse::from_bytes(&response)?)
             }
             SubmitOutcome::NotWritten { leader } => PeerResponse::NotLeader { leader },
             SubmitOutcome::Unknown => PeerResponse::Unknown,
--- a/crates/daemon/src/peers/server.rs
+++ b/crates/daemon/src/peers/server.rs
@@ -132,7 +132,7 @@
         let message = params.get()?.get_message()?.to_vec();
         let call = QuorumCall { from: self.host.clone(), message };
         let replica =
-            self.inbox.replica.as_ref().ok_or_else(|| rejected("this host has no vote"))?;
+            self.inbox.replica.as_ref().ok_or_else(|| rejected("this host is not a voter"))?;
         replica.try_send(ReplicaInput::Quorum(call)).map_err(|_| overloaded())
     }
 
--- a/crates/daemon/src/serve.rs
+++ b/crates/daemon/src/serve.rs
@@ -105,7 +105,7 @@
 
 /// A service that can be drained.
 pub(crate) trait Drain {
-    /// Starts to direct callers elsewhere.
+    /// Starts to ask callers to use other hosts.
     fn leave(&self);
 
     /// Returns whether every request has ended and its response is sent.
