--- a/crates/daemon/src/edge/active.rs
+++ b/crates/daemon/src/edge/active.rs
@@ -4,7 +4,7 @@
 
 use super::Edge;
 
-/// The requests from callers and reports to the ledger that have not ended.
+/// The requests to this router, and its reports to the ledger, that have not ended.
 #[derive(Default)]
 pub(super) struct ActiveRequests {
     last_number: u64,
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -5,6 +5,7 @@
 //! | thread | task |
 //! |---|---|
 //! | `edge` | callers' requests, endpoints' streams, choice of the endpoint |
+//! | `gateway` | in place of `edge`: callers' requests, forwarded by a routing table |
 //! | `roster` | membership of endpoints and routers |
 //! | `peers` | RPC between routers |
 //! | `replica` | replica of the quorum's log and state, on voters |
