--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -59,14 +59,14 @@
     }
 
     /// Notes that a host answered a request to the leader.
-    pub(crate) fn answered(&self, host: &HostId) {
-        self.lock().hints.answered(host);
+    pub(crate) fn clear_timeout(&self, host: &HostId) {
+        self.lock().hints.clear_timeout(host);
     }
 
     /// Notes that a host did not answer a request to the leader in time.
-    pub(crate) fn timed_out(&self, host: &HostId) {
+    pub(crate) fn record_timeout(&self, host: &HostId) {
         let now = self.clock.now();
-        self.lock().hints.timed_out(now, host);
+        self.lock().hints.record_timeout(now, host);
     }
 
     /// Returns the hosts that may take a request to the leader, the likeliest first.
--- a/crates/daemon/src/leader_client.rs
+++ b/crates/daemon/src/leader_client.rs
@@ -59,19 +59,19 @@
                     let before = worst.replace(NoAnswer::Unknown);
                     match self.attempt(&host, bytes.clone()).await {
                         Submitted::Reply(answer) => {
-                            self.directory.answered(&host);
+                            self.directory.clear_timeout(&host);
                             self.directory.set_leader(Some(host));
                             return LeaderResponse::from_bytes(&answer)
                                 .map_err(|_| NoAnswer::Unknown);
                         }
                         Submitted::NotWritten { leader } => {
                             worst.set(before);
-                            self.directory.answered(&host);
+                            self.directory.clear_timeout(&host);
                             if let Some(leader) = leader.filter(|leader| *leader != host) {
                                 self.directory.named(&leader);
                             }
                         }
-                        Submitted::Unknown => self.directory.timed_out(&host),
+                        Submitted::Unknown => self.directory.record_timeout(&host),
                     }
                 }
                 let pause = rand::rng().random_range(PAUSE_MS);
--- a/crates/quorum/src/hints.rs
+++ b/crates/quorum/src/hints.rs
@@ -44,13 +44,13 @@
     }
 
     /// Records that a host responded.
-    pub fn answered(&mut self, host: &HostId) {
+    pub fn clear_timeout(&mut self, host: &HostId) {
         self.timeouts.remove(host);
     }
 
     /// Records that a request to a host timed out; the host is tried last for a while, unless a
     /// voter names it as the leader afterwards.
-    pub fn timed_out(&mut self, now: MonotonicTime, host: &HostId) {
+    pub fn record_timeout(&mut self, now: MonotonicTime, host: &HostId) {
         self.timeouts.insert(host.clone(), now);
         if self.leader.as_ref() == Some(host) {
             self.leader = None;
--- a/crates/quorum/tests/hints.rs
+++ b/crates/quorum/tests/hints.rs
@@ -30,9 +30,9 @@
 fn timed_out_hosts_come_last_even_if_an_outdated_hint_names_them() {
     let mut hints = hints();
     hints.set_leader(Some(host(0)));
-    hints.timed_out(at(600), &host(0));
+    hints.record_timeout(at(600), &host(0));
     hints.set_leader(Some(host(0)));
-    hints.timed_out(at(1_200), &host(1));
+    hints.record_timeout(at(1_200), &host(1));
     assert_eq!(first(&hints, 1_300, 3), [host(2), host(3), host(4)]);
     assert_eq!(hints.leader_candidates(at(1_300))[3..], [host(0), host(1)]);
 }
@@ -41,7 +41,7 @@
 fn timed_out_leader_named_by_a_voter_comes_first_again() {
     let mut hints = hints();
     hints.set_leader(Some(host(0)));
-    hints.timed_out(at(600), &host(0));
+    hints.record_timeout(at(600), &host(0));
     hints.confirm_leader(at(610), &host(0));
     assert_eq!(first(&hints, 620, 1), [host(0)]);
 }
@@ -49,15 +49,15 @@
 #[test]
 fn response_clears_a_timeout() {
     let mut hints = hints();
-    hints.timed_out(at(0), &host(0));
-    hints.answered(&host(0));
+    hints.record_timeout(at(0), &host(0));
+    hints.clear_timeout(&host(0));
     assert_eq!(first(&hints, 100, 1), [host(0)]);
 }
 
 #[test]
 fn timeout_expires() {
     let mut hints = hints();
-    hints.timed_out(at(0), &host(0));
+    hints.record_timeout(at(0), &host(0));
     hints.set_leader(Some(host(0)));
     assert_ne!(first(&hints, 1_000, 1), [host(0)]);
     assert_eq!(first(&hints, 3_000, 1), [host(0)]);
