--- a/crates/daemon/src/replica/voters.rs
+++ b/crates/daemon/src/replica/voters.rs
@@ -40,8 +40,8 @@
         }
         self.last_checked = now;
         let status = node.status();
-        let led = now.saturating_since(since);
-        next_voters(&LeaderView { status: &status, me, now, led }, &settings)
+        let leading_for = now.saturating_since(since);
+        next_voters(&LeaderView { status: &status, me, now, leading_for }, &settings)
     }
 }
 
--- a/crates/quorum/src/action.rs
+++ b/crates/quorum/src/action.rs
@@ -135,7 +135,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::NotLeader => "this host does not lead",
-            Self::Transferring => "the leader is handing over",
+            Self::Transferring => "the leader is transferring its leadership",
             Self::TermNotCommitted => "the leader has not committed an entry of its term yet",
             Self::ChangePending => "a change of voters is not committed yet",
             Self::NotOneChange => "voters are added or removed one at a time",
--- a/crates/quorum/src/election.rs
+++ b/crates/quorum/src/election.rs
@@ -24,7 +24,7 @@
         self.request_votes(self.hard.term.next(), VoteKind::PreVote, actions);
     }
 
-    /// Campaigns at once after a transfer by a leader that gave up its lease.
+    /// Campaigns without a pre-vote, after a leader transferred its leadership and gave up its lease.
     pub(crate) fn campaign_at_once(&mut self, actions: &mut Vec<Action>) {
         if !self.may_campaign() || self.leader_state.is_some() {
             return;
@@ -74,7 +74,7 @@
             return;
         }
         if vote_kind != VoteKind::PreVote {
-            self.record_promise(from, term, LogIndex::ZERO);
+            self.record_activity(from, term, LogIndex::ZERO);
         }
         let Some(campaign) = &mut self.campaign else { return };
         if campaign.term != term || campaign.vote_kind != vote_kind {
@@ -97,7 +97,7 @@
     }
 
     fn grant_vote(&mut self, candidate: Sender<'_>, actions: &mut Vec<Action>) {
-        self.record_promise(candidate, self.hard.term, LogIndex::ZERO);
+        self.record_activity(candidate, self.hard.term, LogIndex::ZERO);
         self.hard.voted_for = Some(candidate.host.clone());
         self.defer_election();
         self.save_hard_state(actions);
--- a/crates/quorum/src/healing.rs
+++ b/crates/quorum/src/healing.rs
@@ -52,7 +52,7 @@
     /// The current time.
     pub now: MonotonicTime,
     /// The time since it became the leader.
-    pub led: Duration,
+    pub leading_for: Duration,
 }
 
 /// Returns the next set of voters, one host more or less, or `None` if no change is due.
@@ -67,14 +67,14 @@
     }
     let voters = status.voters.folders.len();
     if voters < settings.target_voters()
-        && let Some((host, folder)) = view.spare(settings)
+        && let Some((host, folder)) = view.find_spare(settings)
     {
         return Some(with(&status.voters, host, folder));
     }
     let replaced = view.voters().find(|(host, folder)| view.has_other_folder(host, **folder));
     let presumed_lost = || view.voters().find(|(host, _)| view.is_presumed_lost(host, settings));
-    let can_spare_one = settings.target_voters() < voters || view.spare(settings).is_some();
-    let leaving = replaced.or_else(|| if can_spare_one { presumed_lost() } else { None })?.0;
+    let may_remove_one = settings.target_voters() < voters || view.find_spare(settings).is_some();
+    let leaving = replaced.or_else(|| if may_remove_one { presumed_lost() } else { None })?.0;
     let next = without(&status.voters, leaving);
     let stays_safe = settings.min_voters() <= next.folders.len();
     (stays_safe && view.can_commit(&next, settings)).then_some(next)
@@ -87,20 +87,20 @@
     }
 
     /// Returns a learner that is up to date and can be added as a voter.
-    fn spare(&self, settings: &HealingSettings) -> Option<(&HostId, FolderId)> {
-        let wanted = self.status.commit.as_u64().saturating_sub(settings.max_lag);
+    fn find_spare(&self, settings: &HealingSettings) -> Option<(&HostId, FolderId)> {
+        let required = self.status.commit.as_u64().saturating_sub(settings.max_lag);
         let followers = self.status.progress.iter().filter(|(host, progress)| {
             let votes = self.status.voters.folders.contains_key(*host);
             !votes
                 && self.is_responsive(progress, settings)
-                && LogIndex::new(wanted.max(1)) <= progress.matched
+                && LogIndex::new(required.max(1)) <= progress.matched
         });
         followers.filter_map(|(host, progress)| Some((host, progress.folder?))).next()
     }
 
     fn has_other_folder(&self, host: &HostId, folder: FolderId) -> bool {
         let progress = self.status.progress.get(host);
-        progress.and_then(|progress| progress.folder).is_some_and(|replied| replied != folder)
+        progress.and_then(|progress| progress.folder).is_some_and(|current| current != folder)
     }
 
     fn is_responsive(&self, progress: &Progress, settings: &HealingSettings) -> bool {
@@ -110,7 +110,8 @@
 
     fn is_presumed_lost(&self, host: &HostId, settings: &HealingSettings) -> bool {
         let contact = self.status.progress.get(host).and_then(|progress| progress.last_contact);
-        let age = contact.map_or(self.led, |at| self.now.saturating_since(at).min(self.led));
+        let age = contact
+            .map_or(self.leading_for, |at| self.now.saturating_since(at).min(self.leading_for));
         settings.replace_after <= age
     }
 
--- a/crates/quorum/src/hints.rs
+++ b/crates/quorum/src/hints.rs
@@ -43,7 +43,7 @@
         self.leader.as_ref()
     }
 
-    /// Records that a host responded.
+    /// Clears the timeout of a host that responded.
     pub fn clear_timeout(&mut self, host: &HostId) {
         self.timeouts.remove(host);
     }
--- a/crates/quorum/src/leader.rs
+++ b/crates/quorum/src/leader.rs
@@ -22,7 +22,7 @@
     pub(crate) transfer_until: Option<MonotonicTime>,
 }
 
-/// A read that waits for confirmation that the node still leads.
+/// A read that waits until a majority confirms that this node still leads.
 #[derive(Debug)]
 pub(crate) struct PendingRead {
     pub(crate) id: ReadId,
@@ -94,7 +94,7 @@
         if !self.holds_lease(self.now) {
             self.heartbeat(actions);
         }
-        self.answer_reads(actions);
+        self.release_reads(actions);
     }
 
     pub(crate) fn set_learners(&mut self, hosts: Vec<HostId>) {
@@ -126,8 +126,8 @@
         self.become_follower(self.hard.term, None, actions);
     }
 
-    /// Answers the reads after whose arrival this node was confirmed to lead.
-    pub(crate) fn answer_reads(&mut self, actions: &mut Vec<Action>) {
+    /// Reports as ready each pending read that arrived before this node was last confirmed to lead.
+    pub(crate) fn release_reads(&mut self, actions: &mut Vec<Action>) {
         let leased = self.holds_lease(self.now);
         let contact = self.majority_contact(self.now);
         let Some(leader_state) = &mut self.leader_state else { return };
@@ -147,15 +147,15 @@
     /// Commits the entries that a majority holds, once they include one of the current term.
     pub(crate) fn advance_commit(&mut self, actions: &mut Vec<Action>) {
         let Some(leader_state) = &self.leader_state else { return };
-        let held = self.held_by_majority(leader_state);
-        if held <= self.commit || self.log.term_at(held) != Some(self.hard.term) {
+        let matched = self.majority_matched(leader_state);
+        if matched <= self.commit || self.log.term_at(matched) != Some(self.hard.term) {
             return;
         }
         let changed_at = self.log.voters_index();
-        let voters_changed = self.commit < changed_at && changed_at <= held;
-        self.commit = held;
+        let voters_changed = self.commit < changed_at && changed_at <= matched;
+        self.commit = matched;
         self.apply_committed(actions);
-        self.answer_reads(actions);
+        self.release_reads(actions);
         if voters_changed {
             self.heartbeat(actions);
             self.track_followers();
@@ -163,11 +163,11 @@
         }
     }
 
-    /// Returns the latest time such that a majority of the voters answered messages sent then or
-    /// later.
+    /// Returns the latest time for which a majority of the voters has replied to a message sent at
+    /// that time or later.
     pub(crate) fn majority_contact(&self, now: MonotonicTime) -> Option<MonotonicTime> {
         let leader_state = self.leader_state.as_ref()?;
-        self.log.voters().agreed(|host, folder| {
+        self.log.voters().reached_by_majority(|host, folder| {
             if *host == self.cfg.host {
                 return (folder == self.folder).then_some(now);
             }
@@ -206,24 +206,25 @@
 
     /// Returns the last entry that a majority of the voters holds.
     ///
-    /// A voter that this leader adds doesn't count towards the commit of its own addition. For a
-    /// change by an earlier leader this isn't required: it may be committed already, with voters
-    /// that have failed since.
-    fn held_by_majority(&self, leader_state: &LeaderState) -> LogIndex {
-        let held = |host: &HostId, folder| self.held_by(leader_state, host, folder);
-        let agreed = self.log.voters().agreed(held);
+    /// A voter that this leader adds doesn't count towards the commit of its own addition. It does
+    /// count if an earlier leader added it: the change may be committed already, by voters that have
+    /// failed since.
+    fn majority_matched(&self, leader_state: &LeaderState) -> LogIndex {
+        let matched = |host: &HostId, folder| self.matched_by(leader_state, host, folder);
+        let reached_by_majority = self.log.voters().reached_by_majority(matched);
         let changed_at = self.log.voters_index();
-        let proposed = leader_state.term_start..=agreed;
+        let proposed = leader_state.term_start..=reached_by_majority;
         let Some(old) = self.voters_before_change().filter(|_| proposed.contains(&changed_at))
         else {
-            return agreed;
+            return reached_by_majority;
         };
         let added = old.folders.len() < self.log.voters().folders.len();
-        let confirmed = !added || old.folders.is_empty() || changed_at <= old.agreed(held);
-        if confirmed { agreed } else { before(changed_at) }
+        let confirmed =
+            !added || old.folders.is_empty() || changed_at <= old.reached_by_majority(matched);
+        if confirmed { reached_by_majority } else { before(changed_at) }
     }
 
-    fn held_by(
+    fn matched_by(
         &self,
         leader_state: &LeaderState,
         host: &HostId,
@@ -251,10 +252,10 @@
         }
         let mut added =
             voters.folders.iter().filter(|(host, folder)| !current.admits(host, **folder));
-        let wanted = LogIndex::new(self.commit.as_u64().saturating_sub(MAX_NEW_VOTER_LAG));
+        let required = LogIndex::new(self.commit.as_u64().saturating_sub(MAX_NEW_VOTER_LAG));
         let lags = added.any(|(host, folder)| {
-            let held = self.held_by(leader_state, host, *folder);
-            held < wanted.max(LogIndex::new(1))
+            let matched = self.matched_by(leader_state, host, *folder);
+            matched < required.max(LogIndex::new(1))
         });
         lags.then_some(Refusal::Lagging)
     }
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -26,9 +26,9 @@
 //! The hosts in [`Config::founders`] query each other's folders. The first-listed host writes the
 //! first entry, with the folder of each founder, once all others have replied that their folder is
 //! empty and that they list the same host first. The others copy that entry. A host whose disk was
-//! lost has a new folder: it neither founds a second log nor votes, since one founder whose folder
-//! is not empty prevents it. Hosts that were added later and aren't listed aren't queried; keep the
-//! list up to date.
+//! lost has a new folder. It can't found a second log, since one founder whose folder is not empty
+//! prevents that, and it can't vote. Hosts that were added later and aren't listed aren't queried;
+//! keep the list up to date.
 //!
 //! # Lost, replaced and outdated folders
 //!
@@ -44,10 +44,10 @@
 //! from votes, from the leader's heartbeats and from earlier registrations, and store it with their
 //! vote. Three cases are not detected:
 //!
-//! - a copy made since the last start that lacks only what the confirming voters had not received
-//!   (the latest acknowledgements, if the leader of that time is down) or, if they have restarted
-//!   since, had not written with a later entry,
-//! - a copy in which the folder is not a voter's yet,
+//! - a copy made since the last start, if the confirming voters have no record of what it lacks:
+//!   they never received the latest acknowledgements (the leader of that time is down), or they
+//!   restarted before they wrote the record with a later entry,
+//! - a copy from before the folder became a voter's,
 //! - outdated copies on a majority at once.
 //!
 //! After one refusal the node stays inactive until its process ends.
--- a/crates/quorum/src/message.rs
+++ b/crates/quorum/src/message.rs
@@ -42,7 +42,7 @@
         /// That entry's term.
         last_term: Term,
     },
-    /// Answers [`Body::Vote`].
+    /// Replies to [`Body::Vote`].
     VoteReply {
         /// The term of the request.
         campaign: Term,
@@ -66,7 +66,7 @@
         /// The leader's records of the voters' folders.
         folder_records: Vec<(HostId, FolderRecord)>,
     },
-    /// Answers [`Body::Append`].
+    /// Replies to [`Body::Append`].
     AppendReply {
         /// Whether the entries were written.
         outcome: AppendOutcome,
@@ -90,7 +90,7 @@
         /// The leader's clock, echoed in the reply without being interpreted.
         sent_at: Duration,
     },
-    /// Answers [`Body::Chunk`].
+    /// Replies to [`Body::Chunk`].
     ChunkReply {
         /// The last entry that the snapshot covers.
         last_index: LogIndex,
@@ -106,7 +106,7 @@
         /// The last entry found at the start.
         last_index: LogIndex,
     },
-    /// Answers [`Body::Register`].
+    /// Replies to [`Body::Register`].
     RegisterReply {
         /// The number of the start.
         starts: StartCount,
@@ -119,7 +119,7 @@
     Campaign,
     /// Asks a founder for the state of the log in its folder.
     FoundingQuery,
-    /// Answers [`Body::FoundingQuery`].
+    /// Replies to [`Body::FoundingQuery`].
     FoundingReply {
         /// The folder that sent the query.
         requester: FolderId,
--- a/crates/quorum/src/progress.rs
+++ b/crates/quorum/src/progress.rs
@@ -10,13 +10,13 @@
 /// A leader's replication progress for one follower.
 #[derive(Clone, Debug)]
 pub struct Progress {
-    /// The sender's folder in the follower's last reply.
+    /// The follower's folder, according to its last reply.
     pub folder: Option<FolderId>,
     /// The last entry known to match the leader's log.
     pub matched: LogIndex,
     /// The next entry to send.
     pub next: LogIndex,
-    /// Send time of the latest message that the follower answered.
+    /// Send time of the latest message to which the follower replied.
     pub last_contact: Option<MonotonicTime>,
     pub(crate) in_flight: VecDeque<LogIndex>,
     pub(crate) probing: bool,
--- a/crates/quorum/src/registration.rs
+++ b/crates/quorum/src/registration.rs
@@ -8,7 +8,7 @@
     message::Sender,
 };
 
-/// The state of the registration of a node's folder, without which it can't vote.
+/// The state of the registration of a node's folder; a voter can't vote before it is done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Registration {
     /// A majority of the voters has not confirmed the folder yet.
@@ -110,8 +110,8 @@
         self.finish_registration(actions);
     }
 
-    /// Records that a voter's folder voted or acknowledged in `term`.
-    pub(crate) fn record_promise(&mut self, from: Sender<'_>, term: Term, matched: LogIndex) {
+    /// Records that a voter's folder voted in `term`, or acknowledged entries up to `matched`.
+    pub(crate) fn record_activity(&mut self, from: Sender<'_>, term: Term, matched: LogIndex) {
         if !self.is_admitted(from.host, from.folder) {
             return;
         }
--- a/crates/quorum/src/replication.rs
+++ b/crates/quorum/src/replication.rs
@@ -40,14 +40,14 @@
         match outcome {
             AppendOutcome::Matched(index) => {
                 progress.mark_matched(index);
-                self.record_promise(from, self.hard.term, index);
+                self.record_activity(from, self.hard.term, index);
                 self.advance_commit(actions);
             }
             AppendOutcome::Conflict { prev_index, next } => {
                 progress.mark_conflict(prev_index, next)
             }
         }
-        self.answer_reads(actions);
+        self.release_reads(actions);
         self.replicate(from.host, actions);
         self.try_transfer(actions);
     }
@@ -69,7 +69,7 @@
             chunk.offset = received;
             chunk.waiting = false;
         }
-        self.answer_reads(actions);
+        self.release_reads(actions);
         self.replicate(from.host, actions);
     }
 
--- a/crates/quorum/src/sync_gate.rs
+++ b/crates/quorum/src/sync_gate.rs
@@ -4,10 +4,10 @@
 
 use crate::{Action, AppendOutcome, Body, HardState, Message, RestoredState, StartCount, Write};
 
-/// Sync duration after which a follower's replies no longer wait; most syncs are done earlier.
+/// Sync duration after which a follower's replies no longer wait for it; most syncs are shorter.
 const EARLY_REPLY_AFTER: Duration = Duration::from_millis(100);
 
-/// Sync duration after which all messages are held back, so that another host can lead.
+/// Sync duration after which no message is released early, so that another host can lead.
 const STALLED_AFTER: Duration = Duration::from_secs(1);
 
 /// Delays actions that depend on writes that are not durable yet.
@@ -22,8 +22,8 @@
 pub struct SyncGate {
     durable: Durable,
     unsynced: VecDeque<Unsynced>,
-    held: VecDeque<(BatchNumber, Action)>,
-    last: BatchNumber,
+    delayed: VecDeque<(BatchNumber, Action)>,
+    last_number: BatchNumber,
 }
 
 /// The number of a batch, in the order in which batches must be written.
@@ -65,7 +65,7 @@
     /// The state that survives a crash once this batch is synced.
     after: Durable,
     /// The last entry that the batch leaves unchanged; `None` if a snapshot replaces the log.
-    kept: Option<LogIndex>,
+    unchanged: Option<LogIndex>,
 }
 
 impl SyncGate {
@@ -79,8 +79,8 @@
         Self {
             durable,
             unsynced: VecDeque::new(),
-            held: VecDeque::new(),
-            last: BatchNumber::default(),
+            delayed: VecDeque::new(),
+            last_number: BatchNumber::default(),
         }
     }
 
@@ -101,7 +101,7 @@
             }
         }
         let is_replaced = others.iter().any(|action| matches!(action, Action::Restore(_)));
-        let batch = self.number(now, writes, is_replaced);
+        let batch = self.number_batch(now, writes, is_replaced);
         if self.unsynced.is_empty() {
             ready.extend(others);
             return batch;
@@ -111,21 +111,21 @@
                 Release::Now(action) => ready.push(action),
                 Release::Partly { now, later } => {
                     ready.push(now);
-                    self.held.push_back((self.last, later));
+                    self.delayed.push_back((self.last_number, later));
                 }
-                Release::Later(action) => self.held.push_back((self.last, action)),
+                Release::Later(action) => self.delayed.push_back((self.last_number, action)),
             }
         }
         batch
     }
 
-    /// Marks the batches up to `through` as durable, and adds the actions held back for them to
+    /// Marks the batches up to `through` as durable, and adds the actions delayed for them to
     /// `ready`.
     pub fn mark_synced(&mut self, through: BatchNumber, ready: &mut Vec<Action>) {
         while let Some(done) = self.unsynced.pop_front_if(|batch| batch.number <= through) {
             self.durable = done.after;
         }
-        while let Some((_, action)) = self.held.pop_front_if(|(number, _)| *number <= through) {
+        while let Some((_, action)) = self.delayed.pop_front_if(|(number, _)| *number <= through) {
             ready.push(action);
         }
     }
@@ -136,7 +136,7 @@
     }
 
     /// Numbers the writes of a batch; a snapshot that replaces the state may replace entries too.
-    fn number(
+    fn number_batch(
         &mut self,
         now: MonotonicTime,
         writes: Vec<Write>,
@@ -145,9 +145,9 @@
         if writes.is_empty() {
             return None;
         }
-        self.last.0 += 1;
+        self.last_number.0 += 1;
         let mut after = self.unsynced.back().map_or(self.durable, |batch| batch.after);
-        let mut kept = Some(after.last);
+        let mut unchanged = Some(after.last);
         for write in &writes {
             match write {
                 Write::Log { hard_state, entries } => {
@@ -156,36 +156,46 @@
                     }
                     if let (Some(first), Some(last)) = (entries.first(), entries.last()) {
                         let before = LogIndex::new(first.index.as_u64().saturating_sub(1));
-                        kept = kept.map(|kept| kept.min(before));
+                        unchanged = unchanged.map(|unchanged| unchanged.min(before));
                         after.last = last.index;
                     }
                 }
                 Write::Snapshot(snapshot) if is_replaced => {
-                    kept = None;
+                    unchanged = None;
                     // The entries after the snapshot may have been dropped.
                     after.last = snapshot.last_index;
                 }
                 Write::Snapshot(_) => {}
             }
         }
-        self.unsynced.push_back(Unsynced { number: self.last, since: now, after, kept });
-        Some(Batch { number: self.last, writes })
+        self.unsynced.push_back(Unsynced {
+            number: self.last_number,
+            since: now,
+            after,
+            unchanged,
+        });
+        Some(Batch { number: self.last_number, writes })
     }
 
     /// Decides which part of an action is released before the writes in progress are durable.
     fn release(&self, now: MonotonicTime, action: Action) -> Release {
         let Action::Send { to, message } = &action else { return Release::Later(action) };
-        let (Some(waited), Some(kept)) = (self.oldest_sync_age(now), self.kept()) else {
+        let (Some(sync_age), Some(unchanged)) =
+            (self.oldest_sync_age(now), self.unchanged_through())
+        else {
             return Release::Later(action);
         };
-        if STALLED_AFTER <= waited || !self.is_durable(message) {
+        if STALLED_AFTER <= sync_age || !self.is_durable(message) {
             return Release::Later(action);
         }
         let body = match &message.body {
-            Body::Append { commit, .. } if *commit <= kept => return Release::Now(action),
-            body @ Body::Append { .. } => with_commit(body.clone(), kept),
-            Body::AppendReply { outcome, sent_at } if EARLY_REPLY_AFTER <= waited => {
-                Body::AppendReply { outcome: durable_outcome(*outcome, kept), sent_at: *sent_at }
+            Body::Append { commit, .. } if *commit <= unchanged => return Release::Now(action),
+            body @ Body::Append { .. } => with_commit(body.clone(), unchanged),
+            Body::AppendReply { outcome, sent_at } if EARLY_REPLY_AFTER <= sync_age => {
+                Body::AppendReply {
+                    outcome: durable_outcome(*outcome, unchanged),
+                    sent_at: *sent_at,
+                }
             }
             _ => return Release::Later(action),
         };
@@ -203,9 +213,10 @@
     }
 
     /// Returns the last entry that would survive a crash unchanged, if one is known.
-    fn kept(&self) -> Option<LogIndex> {
+    fn unchanged_through(&self) -> Option<LogIndex> {
         let mut unsynced = self.unsynced.iter();
-        unsynced.try_fold(self.durable.last, |kept, batch| Some(kept.min(batch.kept?)))
+        unsynced
+            .try_fold(self.durable.last, |unchanged, batch| Some(unchanged.min(batch.unchanged?)))
     }
 }
 
@@ -216,10 +227,10 @@
     body
 }
 
-/// Returns the outcome limited to the entries up to `kept`, which are durable.
-fn durable_outcome(outcome: AppendOutcome, kept: LogIndex) -> AppendOutcome {
+/// Returns the outcome limited to the entries up to `unchanged`, which are durable.
+fn durable_outcome(outcome: AppendOutcome, unchanged: LogIndex) -> AppendOutcome {
     match outcome {
-        AppendOutcome::Matched(index) => AppendOutcome::Matched(index.min(kept)),
+        AppendOutcome::Matched(index) => AppendOutcome::Matched(index.min(unchanged)),
         conflict @ AppendOutcome::Conflict { .. } => conflict,
     }
 }
--- a/crates/quorum/src/types.rs
+++ b/crates/quorum/src/types.rs
@@ -64,7 +64,10 @@
     }
 
     /// Returns the highest value that a majority of the voters has reached.
-    pub(crate) fn agreed<T: Ord + Default>(&self, value: impl Fn(&HostId, FolderId) -> T) -> T {
+    pub(crate) fn reached_by_majority<T: Ord + Default>(
+        &self,
+        value: impl Fn(&HostId, FolderId) -> T,
+    ) -> T {
         let mut reached: Vec<T> =
             self.folders.iter().map(|(host, folder)| value(host, *folder)).collect();
         reached.sort_unstable_by(|a, b| b.cmp(a));
@@ -119,9 +122,9 @@
 pub struct FolderRecord {
     /// The folder.
     pub folder: FolderId,
-    /// The highest registered start.
+    /// The number of the latest registered start.
     pub starts: StartCount,
-    /// Whether it voted or acknowledged since that start, whose number then can't register again.
+    /// Whether it voted or acknowledged since that start; if so, that number can't register again.
     pub active: bool,
     /// The highest term in which it voted or acknowledged.
     pub term: Term,
--- a/crates/quorum/tests/cluster.rs
+++ b/crates/quorum/tests/cluster.rs
@@ -312,7 +312,7 @@
         (0..self.machines.len()).find(|i| !taken.contains(i)).expect("another host")
     }
 
-    /// Steps a host's node with an input and carries out the resulting actions.
+    /// Steps a host's node with an input and executes the resulting actions.
     pub fn step(&mut self, i: usize, input: Input, crash: Option<Crash>) {
         let machine = &mut self.machines[i];
         let Some(node) = &mut machine.node else { return };
@@ -337,12 +337,12 @@
         self.sync(i, &mut ready);
         self.check_leader(i);
         for action in ready {
-            self.carry_out(i, action);
+            self.execute(i, action);
         }
         self.check_logs(i);
     }
 
-    /// Writes the waiting batches, once a sync of the oldest would be done.
+    /// Writes the unwritten batches once the sync time of the oldest has passed.
     fn sync(&mut self, i: usize, ready: &mut Vec<Action>) {
         let machine = &self.machines[i];
         let (Some((began, _)), Some((_, last))) =
@@ -377,7 +377,7 @@
         }
     }
 
-    fn carry_out(&mut self, i: usize, action: Action) {
+    fn execute(&mut self, i: usize, action: Action) {
         match action {
             Action::Write(_) => {}
             Action::Send { to, message } => self.send(i, &to, message),
--- a/crates/quorum/tests/healing.rs
+++ b/crates/quorum/tests/healing.rs
@@ -10,18 +10,18 @@
 /// Time between two checks of the voters.
 const HEALING_INTERVAL_MS: u64 = 100;
 
-/// A cluster that changes its voters by itself, with a target of five; two disks may be lost at
-/// once.
+/// A cluster whose leader changes the voters by itself, with a target of five voters; two disks may
+/// be lost at once.
 struct HealingCluster {
     cluster: Cluster,
-    led_since: BTreeMap<usize, MonotonicTime>,
+    leading_since: BTreeMap<usize, MonotonicTime>,
     min_voters_seen: usize,
 }
 
 impl HealingCluster {
     fn new(founders: usize, spares: usize) -> Self {
         let cluster = Cluster::new(founders, spares);
-        Self { cluster, led_since: BTreeMap::new(), min_voters_seen: usize::MAX }
+        Self { cluster, leading_since: BTreeMap::new(), min_voters_seen: usize::MAX }
     }
 
     fn settings() -> HealingSettings {
@@ -38,16 +38,16 @@
 
     fn heal(&mut self) {
         let Some(leader) = self.cluster.leader() else { return };
-        self.led_since.retain(|i, _| *i == leader);
+        self.leading_since.retain(|i, _| *i == leader);
         let now = self.cluster.now;
-        let since = *self.led_since.entry(leader).or_insert(now);
+        let since = *self.leading_since.entry(leader).or_insert(now);
         let status = self.cluster.status(leader);
         let learners = (0..self.cluster.machines.len())
             .map(host)
             .filter(|host| !status.voters.folders.contains_key(host));
         self.cluster.step(leader, Input::Learners(learners.collect()), None);
-        let (me, led) = (host(leader), now.saturating_since(since));
-        let view = LeaderView { status: &status, me: &me, now, led };
+        let (me, leading_for) = (host(leader), now.saturating_since(since));
+        let view = LeaderView { status: &status, me: &me, now, leading_for };
         if let Some(voters) = next_voters(&view, &Self::settings()) {
             if 5 <= status.voters.folders.len() {
                 self.min_voters_seen = self.min_voters_seen.min(voters.folders.len());
--- a/crates/quorum/tests/lost_disk.rs
+++ b/crates/quorum/tests/lost_disk.rs
@@ -1,4 +1,4 @@
-//! Founding, lost disks and older copies of a folder.
+//! Founding, lost disks and outdated copies of a folder.
 
 use quorum::{Registration, Role};
 
@@ -99,7 +99,7 @@
 }
 
 /// Commits a command, then restores the disk that `i` had before it.
-fn restore_older_copy(cluster: &mut Cluster, leader: usize, i: usize) {
+fn restore_outdated_copy(cluster: &mut Cluster, leader: usize, i: usize) {
     let copy = cluster.machines[i].disk.clone();
     cluster.propose(leader, "order 1");
     cluster.run(400);
@@ -109,19 +109,19 @@
 }
 
 #[test]
-fn older_copy_is_refused() {
+fn outdated_copy_is_refused() {
     let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let old = cluster.other(&[leader]);
-    restore_older_copy(&mut cluster, leader, old);
+    restore_outdated_copy(&mut cluster, leader, old);
     cluster.run(2000);
     assert_eq!(cluster.registration(old), Registration::Refused);
 }
 
 #[test]
-fn older_copy_is_refused_without_the_former_leader() {
+fn outdated_copy_is_refused_without_the_former_leader() {
     let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let old = cluster.other(&[leader]);
-    restore_older_copy(&mut cluster, leader, old);
+    restore_outdated_copy(&mut cluster, leader, old);
     cluster.crash(leader);
     cluster.run(2000);
     assert_eq!(cluster.registration(old), Registration::Refused);
@@ -129,10 +129,10 @@
 }
 
 #[test]
-fn older_copy_is_refused_however_often_it_starts() {
+fn outdated_copy_is_refused_however_often_it_starts() {
     let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let old = cluster.other(&[leader]);
-    restore_older_copy(&mut cluster, leader, old);
+    restore_outdated_copy(&mut cluster, leader, old);
     for _ in 0..10 {
         cluster.run(200);
         cluster.restart(old);
--- a/crates/quorum/tests/messages.rs
+++ b/crates/quorum/tests/messages.rs
@@ -12,7 +12,7 @@
 
 use crate::cluster::host;
 
-/// The node of host 0, with the other voters played by the test.
+/// The node of host 0; the test sends the messages of the other voters.
 pub struct NodeHarness {
     node: Node<Pcg64Mcg>,
     now: MonotonicTime,
--- a/crates/quorum/tests/model.rs
+++ b/crates/quorum/tests/model.rs
@@ -97,7 +97,7 @@
     }
 
     fn apply(mut cluster: Cluster, _state: &(), transition: Transition) -> Cluster {
-        carry_out(&mut cluster, transition);
+        execute(&mut cluster, transition);
         cluster
     }
 
@@ -106,7 +106,7 @@
     }
 }
 
-fn carry_out(cluster: &mut Cluster, transition: Transition) {
+fn execute(cluster: &mut Cluster, transition: Transition) {
     match transition {
         Transition::Run(ticks) => cluster.run(u64::from(ticks) * TICK_MS),
         Transition::Wait(ticks) => (0..ticks).for_each(|_| cluster.tick_all()),
@@ -195,7 +195,7 @@
         cluster.fault = fault;
         cluster.run(800);
         for transition in transitions {
-            carry_out(&mut cluster, transition);
+            execute(&mut cluster, transition);
         }
         proptest::prop_assert_eq!(cluster.checker.violations, []);
         Ok(())
@@ -205,10 +205,10 @@
 }
 
 macro_rules! injected_faults {
-    ($($name:ident: $fault:expr => $found:expr,)*) => {$(
+    ($($name:ident: $fault:expr => $detected:expr,)*) => {$(
         #[test]
         fn $name() {
-            assert_eq!(is_detected($fault), $found);
+            assert_eq!(is_detected($fault), $detected);
         }
     )*};
 }
@@ -223,25 +223,25 @@
     #![proptest_config(config(150))]
 
     #[test]
-    fn three_hosts_recover_once_all_is_mended(
+    fn three_hosts_recover_after_all_faults_end(
         run in <AnyTransition<3>>::sequential_strategy(MAX_TRANSITIONS / 2..MAX_TRANSITIONS),
     ) {
-        recover(Cluster::new(3, 0), run.1);
+        check_recovery(Cluster::new(3, 0), run.1);
     }
 
     #[test]
-    fn five_hosts_recover_once_all_is_mended(
+    fn five_hosts_recover_after_all_faults_end(
         run in <AnyTransition<5>>::sequential_strategy(MAX_TRANSITIONS / 2..MAX_TRANSITIONS),
     ) {
-        recover(Cluster::new(5, 0), run.1);
+        check_recovery(Cluster::new(5, 0), run.1);
     }
 }
 
 /// Checks that a cluster commits again after failures that left a majority of its disks.
-fn recover(mut cluster: Cluster, transitions: Vec<Transition>) {
+fn check_recovery(mut cluster: Cluster, transitions: Vec<Transition>) {
     cluster.run(800);
     for transition in transitions {
-        carry_out(&mut cluster, transition);
+        execute(&mut cluster, transition);
     }
     cluster.cut.clear();
     cluster.slow_disks(Duration::ZERO);
@@ -272,6 +272,6 @@
 
 /// Returns whether a majority of `voters` still has the folder from which it may vote.
 fn has_majority(cluster: &Cluster, voters: &VoterSet) -> bool {
-    let whole = cluster.machines.iter().filter(|m| voters.admits(&m.host, m.disk.folder));
-    voters.folders.is_empty() || voters.majority() <= whole.count()
+    let intact = cluster.machines.iter().filter(|m| voters.admits(&m.host, m.disk.folder));
+    voters.folders.is_empty() || voters.majority() <= intact.count()
 }
--- a/crates/quorum/tests/regression/mod.rs
+++ b/crates/quorum/tests/regression/mod.rs
@@ -3,7 +3,7 @@
 mod late_message_from_an_earlier_start;
 mod leader_restarts_while_adding;
 mod leader_restarts_while_leaving;
+mod new_voter_unknown_to_lagging_voter;
 mod removed_voter_restarts;
-mod starter_unknown_to_voter_behind;
 mod voter_behind_counts_removed_voters;
 mod voter_fails_after_repair;
--- a/crates/quorum/tests/regression/starter_unknown_to_voter_behind.rs
+++ b/crates/quorum/tests/regression/new_voter_unknown_to_lagging_voter.rs
@@ -7,12 +7,12 @@
 };
 
 #[test]
-fn voter_behind_confirms_a_new_voter() {
+fn lagging_voter_confirms_a_new_voter() {
     let (mut cluster, leader) = Cluster::with_leader(3, 1);
-    let behind = cluster.other(&[leader]);
-    let down = cluster.other(&[leader, behind]);
+    let lagging = cluster.other(&[leader]);
+    let down = cluster.other(&[leader, lagging]);
     add_learner(&mut cluster, leader, 3);
-    cluster.isolate(behind);
+    cluster.isolate(lagging);
     cluster.propose_voters(leader, with(&cluster, leader, 3));
     cluster.run(200);
     assert!(cluster.status(leader).voters_committed);
--- a/crates/quorum/tests/slow_disks.rs
+++ b/crates/quorum/tests/slow_disks.rs
@@ -6,7 +6,7 @@
 
 use crate::cluster::Cluster;
 
-/// A long sync, below the duration after which a leader steps down.
+/// A long sync, short enough that the leader's heartbeats are still sent during it.
 const LONG_SYNC: Duration = Duration::from_millis(800);
 
 /// Time between proposals.
