--- a/crates/member/src/catch_up.rs
+++ b/crates/member/src/catch_up.rs
@@ -12,7 +12,7 @@
 /// Time after which a router gives up pulling the whole roster.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time after which a router that still catches up answers pulls with the records it has.
+/// Time after which a router that still catches up serves pulls from the records it has.
 const SERVE_INCOMPLETE_AFTER: Duration = Duration::from_secs(5);
 
 /// Time between two pulls of a router that has too few endpoints.
@@ -25,14 +25,14 @@
 #[derive(Debug)]
 pub(crate) struct CatchUp {
     started: MonotonicTime,
-    next: u16,
-    known_records: u32,
+    next_bucket: u16,
+    initial_record_count: u32,
     in_flight: Option<(HostId, MonotonicTime)>,
 }
 
 impl CatchUp {
     pub(crate) fn new(now: MonotonicTime) -> Self {
-        Self { started: now, next: 0, known_records: 0, in_flight: None }
+        Self { started: now, next_bucket: 0, initial_record_count: 0, in_flight: None }
     }
 }
 
@@ -61,9 +61,9 @@
             return None;
         }
         let host = self.peers.sample(1, rng).pop()?;
-        let known_records = self.record_count();
-        if let Some(pull) = self.catch_up.as_mut().filter(|pull| pull.next == 0) {
-            pull.known_records = known_records;
+        let record_count = self.record_count();
+        if let Some(pull) = self.catch_up.as_mut().filter(|pull| pull.next_bucket == 0) {
+            pull.initial_record_count = record_count;
         }
         self.pull_from(now, &host)
     }
@@ -96,19 +96,19 @@
             self.catch_up = None;
             return None;
         }
-        if next <= pull.next {
+        if next <= pull.next_bucket {
             pull.in_flight = None;
             return None;
         }
-        pull.next = next;
+        pull.next_bucket = next;
         self.pull_from(now, host)
     }
 
-    /// Returns the records that answer a pull and the bucket to continue at, which is the same
-    /// bucket if this router can't answer.
+    /// Returns the records for a pull and the bucket to continue at, which is the requested one if
+    /// this router can't serve the pull.
     ///
-    /// A router that still catches up answers only routers with far fewer records.
-    pub(crate) fn answer_pull(
+    /// A router that still catches up at first serves only routers with far fewer records.
+    pub(crate) fn serve_pull(
         &self,
         now: MonotonicTime,
         pull: Pull,
@@ -161,8 +161,8 @@
     fn pull_from(&mut self, now: MonotonicTime, host: &HostId) -> Option<Outgoing> {
         let pull = self.catch_up.as_mut()?;
         pull.in_flight = Some((host.clone(), now));
-        let first = pull.next;
-        let record_count = pull.known_records;
+        let first = pull.next_bucket;
+        let record_count = pull.initial_record_count;
         self.send(now, host, |message| message.pull = Some(Pull { first, record_count }))
     }
 
--- a/crates/member/src/checksum.rs
+++ b/crates/member/src/checksum.rs
@@ -21,13 +21,13 @@
             sums.add(peer.host.as_str(), peer.incarnation.as_u64(), false);
         }
         for record in endpoints {
-            let a = &record.announcement;
+            let announcement = &record.announcement;
             let leaving = match record.state {
                 EndpointState::Ready => false,
                 EndpointState::Leaving => true,
                 EndpointState::Left | EndpointState::Expired => continue,
             };
-            sums.add(a.endpoint.as_str(), a.incarnation.as_u64(), leaving);
+            sums.add(announcement.endpoint.as_str(), announcement.incarnation.as_u64(), leaving);
         }
         sums
     }
--- a/crates/member/src/endpoints.rs
+++ b/crates/member/src/endpoints.rs
@@ -13,13 +13,13 @@
 /// Largest number of endpoints, not counting tombstones.
 pub const MAX_ENDPOINTS: usize = 8192;
 
-/// Leases of endpoints; decides which endpoints may get new requests.
+/// The leases of endpoints, which determine the endpoints that may get new requests.
 #[derive(Debug, Default)]
 pub struct Endpoints {
     records: BTreeMap<EndpointId, EndpointRecord>,
     incarnations: BTreeMap<IncarnationKey, EndpointId>,
     lease_floor: Duration,
-    live: usize,
+    live_count: usize,
 }
 
 /// An endpoint's newest announcement and the state of its lease.
@@ -35,7 +35,8 @@
     pub state: EndpointState,
     /// The effective lease: the announced one, or the lease floor if that is longer.
     pub lease: Duration,
-    ended: MonotonicTime,
+    /// When the lease ended, if it has.
+    ended_at: MonotonicTime,
 }
 
 /// Whether an endpoint may get new requests.
@@ -187,8 +188,8 @@
             }
             let has_left = record.state.has_left();
             record.state = if has_left { EndpointState::Left } else { EndpointState::Expired };
-            record.ended = now;
-            self.live -= 1;
+            record.ended_at = now;
+            self.live_count -= 1;
             changes.push(EndpointChange::Expired(endpoint.clone()));
         }
         self.remove_old_tombstones(now);
@@ -219,7 +220,7 @@
 
     /// Returns the number of endpoints with a valid lease.
     pub fn live_count(&self) -> usize {
-        self.live
+        self.live_count
     }
 
     fn apply(
@@ -246,10 +247,11 @@
         if let Some(record) = replaced {
             self.incarnations.remove(&IncarnationKey::of(&record.announcement));
         }
-        self.live += usize::from(!was_live);
+        self.live_count += usize::from(!was_live);
         self.incarnations.insert(IncarnationKey::of(&announcement), endpoint.clone());
         let lease = announcement.lease.max(self.lease_floor);
-        let record = EndpointRecord { announcement, written, relayed_by, state, lease, ended: now };
+        let record =
+            EndpointRecord { announcement, written, relayed_by, state, lease, ended_at: now };
         self.records.insert(endpoint, record);
         Ok(change)
     }
@@ -288,12 +290,12 @@
     }
 
     fn remove_old_tombstones(&mut self, now: MonotonicTime) {
-        if self.records.len() == self.live {
+        if self.records.len() == self.live_count {
             return;
         }
         let ended = self.iter().filter(|record| record.state.has_ended());
         let mut ended: Vec<_> =
-            ended.map(|record| (record.ended, record.announcement.endpoint.clone())).collect();
+            ended.map(|record| (record.ended_at, record.announcement.endpoint.clone())).collect();
         ended.sort_unstable();
         let excess = ended.len().saturating_sub(MAX_TOMBSTONES);
         let is_old = |at: MonotonicTime| TOMBSTONE_RETENTION <= now.saturating_since(at);
--- a/crates/member/src/exchange.rs
+++ b/crates/member/src/exchange.rs
@@ -11,7 +11,7 @@
     message::{endpoint_bytes, header_bytes, peer_bytes, renewal_bytes},
 };
 
-/// Largest number of routers probed for other routers at a time.
+/// Largest number of routers probed on behalf of others at a time.
 const MAX_PROXY_PROBES: usize = 16;
 
 /// Number of queued updates above which the reserve may be spent on them.
@@ -73,7 +73,7 @@
     /// Returns whether the steady rate or the reserve allows another gossip message now.
     pub(crate) fn may_gossip(&mut self, now: MonotonicTime) -> bool {
         let header = header_bytes(self.peers.me(), &self.newest);
-        header * 2 <= self.steady.available(now)
+        header * 2 <= self.steady_limiter.available(now)
             || (self.has_backlog() && header * 2 <= self.backlog_limit(now))
     }
 
@@ -95,8 +95,8 @@
     fn respond(&mut self, now: MonotonicTime, request: &Gossip) -> Gossip {
         let mut response = self.new_message(Some(&request.from.host), Some(request));
         let mut remaining = self.message_limit(now);
-        for wanted in &request.announcement_requests {
-            self.answer_request(now, wanted, &mut response, &mut remaining);
+        for requested in &request.announcement_requests {
+            self.add_requested(now, requested, &mut response, &mut remaining);
         }
         if let Some(remote) = &request.checksums {
             let differing = self.current_checksums().differing(remote);
@@ -106,26 +106,29 @@
             }
         }
         if let Some(pull) = request.pull {
-            let max_bytes =
-                self.reserve.available(now).min(self.budget.max_catch_up_message.as_u64() as usize);
-            let (records, next) = self.answer_pull(now, pull, max_bytes);
-            self.reserve.spend(records.bytes());
-            self.steady.refund(records.bytes());
+            let max_bytes = self
+                .reserve_limiter
+                .available(now)
+                .min(self.budget.max_catch_up_message.as_u64() as usize);
+            let (records, next) = self.serve_pull(now, pull, max_bytes);
+            self.reserve_limiter.spend(records.bytes());
+            self.steady_limiter.refund(records.bytes());
             records.move_into(&mut response);
             response.pull_next = Some(next);
         }
         self.fill(now, response)
     }
 
-    fn answer_request(
+    /// Adds the requested announcement to the response, if it is newer and fits.
+    fn add_requested(
         &self,
         now: MonotonicTime,
-        wanted: &AnnouncementRequest,
+        requested: &AnnouncementRequest,
         response: &mut Gossip,
         remaining: &mut usize,
     ) {
-        let Some(record) = self.endpoints.find_incarnation(&wanted.key) else { return };
-        let is_newer = wanted.sequence < record.announcement.sequence;
+        let Some(record) = self.endpoints.find_incarnation(&requested.key) else { return };
+        let is_newer = requested.sequence < record.announcement.sequence;
         if record.state == EndpointState::Expired || !is_newer {
             return;
         }
@@ -157,7 +160,7 @@
         }
     }
 
-    /// Fills the rest of a message with queued updates, and charges its length to the limits.
+    /// Fills the rest of a message with queued updates, and charges its length to the rate limiters.
     fn fill(&mut self, now: MonotonicTime, mut message: Gossip) -> Gossip {
         let fixed = fixed_bytes(&message);
         let has_backlog = self.has_backlog();
@@ -172,10 +175,10 @@
         self.add_updates(now, &mut message, &mut remaining);
         let update_bytes = before - remaining;
         if from_reserve {
-            self.reserve.spend(update_bytes);
-            self.steady.spend(fixed);
+            self.reserve_limiter.spend(update_bytes);
+            self.steady_limiter.spend(fixed);
         } else {
-            self.steady.spend(fixed + update_bytes);
+            self.steady_limiter.spend(fixed + update_bytes);
         }
         message
     }
@@ -317,14 +320,14 @@
     }
 
     fn message_limit(&mut self, now: MonotonicTime) -> usize {
-        self.steady.available(now).min(self.budget.max_message.as_u64() as usize)
+        self.steady_limiter.available(now).min(self.budget.max_message.as_u64() as usize)
     }
 
     /// Returns the part of the reserve that a backlog may use; half of its capacity is kept for
     /// pulls.
     fn backlog_limit(&mut self, now: MonotonicTime) -> usize {
         let pull_share = self.budget.reserve.as_u64() as usize / 2;
-        self.reserve.available(now).saturating_sub(pull_share)
+        self.reserve_limiter.available(now).saturating_sub(pull_share)
     }
 
     fn has_backlog(&self) -> bool {
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -18,8 +18,8 @@
 /// Interval between calls of [`Membership::tick`].
 pub const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Pause between two ticks from which this process counts as suspended, so that overdue probes are
-/// not held against other routers.
+/// Time between two ticks from which this process counts as suspended; its overdue probes then don't
+/// make other routers suspect.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(3);
 
 /// Number of probe intervals over which an endpoint count reported by a peer decays.
@@ -35,8 +35,8 @@
     pub(crate) endpoints: Endpoints,
     pub(crate) newest: NewestRevision,
     pub(crate) budget: Budget,
-    pub(crate) steady: RateLimiter,
-    pub(crate) reserve: RateLimiter,
+    pub(crate) steady_limiter: RateLimiter,
+    pub(crate) reserve_limiter: RateLimiter,
     pub(crate) queues: TransmitQueues,
     pub(crate) pending_requests: BTreeSet<IncarnationKey>,
     pub(crate) proxy_probes: BTreeMap<HostId, ProxyProbe>,
@@ -111,8 +111,8 @@
             peers: Peers::new(now, me),
             endpoints: Endpoints::default(),
             budget,
-            steady: RateLimiter::new(now, budget.send_rate, budget.max_catch_up_message),
-            reserve: RateLimiter::new(now, budget.reserve_refill_rate, budget.reserve),
+            steady_limiter: RateLimiter::new(now, budget.send_rate, budget.max_catch_up_message),
+            reserve_limiter: RateLimiter::new(now, budget.reserve_refill_rate, budget.reserve),
             queues: TransmitQueues::default(),
             pending_requests: BTreeSet::new(),
             proxy_probes: BTreeMap::new(),
--- a/crates/member/src/transmit_queue.rs
+++ b/crates/member/src/transmit_queue.rs
@@ -5,7 +5,7 @@
 pub(crate) struct TransmitQueue<K> {
     positions: BTreeMap<K, Position>,
     order: BTreeSet<(Position, K)>,
-    added: u64,
+    push_count: u64,
 }
 
 /// The sort key of a queued update.
@@ -17,7 +17,7 @@
 
 impl<K> Default for TransmitQueue<K> {
     fn default() -> Self {
-        Self { positions: BTreeMap::new(), order: BTreeSet::new(), added: 0 }
+        Self { positions: BTreeMap::new(), order: BTreeSet::new(), push_count: 0 }
     }
 }
 
@@ -25,10 +25,10 @@
     /// Queues an update of `key`, replacing an older one and its transmission count.
     pub(crate) fn push(&mut self, key: K) {
         self.remove(&key);
-        self.added += 1;
+        self.push_count += 1;
         self.insert(
             key,
-            Position { transmissions: 0, newest_first: std::cmp::Reverse(self.added) },
+            Position { transmissions: 0, newest_first: std::cmp::Reverse(self.push_count) },
         );
     }
 
--- a/crates/member/tests/endpoints.rs
+++ b/crates/member/tests/endpoints.rs
@@ -222,13 +222,13 @@
     let mut net = Net::settled(8, 12);
     net.loss = 0.1;
     net.run(10_000, renew);
-    let mut ended = 0;
+    let mut expired = 0;
     net.run(30_000, |net| {
         renew(net);
         let changes = net.routers.iter_mut().flat_map(|router| router.take_changes());
-        ended += changes.filter(|change| matches!(change, EndpointChange::Expired(_))).count();
+        expired += changes.filter(|change| matches!(change, EndpointChange::Expired(_))).count();
     });
-    assert!(ended <= 3, "{ended} leases ended");
+    assert!(expired <= 3, "{expired} leases expired");
     net.run(5_000, |_| ());
     (0..8).for_each(|index| assert_eq!(net.ready_at(index), 0));
 }
--- a/crates/member/tests/net/mod.rs
+++ b/crates/member/tests/net/mod.rs
@@ -91,11 +91,11 @@
         self.stopped[index] = false;
     }
 
-    /// Runs for `millis` milliseconds, calling `each` before every tick.
-    pub fn run(&mut self, millis: u64, mut each: impl FnMut(&mut Self)) {
+    /// Runs for `millis` milliseconds, calling `before_tick` before every tick.
+    pub fn run(&mut self, millis: u64, mut before_tick: impl FnMut(&mut Self)) {
         let end = self.now + Duration::from_millis(millis);
         while self.now < end {
-            each(self);
+            before_tick(self);
             for index in 0..self.routers.len() {
                 if self.stopped[index] {
                     continue;
