--- a/crates/base/src/id.rs
+++ b/crates/base/src/id.rs
@@ -85,7 +85,7 @@
     OrganisationId: "organisation id",
     /// Identifies one request in logs, spans and at endpoints.
     RequestId: "request id",
-    /// A plain service beside the model engines.
+    /// A service: a set of interchangeable endpoints, either engines or plain servers.
     ServiceId: "service id",
     /// A version of a model's weights.
     WeightsVersion: "weights version",
--- a/crates/base/src/parse.rs
+++ b/crates/base/src/parse.rs
@@ -5,21 +5,21 @@
 pub struct ParseError {
     type_name: &'static str,
     text: String,
-    allowed: &'static str,
+    expected: &'static str,
 }
 
 impl ParseError {
-    /// Creates an error for `text`, which is not a valid `type_name`; `allowed` describes valid texts.
-    pub fn new(type_name: &'static str, text: &str, allowed: &'static str) -> Self {
+    /// Creates an error for `text`, which is not a valid `type_name`; `expected` describes valid texts.
+    pub fn new(type_name: &'static str, text: &str, expected: &'static str) -> Self {
         const MAX_SHOWN_CHARS: usize = 80;
         let text = text.chars().take(MAX_SHOWN_CHARS).collect();
-        Self { type_name, text, allowed }
+        Self { type_name, text, expected }
     }
 }
 
 impl fmt::Display for ParseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} is not a valid {}; expected {}", self.text, self.type_name, self.allowed)
+        write!(f, "{:?} is not a valid {}; expected {}", self.text, self.type_name, self.expected)
     }
 }
 
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -94,7 +94,7 @@
         !self.organisations.is_empty()
     }
 
-    /// Returns a service.
+    /// Returns the service named `name`.
     pub fn service(&self, name: &ServiceId) -> Option<&Service> {
         self.services.get(name)
     }
