--- a/crates/daemon/src/replica/driver.rs
+++ b/crates/daemon/src/replica/driver.rs
@@ -23,7 +23,7 @@
 
 use super::{
     ReplicaChannels, ReplicaConfig, ReplicaInput, ReplicaView,
-    followers::{Followers, HeldPoll},
+    followers::{Followers, PendingPoll},
     pending::{PendingRead, PendingRequests, ReplySender},
     reads::ReadState,
     voters::{self, VoterHealing},
@@ -33,7 +33,7 @@
 /// Time between ticks of the node; a third of the heartbeat interval.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Most inputs that are handled before the node's actions are executed.
+/// Largest number of inputs that are handled before the node's actions are executed.
 const MAX_INPUT_BATCH: usize = 512;
 
 /// Applied entries after which a snapshot replaces the log.
@@ -42,7 +42,7 @@
 /// Bytes of applied commands after which a snapshot replaces the log.
 const SNAPSHOT_AFTER_BYTES: usize = 4 << 20;
 
-/// Most configuration changes that are shown to operators.
+/// Largest number of configuration changes that are shown to operators.
 const MAX_SHOWN_CHANGES: usize = 1_000;
 
 /// Drives the quorum node and executes its actions.
@@ -125,7 +125,7 @@
             followers: Followers::default(),
         };
         driver.publish_configuration();
-        driver.record_named_weights();
+        driver.record_desired_weights();
         Ok(driver)
     }
 
@@ -149,7 +149,7 @@
             self.execute_actions();
             self.update_leadership();
             self.propose_due_voters();
-            self.answer_due_polls();
+            self.respond_to_due_polls();
             self.compact();
             let now = self.clock.now();
             self.disk_speed.record(now, self.gate.oldest_sync_age(now).unwrap_or_default());
@@ -167,7 +167,7 @@
     fn next_event(&self) -> Event {
         let inputs = flume::Selector::new()
             .recv(&self.channels.inputs, |input| input.map_or(Event::Disconnected, Event::Input));
-        // A failed writer reports nothing any more.
+        // A failed writer sends no more outcomes.
         let events = if self.failure.is_some() {
             inputs
         } else {
@@ -187,7 +187,7 @@
                 self.execute_all(ready);
             }
             Written::Failed(e) => {
-                log::error!("data folder failed, nothing is acknowledged any more: {e}");
+                log::error!("data folder failed, requests are no longer acknowledged: error={e}");
                 self.failure = Some(e);
             }
         }
@@ -251,24 +251,24 @@
                 | LeaderRequest::ReadVoters
                 | LeaderRequest::ReadPublished),
             ) => self.read(request, reply),
-            Ok(LeaderRequest::FollowPublished(poll)) => self.hold_poll(poll, reply),
-            Err(e) => reply.answer(&LeaderResponse::Refused(e.to_string())),
+            Ok(LeaderRequest::FollowPublished(poll)) => self.queue_poll(poll, reply),
+            Err(e) => reply.respond(&LeaderResponse::Refused(e.to_string())),
         }
     }
 
-    /// Holds a follower's poll, or rejects it if another host leads.
-    fn hold_poll(&mut self, poll: FollowRequest, reply: ReplySender) {
+    /// Queues a follower's poll, or rejects it if another host leads.
+    fn queue_poll(&mut self, poll: FollowRequest, reply: ReplySender) {
         if self.node.role() != Role::Leader {
             return reply.not_written(self.node.leader().cloned());
         }
-        self.followers.hold(self.clock.now(), poll, reply);
+        self.followers.add_poll(self.clock.now(), poll, reply);
     }
 
-    /// Answers due polls by reads, so that each answer confirms that this host leads.
-    fn answer_due_polls(&mut self) {
+    /// Responds to due polls by reads, so that each response confirms that this host leads.
+    fn respond_to_due_polls(&mut self) {
         let leads = self.node.role() == Role::Leader;
         let due = self.followers.take_due(self.clock.now(), self.node.term(), leads);
-        for HeldPoll { poll, reply, .. } in due {
+        for PendingPoll { poll, reply, .. } in due {
             self.read(LeaderRequest::FollowPublished(poll), reply);
         }
         self.execute_actions();
@@ -285,7 +285,7 @@
             return;
         }
         let term = self.node.term();
-        if self.leading.is_none_or(|(led, _)| led != term) {
+        if self.leading.is_none_or(|(led_term, _)| led_term != term) {
             self.leading = Some((term, self.clock.now()));
             self.followers.clear_engines();
             self.followers.record_change();
@@ -311,7 +311,7 @@
     fn change_voters(&mut self, reply: ReplySender, change: impl FnOnce(&mut VoterSet)) {
         match voters::changed(&self.node.status(), change) {
             Some(voters) => self.propose_voters(voters, reply),
-            // Only a confirmed leader knows that the voters need no change.
+            // That no change is needed is certain only once this host's leadership is confirmed.
             None => self.read(LeaderRequest::ReadVoters, reply),
         }
     }
@@ -321,7 +321,7 @@
         self.step(Input::ProposeVoters { id, voters });
     }
 
-    /// Answers a request once this host's leadership is confirmed.
+    /// Responds to a read-only request once this host's leadership is confirmed.
     fn read(&mut self, request: LeaderRequest, reply: ReplySender) {
         let id = self.pending.read(PendingRead { request, reply });
         self.step(Input::Read { id });
@@ -350,8 +350,8 @@
         for action in actions {
             self.execute(action);
         }
-        for read in self.pending.readable(self.fleet.applied()) {
-            self.answer_read(read);
+        for read in self.pending.take_readable(self.fleet.applied()) {
+            self.respond_to_read(read);
         }
     }
 
@@ -371,7 +371,7 @@
                     | quorum::Refusal::TermNotCommitted => {
                         reply.not_written(leader);
                     }
-                    _ => reply.answer(&LeaderResponse::Refused(refusal.to_string())),
+                    _ => reply.respond(&LeaderResponse::Refused(refusal.to_string())),
                 }
             }
             Action::ReadReady { id, index } => self.pending.read_ready(id, index),
@@ -396,10 +396,10 @@
                 self.snapshot_at = snapshot.last_index;
                 self.pending.replaced_through(snapshot.last_index);
                 self.publish_configuration();
-                self.record_named_weights();
+                self.record_desired_weights();
             }
             Err(e) => {
-                log::error!("invalid snapshot from leader: {e}");
+                log::error!("invalid snapshot from leader: error={e}");
                 self.failure = Some(e.to_string());
             }
         }
@@ -407,7 +407,7 @@
 
     fn apply(&mut self, entry: Entry) {
         let pending = self.pending.committed(entry.index, entry.term);
-        let answer = match &entry.payload {
+        let response = match &entry.payload {
             Payload::Empty => {
                 self.fleet.skip(entry.index);
                 return;
@@ -419,7 +419,7 @@
             Payload::Command(command) => self.apply_command(entry.index, command),
         };
         if let Some(reply) = pending {
-            reply.answer(&answer);
+            reply.respond(&response);
         }
     }
 
@@ -433,7 +433,7 @@
                 }
                 if matches!(command, Command::Publish(_) | Command::NameWeights(_)) {
                     self.followers.record_change();
-                    self.record_named_weights();
+                    self.record_desired_weights();
                 }
                 LeaderResponse::Reply(reply)
             }
@@ -444,8 +444,8 @@
         }
     }
 
-    fn record_named_weights(&mut self) {
-        self.followers.record_named_weights(self.clock.now(), self.fleet.published());
+    fn record_desired_weights(&mut self) {
+        self.followers.record_desired_weights(self.clock.now(), self.fleet.published());
     }
 
     fn publish_configuration(&self) {
@@ -461,15 +461,15 @@
         });
     }
 
-    fn answer_read(&mut self, read: PendingRead) {
+    fn respond_to_read(&mut self, read: PendingRead) {
         let mut state = ReadState {
             now: self.clock.now(),
             node: &self.node,
             fleet: &self.fleet,
             followers: &mut self.followers,
         };
-        if let Some(answer) = state.answer(&read.request) {
-            read.reply.answer(&answer);
+        if let Some(response) = state.response(&read.request) {
+            read.reply.respond(&response);
         }
     }
 
--- a/crates/daemon/src/replica/followers.rs
+++ b/crates/daemon/src/replica/followers.rs
@@ -1,4 +1,4 @@
-//! The leader's exchange with its followers: long polls, reported loads and published views.
+//! Long polls, load reports and published views of followers: the routers that poll the leader.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,45 +11,43 @@
 
 use super::pending::ReplySender;
 
-/// Longest time for which a poll is held.
-///
-/// Shorter than the follower's timeout.
-const MAX_HOLD: Duration = Duration::from_millis(400);
+/// Longest time for which a poll waits for a change; shorter than the follower's timeout.
+const MAX_POLL_WAIT: Duration = Duration::from_millis(400);
 
 /// Time after which a router's load report expires.
 const LOAD_REPORT_TTL: Duration = Duration::from_secs(1);
 
-/// Most sent prompts that are kept for routers; more than arrive between two polls.
+/// Largest number of sent prompts kept for routers; more than arrive between two polls.
 const MAX_SENT_PROMPTS: usize = 4096;
 
-/// Long polls of followers, and the state that answers them.
+/// Long polls of followers, and the state for the responses to them.
 pub(super) struct Followers {
-    held: Vec<HeldPoll>,
+    polls: Vec<PendingPoll>,
     engines: Vec<EngineNews>,
     loads: LoadAggregator,
     sent: SentPromptLog,
-    leavers: LeavingSet,
-    /// When weights were named, as far as this host observed or received it.
+    leaving_set: LeavingSet,
+    /// When weights became the desired ones, as far as this host observed or received it.
     weights: BTreeMap<ModelId, WeightsHistory>,
-    /// Number of changes that end held polls early.
+    /// Number of changes since the start; each ends the waiting polls.
     changes: u64,
 }
 
-/// A held poll.
-pub(super) struct HeldPoll {
+/// A poll that waits for a change or its deadline.
+pub(super) struct PendingPoll {
     pub poll: FollowRequest,
     pub reply: ReplySender,
-    until: MonotonicTime,
+    deadline: MonotonicTime,
 }
 
 impl Default for Followers {
     fn default() -> Self {
         Self {
-            held: Vec::new(),
+            polls: Vec::new(),
             engines: Vec::new(),
             loads: LoadAggregator::new(LOAD_REPORT_TTL),
             sent: SentPromptLog::new(MAX_SENT_PROMPTS),
-            leavers: LeavingSet::default(),
+            leaving_set: LeavingSet::default(),
             weights: BTreeMap::new(),
             changes: 0,
         }
@@ -57,47 +55,53 @@
 }
 
 impl Followers {
-    /// Holds a poll, and applies what its sender reports.
-    pub(super) fn hold(&mut self, now: MonotonicTime, mut poll: FollowRequest, reply: ReplySender) {
+    /// Adds a poll, and applies its sender's report.
+    pub(super) fn add_poll(
+        &mut self,
+        now: MonotonicTime,
+        mut poll: FollowRequest,
+        reply: ReplySender,
+    ) {
         self.loads.report(now, poll.from.clone(), std::mem::take(&mut poll.loads));
         self.sent.extend(&poll.from, std::mem::take(&mut poll.sent));
-        if self.leavers.record_leaving(now, &poll.leaving) {
+        if self.leaving_set.record_leaving(now, &poll.leaving) {
             self.changes += 1;
         }
-        let until = now + poll.max_wait.min(MAX_HOLD);
-        self.held.push(HeldPoll { poll, reply, until });
+        let deadline = now + poll.max_wait.min(MAX_POLL_WAIT);
+        self.polls.push(PendingPoll { poll, reply, deadline });
     }
 
-    /// Removes and returns the polls that saw another version or were held long enough; all of them
-    /// if this host no longer leads.
+    /// Removes and returns the polls whose sender has seen another version or whose deadline passed;
+    /// all of them if this host does not lead.
     pub(super) fn take_due(
         &mut self,
         now: MonotonicTime,
         term: Term,
         leads: bool,
-    ) -> Vec<HeldPoll> {
+    ) -> Vec<PendingPoll> {
         let version = self.version(term);
-        let due =
-            |held: &HeldPoll| !leads || held.poll.seen.version != version || held.until <= now;
-        let (due, held) = std::mem::take(&mut self.held).into_iter().partition(due);
-        self.held = held;
+        let due = |pending: &PendingPoll| {
+            !leads || pending.poll.seen.version != version || pending.deadline <= now
+        };
+        let (due, waiting) = std::mem::take(&mut self.polls).into_iter().partition(due);
+        self.polls = waiting;
         due
     }
 
-    /// Records a change of what is published.
+    /// Records a change of the published state.
     pub(super) fn record_change(&mut self) {
         self.changes += 1;
     }
 
-    /// Records the weights named at `now`, which is the latest time for those not known before.
-    pub(super) fn record_named_weights(&mut self, now: MonotonicTime, published: &Published) {
+    /// Records the weights that are desired at `now`, the latest possible time for new versions.
+    pub(super) fn record_desired_weights(&mut self, now: MonotonicTime, published: &Published) {
         for named in published.weights() {
             let history = self.weights.entry(named.model).or_default();
             history.note(now, named.version, Duration::ZERO);
         }
     }
 
-    /// Records the ages of named weights at `now`, as received from another host.
+    /// Records the ages of desired weights at `now`, as received from another host.
     pub(super) fn record_weights_ages(&mut self, now: MonotonicTime, ages: &[WeightsAge]) {
         for received in ages {
             let history = self.weights.entry(received.model.clone()).or_default();
@@ -105,7 +109,7 @@
         }
     }
 
-    /// Sets what the weights rollout knows of engines.
+    /// Sets the engines' states as recorded by the weights rollout.
     pub(super) fn set_engines(&mut self, engines: Vec<EngineNews>) {
         if self.engines != engines {
             self.engines = engines;
@@ -113,17 +117,17 @@
         }
     }
 
-    /// Clears what is known of engines, as after a change of leader.
+    /// Clears the engines' states, as after a change of leader.
     pub(super) fn clear_engines(&mut self) {
         self.engines.clear();
     }
 
-    /// Returns the load that all routers have placed on endpoints.
+    /// Returns the load that all routers report to have placed on endpoints.
     pub(super) fn loads(&mut self, now: MonotonicTime) -> Vec<SentLoad> {
         self.loads.totals(now)
     }
 
-    /// Returns the view for `follower`, given what it has seen.
+    /// Returns the view for `follower`, without the content and prompts that it has seen.
     pub(super) fn view(
         &mut self,
         now: MonotonicTime,
@@ -144,7 +148,7 @@
             weights: self.weight_ages(now),
             engines: self.engines.clone(),
             loads: self.loads.totals(now),
-            leaving: self.leavers.leaving(now),
+            leaving: self.leaving_set.leaving(now),
             sent: sent.unwrap_or_default(),
             next_sent: self.sent.next(),
         }
--- a/crates/daemon/src/replica/mod.rs
+++ b/crates/daemon/src/replica/mod.rs
@@ -46,9 +46,9 @@
     Submit(SubmitCall),
     /// Hosts that may become voters, and so receive the log.
     Learners(Vec<HostId>),
-    /// What the weights rollout knows of engines beyond their announcements.
+    /// Engines' states as recorded by the weights rollout, beyond their announcements.
     EngineNews(Vec<EngineNews>),
-    /// Ages of named weights at a time, as the leader published them.
+    /// Ages of desired weights at a time, as the leader published them.
     WeightAges {
         /// The time.
         at: MonotonicTime,
@@ -107,7 +107,7 @@
     pub lease_until: Option<MonotonicTime>,
     /// Load on endpoints, as routers reported it to this host.
     pub loads: Vec<SentLoad>,
-    /// The error after which the thread acknowledges nothing any more, if one occurred.
+    /// The error after which the thread no longer acknowledges requests, if one occurred.
     pub failure: Option<String>,
 }
 
@@ -141,9 +141,9 @@
 
 fn open(cfg: &ReplicaConfig, clock: Clock, channels: &ReplicaChannels) -> eyre::Result<Driver> {
     let folder = cfg.data_dir.join(LOG_FOLDER_NAME);
-    let fresh = quorum::FolderId::new(rand::random());
+    let new_folder = quorum::FolderId::new(rand::random());
     let (log, restored) =
-        Log::open(&folder, RealDisk, fresh).wrap_err("can't open the data folder")?;
+        Log::open(&folder, RealDisk, new_folder).wrap_err("can't open the data folder")?;
     let rng = Pcg64Mcg::seed_from_u64(rand::random());
     Driver::new(cfg.clone(), clock, rng, log, restored, channels.clone())
 }
--- a/crates/daemon/src/replica/pending.rs
+++ b/crates/daemon/src/replica/pending.rs
@@ -11,7 +11,7 @@
 /// Proposals and reads that wait for the log.
 #[derive(Default)]
 pub(super) struct PendingRequests {
-    next: u64,
+    last_id: u64,
     proposed: BTreeMap<ProposalId, ReplySender>,
     appended: BTreeMap<LogIndex, AppendedProposal>,
     reads: BTreeMap<ReadId, PendingRead>,
@@ -37,8 +37,8 @@
         Self(tx)
     }
 
-    pub(super) fn answer(self, answer: &LeaderResponse) {
-        self.send(Submitted::Reply(answer.to_bytes()));
+    pub(super) fn respond(self, response: &LeaderResponse) {
+        self.send(Submitted::Reply(response.to_bytes()));
     }
 
     pub(super) fn not_written(self, leader: Option<HostId>) {
@@ -53,14 +53,14 @@
 impl PendingRequests {
     /// Adds a proposal and returns its id.
     pub(super) fn propose(&mut self, reply: ReplySender) -> ProposalId {
-        let id = ProposalId(self.next());
+        let id = ProposalId(self.next_id());
         self.proposed.insert(id, reply);
         id
     }
 
     /// Adds a read and returns its id.
     pub(super) fn read(&mut self, read: PendingRead) -> ReadId {
-        let id = ReadId(self.next());
+        let id = ReadId(self.next_id());
         self.reads.insert(id, read);
         id
     }
@@ -68,8 +68,8 @@
     /// Records that a proposal was appended to the log.
     pub(super) fn accepted(&mut self, id: ProposalId, index: LogIndex, term: Term) {
         let Some(reply) = self.proposed.remove(&id) else { return };
-        // An earlier entry at `index` may survive elsewhere and still commit: its reply sender is
-        // dropped here without an outcome.
+        // An earlier proposal at `index` may survive on another host and still commit, so its reply
+        // sender is dropped without an outcome.
         self.appended.insert(index, AppendedProposal { term, reply });
     }
 
@@ -95,20 +95,20 @@
         self.appended = self.appended.split_off(&index.next());
     }
 
-    /// Records that a read may be answered once `index` is applied.
+    /// Records that a read can be served once `index` is applied.
     pub(super) fn read_ready(&mut self, id: ReadId, index: LogIndex) {
         if let Some(read) = self.reads.remove(&id) {
             self.readable.push((index, read));
         }
     }
 
-    /// Returns the reply sender of a read that can't be answered here.
+    /// Returns the reply sender of a read that can't be served here.
     pub(super) fn read_refused(&mut self, id: ReadId) -> Option<ReplySender> {
         self.reads.remove(&id).map(|read| read.reply)
     }
 
-    /// Returns the reads that may be answered now that `applied` is applied.
-    pub(super) fn readable(&mut self, applied: LogIndex) -> Vec<PendingRead> {
+    /// Removes and returns the reads that can be served once `applied` is applied.
+    pub(super) fn take_readable(&mut self, applied: LogIndex) -> Vec<PendingRead> {
         let (now, later) = std::mem::take(&mut self.readable)
             .into_iter()
             .partition(|(index, _)| *index <= applied);
@@ -117,8 +117,8 @@
         now.into_iter().map(|(_, read)| read).collect()
     }
 
-    fn next(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 }
--- a/crates/daemon/src/replica/reads.rs
+++ b/crates/daemon/src/replica/reads.rs
@@ -1,4 +1,4 @@
-//! Answers to read-only requests to the leader.
+//! Responses to read-only requests to the leader.
 
 use base::{HostId, MonotonicTime};
 use fleet::Fleet;
@@ -8,7 +8,7 @@
 
 use super::followers::Followers;
 
-/// The state that answers are read from.
+/// The state from which responses are built.
 pub(super) struct ReadState<'a> {
     pub now: MonotonicTime,
     pub node: &'a Node<Pcg64Mcg>,
@@ -17,9 +17,9 @@
 }
 
 impl ReadState<'_> {
-    /// Returns the answer to a read-only request, or `None` if the request is a write.
-    pub(super) fn answer(&mut self, request: &LeaderRequest) -> Option<LeaderResponse> {
-        let answer = match request {
+    /// Returns the response to a read-only request, or `None` if the request is a write.
+    pub(super) fn response(&mut self, request: &LeaderRequest) -> Option<LeaderResponse> {
+        let response = match request {
             LeaderRequest::ReadCall(key) => {
                 LeaderResponse::Call(self.fleet.ledger().call(key).cloned().map(Box::new))
             }
@@ -35,7 +35,7 @@
             | LeaderRequest::AddVoter { .. }
             | LeaderRequest::RemoveVoter { .. } => return None,
         };
-        Some(answer)
+        Some(response)
     }
 
     fn unsettled(&self) -> Vec<UnsettledCall> {
--- a/crates/daemon/src/replica/writer.rs
+++ b/crates/daemon/src/replica/writer.rs
@@ -10,7 +10,7 @@
 const SLOW_WRITE_THRESHOLD: Duration = Duration::from_millis(200);
 
 /// Time without a slow write after which the disk no longer counts as slow.
-const SLOW_DISK_HOLD: Duration = Duration::from_secs(5);
+const SLOW_DISK_RECOVERY_TIME: Duration = Duration::from_secs(5);
 
 /// The outcome of batches.
 #[derive(Debug)]
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Returns the receiver of the batches' outcomes, which gets none after a failure.
+    /// Returns the receiver of the batches' outcomes, which receives none after a failure.
     pub(super) fn written(&self) -> &flume::Receiver<Written> {
         &self.written
     }
@@ -122,14 +122,15 @@
 
 impl DiskSpeed {
     /// Records how long the oldest write has been in flight, and logs changes.
-    pub(super) fn record(&mut self, now: MonotonicTime, waited: Duration) {
-        if SLOW_WRITE_THRESHOLD <= waited {
+    pub(super) fn record(&mut self, now: MonotonicTime, write_age: Duration) {
+        if SLOW_WRITE_THRESHOLD <= write_age {
             if self.slow_at.replace(now).is_none() {
-                log::warn!(waited_ms = waited.as_millis(); "data folder writes slow");
+                log::warn!(waited_ms = write_age.as_millis(); "data folder writes slow");
             }
-        } else if self.slow_at.is_some_and(|at| SLOW_DISK_HOLD <= now.saturating_since(at)) {
+        } else if self.slow_at.is_some_and(|at| SLOW_DISK_RECOVERY_TIME <= now.saturating_since(at))
+        {
             self.slow_at = None;
-            log::info!("data folder writes fast again");
+            log::info!("data folder writes no longer slow");
         }
     }
 }
