--- a/crates/base/src/parse.rs
+++ b/crates/base/src/parse.rs
@@ -9,7 +9,7 @@
 }
 
 impl ParseError {
-    /// Creates an error for `text`, which is not a valid `type_name`; `expected` describes valid texts.
+    /// Creates an error for an invalid `text` of a `type_name`; `expected` describes valid texts.
     pub fn new(type_name: &'static str, text: &str, expected: &'static str) -> Self {
         const MAX_SHOWN_CHARS: usize = 80;
         let text = text.chars().take(MAX_SHOWN_CHARS).collect();
--- a/crates/daemon/src/replica/driver.rs
+++ b/crates/daemon/src/replica/driver.rs
@@ -346,6 +346,7 @@
         self.execute_all(ready);
     }
 
+    /// Executes actions, and responds to the reads that can be served after them.
     fn execute_all(&mut self, actions: Vec<Action>) {
         for action in actions {
             self.execute(action);
--- a/crates/daemon/src/replica/followers.rs
+++ b/crates/daemon/src/replica/followers.rs
@@ -29,7 +29,7 @@
     leaving_set: LeavingSet,
     /// When weights became the desired ones, as far as this host observed or received it.
     weights: BTreeMap<ModelId, WeightsHistory>,
-    /// Number of changes since the start; each ends the waiting polls.
+    /// Number of changes so far; each one ends the waiting polls.
     changes: u64,
 }
 
@@ -71,8 +71,8 @@
         self.polls.push(PendingPoll { poll, reply, deadline });
     }
 
-    /// Removes and returns the polls whose sender has seen another version or whose deadline passed;
-    /// all of them if this host does not lead.
+    /// Removes and returns the polls whose sender has seen another version or whose deadline has
+    /// passed; all of them if this host does not lead.
     pub(super) fn take_due(
         &mut self,
         now: MonotonicTime,
--- a/crates/daemon/src/replica/mod.rs
+++ b/crates/daemon/src/replica/mod.rs
@@ -65,7 +65,7 @@
 pub(crate) struct ReplicaConfig {
     /// This host.
     pub host: HostId,
-    /// The hosts that bootstrap the log, the same list on each.
+    /// The founders of the log, the same list on each.
     pub founders: Vec<HostId>,
     /// The data folder.
     pub data_dir: PathBuf,
--- a/crates/daemon/src/replica/voters.rs
+++ b/crates/daemon/src/replica/voters.rs
@@ -26,7 +26,7 @@
         self.settings.is_some()
     }
 
-    /// Returns the voters to propose, if a check is due and finds a change; `me` has led since `since`.
+    /// Returns the voters to propose, if a check is due and finds any; `me` has led since `since`.
     pub(super) fn due_voters_change(
         &mut self,
         now: MonotonicTime,
--- a/crates/member/src/exchange.rs
+++ b/crates/member/src/exchange.rs
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Fills the rest of a message with queued updates, and charges its length to the rate limiters.
+    /// Fills the rest of a message with queued updates and charges its length to the rate limiters.
     fn fill(&mut self, now: MonotonicTime, mut message: Gossip) -> Gossip {
         let fixed = fixed_bytes(&message);
         let has_backlog = self.has_backlog();
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -18,8 +18,8 @@
 /// Interval between calls of [`Membership::tick`].
 pub const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time between two ticks from which this process counts as suspended; its overdue probes then don't
-/// make other routers suspect.
+/// Time between two ticks from which this process counts as suspended; its overdue probes then make
+/// no other router suspect.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(3);
 
 /// Number of probe intervals over which an endpoint count reported by a peer decays.
--- a/crates/member/src/peers.rs
+++ b/crates/member/src/peers.rs
@@ -160,7 +160,7 @@
         (is_newer || update.state != PeerState::Alive).then_some(update)
     }
 
-    /// Refutes suspicions of this router by raising the version of its state.
+    /// Refutes suspicions of this router by raising its version; returns whether there were any.
     pub(crate) fn refute(&mut self, updates: &[PeerUpdate]) -> bool {
         let suspicions = updates.iter().filter(|update| update.host == self.me.host);
         let Some(suspicion) = suspicions.max_by_key(|update| (version(update), update.state))
@@ -289,14 +289,15 @@
     /// Returns the routers to probe in this interval: the next in order, one suspect, and
     /// occasionally a dead one, so that a partition heals.
     pub(crate) fn probe_targets(&mut self, rng: &mut impl Rng) -> Vec<HostId> {
-        const DEAD_PROBE_ODDS: u32 = 3;
+        /// Mean number of intervals between probes of dead routers.
+        const INTERVALS_PER_DEAD_PROBE: u32 = 3;
         let mut targets: Vec<_> = self.next_in_order(rng).into_iter().collect();
         let (dead, live): (Vec<_>, Vec<_>) =
             self.iter().partition(|peer| peer.update.state == PeerState::Dead);
         let suspects: Vec<_> =
             live.iter().filter(|peer| peer.update.state == PeerState::Suspect).collect();
         targets.extend(suspects.choose(rng).map(|peer| peer.update.host.clone()));
-        if live.is_empty() || rng.next_u32().is_multiple_of(DEAD_PROBE_ODDS) {
+        if live.is_empty() || rng.next_u32().is_multiple_of(INTERVALS_PER_DEAD_PROBE) {
             targets.extend(dead.choose(rng).map(|peer| peer.update.host.clone()));
         }
         targets.sort();
--- a/crates/quorum/src/config.rs
+++ b/crates/quorum/src/config.rs
@@ -7,7 +7,7 @@
 pub struct Config {
     /// This host.
     pub host: HostId,
-    /// The hosts that found the log, the same list on each; the first writes the first entry.
+    /// The founders of the log, the same list on each; the first one writes the first entry.
     pub founders: Vec<HostId>,
     /// Minimum time without a leader before an election; each timeout is drawn between this and
     /// twice this.
--- a/crates/quorum/src/election.rs
+++ b/crates/quorum/src/election.rs
@@ -24,7 +24,7 @@
         self.request_votes(self.hard.term.next(), VoteKind::PreVote, actions);
     }
 
-    /// Campaigns without a pre-vote, after a leader transferred its leadership and gave up its lease.
+    /// Campaigns without a pre-vote, after a leader gave up its lease to transfer its leadership.
     pub(crate) fn campaign_at_once(&mut self, actions: &mut Vec<Action>) {
         if !self.may_campaign() || self.leader_state.is_some() {
             return;
--- a/crates/quorum/src/founding.rs
+++ b/crates/quorum/src/founding.rs
@@ -22,7 +22,7 @@
                 self.send(&host, Body::FoundingQuery, actions);
             }
         }
-        self.found_if_all_fresh(actions);
+        self.start_log_if_all_fresh(actions);
     }
 
     pub(crate) fn handle_founding_query(
@@ -54,7 +54,7 @@
         match founding {
             FoundingState::Fresh => {
                 self.fresh_founders.insert(from.host.clone(), from.folder);
-                self.found_if_all_fresh(actions);
+                self.start_log_if_all_fresh(actions);
             }
             FoundingState::Founded(voters) if voters.admits(&self.cfg.host, self.folder) => {
                 self.write_founding_entry(voters, actions);
@@ -67,7 +67,8 @@
         self.log.is_fresh() && self.hard.term == Term::ZERO
     }
 
-    fn found_if_all_fresh(&mut self, actions: &mut Vec<Action>) {
+    /// Writes the first entry, on the first founder only, once all founders' folders are fresh.
+    fn start_log_if_all_fresh(&mut self, actions: &mut Vec<Action>) {
         if self.cfg.founders.first() != Some(&self.cfg.host) {
             return;
         }
--- a/crates/quorum/src/leader.rs
+++ b/crates/quorum/src/leader.rs
@@ -206,8 +206,8 @@
 
     /// Returns the last entry that a majority of the voters holds.
     ///
-    /// A voter that this leader adds doesn't count towards the commit of its own addition. It does
-    /// count if an earlier leader added it: the change may be committed already, by voters that have
+    /// A voter that this leader adds doesn't count towards the commit of its own addition. One that
+    /// an earlier leader added does count: the change may be committed already, by voters that have
     /// failed since.
     fn majority_matched(&self, leader_state: &LeaderState) -> LogIndex {
         let matched = |host: &HostId, folder| self.matched_by(leader_state, host, folder);
--- a/crates/quorum/tests/cluster.rs
+++ b/crates/quorum/tests/cluster.rs
@@ -80,7 +80,7 @@
 }
 
 impl Cluster {
-    /// Starts `founders` hosts that found a log, and `spares` hosts that don't.
+    /// Starts `founders` hosts that are the founders of a log, and `spares` other hosts.
     pub fn new(founders: usize, spares: usize) -> Self {
         let mut cluster = Self {
             machines: Vec::new(),
