--- a/crates/base/src/id.rs
+++ b/crates/base/src/id.rs
@@ -71,7 +71,7 @@
     ChangeId: "change id",
     /// A data centre.
     DataCentreId: "data centre id",
-    /// A server that answers requests: a model engine or a plain service.
+    /// A process that serves requests: a model engine or a member of a plain service.
     EndpointId: "endpoint id",
     /// An entry in the list of exceptions to the defaults.
     ExceptionId: "exception id",
--- a/crates/member/src/budget.rs
+++ b/crates/member/src/budget.rs
@@ -14,6 +14,8 @@
 pub(crate) const RENEWAL_COPIES: u32 = 3;
 
 const MIN_RENEWAL_SPACING: Duration = Duration::from_millis(500);
+
+/// Longest time between two renewals of an endpoint at which renewals still carry load reports.
 const MAX_LOAD_SPACING: Duration = Duration::from_secs(5);
 
 /// Limits on a router's gossip traffic, in encoded bytes without transport overhead.
@@ -74,9 +76,9 @@
     /// of which was lost, and the dissemination time.
     pub fn stale_after(&self, routers: usize, endpoints: usize) -> Duration {
         const RENEWAL_COUNT: u32 = 2;
-        const MIN_AGE: Duration = Duration::from_millis(4_500);
+        const MIN_STALE_AGE: Duration = Duration::from_millis(4_500);
         let age = self.renewal_spacing(endpoints) * RENEWAL_COUNT + dissemination_time(routers);
-        age.max(MIN_AGE)
+        age.max(MIN_STALE_AGE)
     }
 
     fn renewal_cycle(&self, endpoints: usize, bytes: usize) -> Duration {
--- a/crates/member/src/catch_up.rs
+++ b/crates/member/src/catch_up.rs
@@ -147,12 +147,15 @@
 
     /// Returns a few live routers, different ones each time, at which to retry a pull.
     fn alternative_peers(&self) -> Records {
-        const PEER_COUNT: usize = 8;
+        const ALTERNATIVE_PEER_COUNT: usize = 8;
         let mut records = Records::default();
         let count = self.peers.live().count().max(1);
-        let offset = self.peers.me().heartbeat.as_u64() as usize * PEER_COUNT % count;
+        let offset = self.peers.me().heartbeat.as_u64() as usize * ALTERNATIVE_PEER_COUNT % count;
         let rotated = self.peers.live().skip(offset).chain(self.peers.live().take(offset));
-        for peer in rotated.filter(|peer| peer.update.state == PeerState::Alive).take(PEER_COUNT) {
+        for peer in rotated
+            .filter(|peer| peer.update.state == PeerState::Alive)
+            .take(ALTERNATIVE_PEER_COUNT)
+        {
             records.add_peer(peer.update.clone());
         }
         records
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -240,9 +240,13 @@
     /// Returns the estimated number of endpoints in the fleet, so that a router with few records
     /// does not expire leases sooner than the others renew them.
     pub(crate) fn endpoint_count(&self) -> usize {
-        const STEP: usize = 64;
+        const COUNT_ROUNDING_STEP: usize = 64;
         let count = self.endpoints.live_count().max(self.reported_endpoint_count as usize);
-        if STEP < count { count.next_multiple_of(STEP) } else { count }
+        if COUNT_ROUNDING_STEP < count {
+            count.next_multiple_of(COUNT_ROUNDING_STEP)
+        } else {
+            count
+        }
     }
 
     pub(crate) fn record_endpoint_count(&mut self, now: MonotonicTime, count: u32) {
@@ -265,8 +269,8 @@
     /// Returns how often an update is transmitted, so that it reaches all routers with high
     /// probability.
     pub(crate) fn transmit_limit(&self) -> u32 {
-        const MARGIN: u32 = 3;
-        MARGIN + (self.peers.iter().count() + 1).ilog2()
+        const EXTRA_TRANSMISSIONS: u32 = 3;
+        EXTRA_TRANSMISSIONS + (self.peers.iter().count() + 1).ilog2()
     }
 
     /// Queues a change of an endpoint for gossip, given its previous record.
--- a/crates/member/src/peers.rs
+++ b/crates/member/src/peers.rs
@@ -24,7 +24,7 @@
 /// Largest number of known routers; those dead for longest are removed first.
 pub const MAX_PEERS: usize = 2048;
 
-/// Number of routers asked for indirect probes before a router becomes suspect.
+/// Number of indirect probes requested before a router becomes suspect.
 const INDIRECT_PROBE_COUNT: usize = 3;
 
 /// The other routers and their liveness.
@@ -100,15 +100,15 @@
     /// Returns whether this router has received no message for so long that it suspects none of the
     /// others.
     pub fn is_isolated(&self, now: MonotonicTime) -> bool {
-        const MAX_SILENCE: Duration = Duration::from_secs(3);
-        MAX_SILENCE <= now.saturating_since(self.last_message_at) && 2 <= self.live().count()
+        const ISOLATED_AFTER: Duration = Duration::from_secs(3);
+        ISOLATED_AFTER <= now.saturating_since(self.last_message_at) && 2 <= self.live().count()
     }
 
     /// Returns whether this router has received no message for so long that it may have missed that
     /// endpoints left.
     pub(crate) fn may_have_missed_leaves(&self, now: MonotonicTime) -> bool {
-        const MAX_SILENCE: Duration = Duration::from_secs(2);
-        MAX_SILENCE <= now.saturating_since(self.last_message_at)
+        const MISSED_LEAVES_AFTER: Duration = Duration::from_secs(2);
+        MISSED_LEAVES_AFTER <= now.saturating_since(self.last_message_at)
     }
 
     pub(crate) fn set_revision(&mut self, revision: Revision) {
--- a/crates/member/tests/regression/catch_up_deadlock.rs
+++ b/crates/member/tests/regression/catch_up_deadlock.rs
@@ -1,9 +1,9 @@
 use crate::net::Net;
 
-/// A router that had no peer to catch up from did not answer pulls, so all routers waited for each
+/// A router that had no peer to catch up from did not serve pulls, so all routers waited for each
 /// other.
 #[test]
-fn first_router_answers_pulls_although_it_never_caught_up() {
+fn first_router_serves_pulls_although_it_never_caught_up() {
     let mut net = Net::new(8, 31);
     net.stopped[1..].fill(true);
     net.run(1_000, |net| net.announce(0..100, 1, net.now.since_origin().as_millis() as u64));
--- a/crates/quorum/src/follower.rs
+++ b/crates/quorum/src/follower.rs
@@ -75,7 +75,7 @@
         self.apply_committed(actions);
     }
 
-    /// Replies to a deposed leader, which learns the newer term from the message.
+    /// Replies to a deposed leader, which steps down when it receives the newer term.
     pub(crate) fn reject_stale_leader(
         &self,
         from: &HostId,
--- a/crates/quorum/src/log.rs
+++ b/crates/quorum/src/log.rs
@@ -7,7 +7,7 @@
 /// Entries kept in memory behind a snapshot, for followers that lag slightly.
 const TRAILING_ENTRIES: u64 = 1024;
 /// Size assumed for an entry besides its command, in bytes.
-const ENTRY_OVERHEAD: usize = 24;
+const ENTRY_OVERHEAD_BYTES: usize = 24;
 /// Size assumed for a voter in an entry, in bytes.
 const VOTER_BYTES: usize = 48;
 
@@ -167,5 +167,5 @@
         Payload::Command(command) => command.len(),
         Payload::Voters(voters) => voters.folders.len() * VOTER_BYTES,
     };
-    ENTRY_OVERHEAD + payload
+    ENTRY_OVERHEAD_BYTES + payload
 }
--- a/crates/quorum/src/message.rs
+++ b/crates/quorum/src/message.rs
@@ -117,7 +117,7 @@
     },
     /// Makes the receiver campaign at once; the sender no longer leads.
     Campaign,
-    /// Asks a founder for the state of the log in its folder.
+    /// Queries a founder for the state of the log in its folder.
     FoundingQuery,
     /// Replies to [`Body::FoundingQuery`].
     FoundingReply {
--- a/crates/quorum/src/progress.rs
+++ b/crates/quorum/src/progress.rs
@@ -5,7 +5,7 @@
 use crate::FolderId;
 
 /// Maximum unacknowledged batches in flight to a follower.
-const MAX_IN_FLIGHT: usize = 4;
+const MAX_IN_FLIGHT_BATCHES: usize = 4;
 
 /// A leader's replication progress for one follower.
 #[derive(Clone, Debug)]
@@ -55,7 +55,7 @@
     }
 
     pub(crate) fn is_full(&self) -> bool {
-        let limit = if self.probing { 1 } else { MAX_IN_FLIGHT };
+        let limit = if self.probing { 1 } else { MAX_IN_FLIGHT_BATCHES };
         limit <= self.in_flight.len()
     }
 
--- a/crates/quorum/tests/cluster.rs
+++ b/crates/quorum/tests/cluster.rs
@@ -307,9 +307,9 @@
         assert_eq!(self.checker.violations, []);
     }
 
-    /// Returns a host other than those in `taken`.
-    pub fn other(&self, taken: &[usize]) -> usize {
-        (0..self.machines.len()).find(|i| !taken.contains(i)).expect("another host")
+    /// Returns a host other than those in `excluded`.
+    pub fn other(&self, excluded: &[usize]) -> usize {
+        (0..self.machines.len()).find(|i| !excluded.contains(i)).expect("another host")
     }
 
     /// Steps a host's node with an input and executes the resulting actions.
--- a/crates/quorum/tests/lease.rs
+++ b/crates/quorum/tests/lease.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn read_under_the_lease_is_answered_at_once() {
+fn read_under_the_lease_is_ready_at_once() {
     let (mut cluster, leader) = Cluster::with_leader(3, 0);
     let index = cluster.status(leader).commit;
     let id = cluster.read(leader);
