--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -60,13 +60,13 @@
 
     /// Records that a host responded to a leader request.
     pub(crate) fn record_response(&self, host: &HostId) {
-        self.lock().hints.answered(host);
+        self.lock().hints.clear_timeout(host);
     }
 
     /// Records that a host didn't respond to a leader request in time.
     pub(crate) fn record_timeout(&self, host: &HostId) {
         let now = self.clock.now();
-        self.lock().hints.timed_out(now, host);
+        self.lock().hints.record_timeout(now, host);
     }
 
     /// Returns the hosts to send a leader request to, the likeliest leader first.
--- a/crates/daemon/src/replica/voters.rs
+++ b/crates/daemon/src/replica/voters.rs
@@ -26,7 +26,7 @@
         self.settings.is_some()
     }
 
-    /// Returns the voters to change to, if a check is due; `me` has led since `since`.
+    /// Returns the voters to propose, if a check is due and finds any; `me` has led since `since`.
     pub(super) fn due_voters_change(
         &mut self,
         now: MonotonicTime,
@@ -40,8 +40,8 @@
         }
         self.last_checked = now;
         let status = node.status();
-        let led = now.saturating_since(since);
-        next_voters(&LeaderView { status: &status, me, now, led }, &settings)
+        let leading_for = now.saturating_since(since);
+        next_voters(&LeaderView { status: &status, me, now, leading_for }, &settings)
     }
 }
 
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -18,8 +18,8 @@
 /// Interval between calls of [`Membership::tick`].
 pub const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Pause between two ticks from which this process counts as suspended, so that overdue probes are
-/// not held against other routers.
+/// Time between two ticks from which this process counts as suspended; its overdue probes then make
+/// no other router suspect.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(3);
 
 /// Number of probe intervals over which an endpoint count reported by a peer decays.
@@ -35,8 +35,8 @@
     pub(crate) endpoints: Endpoints,
     pub(crate) newest: NewestRevision,
     pub(crate) budget: Budget,
-    pub(crate) steady: RateLimiter,
-    pub(crate) reserve: RateLimiter,
+    pub(crate) steady_limiter: RateLimiter,
+    pub(crate) reserve_limiter: RateLimiter,
     pub(crate) queues: TransmitQueues,
     pub(crate) pending_requests: BTreeSet<IncarnationKey>,
     pub(crate) proxy_probes: BTreeMap<HostId, ProxyProbe>,
@@ -111,8 +111,8 @@
             peers: Peers::new(now, me),
             endpoints: Endpoints::default(),
             budget,
-            steady: RateLimiter::new(now, budget.send_rate, budget.max_catch_up_message),
-            reserve: RateLimiter::new(now, budget.reserve_refill_rate, budget.reserve),
+            steady_limiter: RateLimiter::new(now, budget.send_rate, budget.max_catch_up_message),
+            reserve_limiter: RateLimiter::new(now, budget.reserve_refill_rate, budget.reserve),
             queues: TransmitQueues::default(),
             pending_requests: BTreeSet::new(),
             proxy_probes: BTreeMap::new(),
@@ -240,9 +240,13 @@
     /// Returns the estimated number of endpoints in the fleet, so that a router with few records
     /// does not expire leases sooner than the others renew them.
     pub(crate) fn endpoint_count(&self) -> usize {
-        const STEP: usize = 64;
+        const COUNT_ROUNDING_STEP: usize = 64;
         let count = self.endpoints.live_count().max(self.reported_endpoint_count as usize);
-        if STEP < count { count.next_multiple_of(STEP) } else { count }
+        if COUNT_ROUNDING_STEP < count {
+            count.next_multiple_of(COUNT_ROUNDING_STEP)
+        } else {
+            count
+        }
     }
 
     pub(crate) fn record_endpoint_count(&mut self, now: MonotonicTime, count: u32) {
@@ -265,8 +269,8 @@
     /// Returns how often an update is transmitted, so that it reaches all routers with high
     /// probability.
     pub(crate) fn transmit_limit(&self) -> u32 {
-        const MARGIN: u32 = 3;
-        MARGIN + (self.peers.iter().count() + 1).ilog2()
+        const EXTRA_TRANSMISSIONS: u32 = 3;
+        EXTRA_TRANSMISSIONS + (self.peers.iter().count() + 1).ilog2()
     }
 
     /// Queues a change of an endpoint for gossip, given its previous record.
