--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -3,7 +3,7 @@
 use std::{
     fs::File,
     io,
-    net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener},
+    net::{IpAddr, Ipv4Addr, SocketAddr, TcpStream},
     os::unix::fs::FileExt as _,
     path::PathBuf,
     process::{Child, Command, ExitStatus, Stdio},
@@ -344,9 +344,13 @@
     IpAddr::V4(Ipv4Addr::new(127, 128 | high, low, number.wrapping_add(2)))
 }
 
-/// Returns the first free port from `first` on, below the range of ephemeral ports.
+/// Returns the first port from `first` on without a listener, below the range of ephemeral ports.
+///
+/// It connects instead of binding: a child that another thread spawns meanwhile would hold the bound
+/// port until its exec.
 fn free_port(ip: IpAddr, first: u16) -> SocketAddr {
     (first..first + PORT_RANGE)
-        .find_map(|port| TcpListener::bind((ip, port)).ok()?.local_addr().ok())
+        .map(|port| SocketAddr::from((ip, port)))
+        .find(|address| TcpStream::connect(address).is_err())
         .expect("a port is free on the loopback interface")
 }
