--- a/crates/bench/src/fake/job.rs
+++ b/crates/bench/src/fake/job.rs
@@ -1,4 +1,4 @@
-//! CompletionRequest requests as a fake engine parses them.
+//! Completion requests as a fake engine parses them.
 
 use std::time::Instant;
 
--- a/crates/daemon/src/gateway/follow.rs
+++ b/crates/daemon/src/gateway/follow.rs
@@ -43,7 +43,7 @@
 pub(super) static NO_DESIRED_WEIGHTS: WeightsHistory = WeightsHistory::new();
 
 impl ActiveConfiguration {
-    /// Returns the time since the last confirmation that nothing newer was published.
+    /// Returns the time since the leader last reported that this configuration is the newest.
     pub(super) fn age(&self, now: MonotonicTime) -> Duration {
         now.saturating_since(self.confirmed)
     }
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -74,7 +74,7 @@
 /// Shortest `Retry-After` for a rejected caller.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Age of the last confirmation of the configuration from which this host is not ready.
+/// Age of the last report that the configuration is the newest from which this host is not ready.
 const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(2_500);
 
 /// Channels and shared state that connect the gateway's thread to the others.
--- a/crates/daemon/src/gateway/settings.rs
+++ b/crates/daemon/src/gateway/settings.rs
@@ -40,7 +40,7 @@
 }
 
 impl GatewaySettings {
-    /// Returns for how long a confirmation that the configuration is the newest is valid.
+    /// Returns for how long the leader's report that the configuration is the newest is valid.
     pub(super) fn key_lease(&self) -> Duration {
         self.max_revocation_delay.saturating_sub(KEY_LEASE_MARGIN)
     }
